--- a/packages/verbenahall/src/verbenahall/load/__init__.py
+++ b/packages/verbenahall/src/verbenahall/load/__init__.py
@@ -1,35 +1,35 @@
-"""What is believed of each endpoint's load, and how old that is."""
+"""Estimates the load of each endpoint from reports and open requests."""
 
 from verbenahall.load._decisions import (
-    believe,
+    compute_load_cost,
+    estimate_load,
     note_failed,
     note_finished,
     note_sent,
     observe_report,
-    weigh,
 )
 from verbenahall.load._engines import (
     EngineState,
     EngineStates,
     read_engine_state,
 )
-from verbenahall.load._messages import Belief, Report, parse_report
+from verbenahall.load._messages import LoadEstimate, Report, parse_report
 from verbenahall.load._shell import StatePoller
 from verbenahall.load._state import LoadState
 
 __all__ = (
-    'Belief',
     'EngineState',
     'EngineStates',
+    'LoadEstimate',
     'LoadState',
     'Report',
     'StatePoller',
-    'believe',
+    'compute_load_cost',
+    'estimate_load',
     'note_failed',
     'note_finished',
     'note_sent',
     'observe_report',
     'parse_report',
     'read_engine_state',
-    'weigh',
 )
--- a/packages/verbenahall/src/verbenahall/load/_decisions.py
+++ b/packages/verbenahall/src/verbenahall/load/_decisions.py
@@ -1,33 +1,40 @@
-"""What to believe of an endpoint's load from old reports and own work.
-
-An instance knows its own open work exactly. What others have open there is
-the last report less the own share at that moment; trust in it halves every
-``_TRUST_HALF_LIFE_S`` and the mean over all endpoints takes its place, so a
-very old report neither attracts nor repels.
-
-A report is late by a time that nobody knows, and all instances act on it. If
-each of them answered it in full, the fleet would answer it many times over,
-and the load would swing from endpoint to endpoint. So a choice weighs others'
-work by the own share of all work, and never by more than ``_MOST_GAIN``.
+"""Estimates an endpoint's load from its last report and local requests.
+
+An instance knows its own open requests exactly. The requests of other
+instances are the last report less the requests that this instance had open at
+that time. The weight of a report halves every ``_REPORT_HALF_LIFE_S``, and the
+mean over all endpoints replaces it, so a very old report neither attracts nor
+repels requests.
+
+The age of a report when it arrives is unknown, and all instances react to the
+same reports. If each reacted in full, the fleet would overcompensate and the
+load would oscillate between endpoints. The cost of an endpoint therefore
+counts the work of other instances only with the local share of all work, at
+most ``_MAX_OTHERS_WEIGHT``.
 """
 
 from typing import Final
 
-from verbenahall.load._messages import Belief, Report
+from verbenahall.load._messages import LoadEstimate, Report
 from verbenahall.load._state import EndpointLoad, LoadState
 
-_TRUST_HALF_LIFE_S: Final = 1.0
+#: Half-life of the weight of a report, in seconds.
+_REPORT_HALF_LIFE_S: Final = 1.0
 #: Weight of one new report in the mean over all endpoints.
-_MEAN_WEIGHT: Final = 0.05
-#: Below this free share an engine soon evicts running requests.
-_KV_TIGHT_SHARE: Final = 0.1
-_KV_TIGHT_LOAD: Final = 8.0
-_MOST_GAIN: Final = 0.1
-#: Believed load for one recent failure. An endpoint that fails at once has
-#: an empty queue and would draw all traffic; this keeps it away.
-_FAILURE_LOAD: Final = 16.0
+_MEAN_SMOOTHING: Final = 0.05
+#: With a smaller free share of the KV cache, an engine soon evicts running
+#: requests. The cost is in typical requests.
+_KV_LOW_SHARE: Final = 0.1
+_KV_LOW_COST: Final = 8.0
+#: Maximum weight of the work of other instances.
+_MAX_OTHERS_WEIGHT: Final = 0.1
+#: Cost of one recent failure, in typical requests. Without it, an endpoint
+#: that fails every request immediately would have an empty queue and attract
+#: all traffic.
+_FAILURE_COST: Final = 16.0
+#: Half-life of the number of failures, in seconds.
 _FAILURE_HALF_LIFE_S: Final = 1.0
-_MOST_FAILURES: Final = 8.0
+_MAX_FAILURES: Final = 8.0
 
 
 def observe_report(
@@ -36,13 +43,13 @@
     report: Report,
     now: float,
 ) -> None:
-    """Take an endpoint's report, polled or carried on an answer."""
+    """Record a load report, from a poll or from an answer's header."""
     entry = state.of(name)
     entry.report = report
     entry.reported_at = now
-    entry.own_at_report = len(entry.own)
+    entry.local_at_report = len(entry.own)
     others = _count_others(entry)
-    state.mean_others += _MEAN_WEIGHT * (others - state.mean_others)
+    state.mean_others += _MEAN_SMOOTHING * (others - state.mean_others)
 
 
 def note_sent(
@@ -52,10 +59,10 @@
     work: float,
     now: float,
 ) -> None:
-    """Count an attempt as open; ``work`` is in typical requests."""
+    """Record an open attempt with its ``work`` in typical requests."""
     entry = state.of(name)
     entry.own[attempt] = work
-    entry.own_work += work
+    entry.local_work += work
     state.open += 1
 
 
@@ -65,71 +72,74 @@
     attempt: str,
     now: float,
 ) -> None:
-    """Count an attempt as over, however it ended; twice is harmless."""
+    """Record the end of an attempt; a second call has no effect."""
     entry = state.of(name)
     work = entry.own.pop(attempt, None)
     if work is not None:
         state.open -= 1
-        # Set to zero with the last one, so that rounding cannot add up.
-        entry.own_work = entry.own_work - work if entry.own else 0
+        # Zero without open attempts, so that rounding errors do not add up.
+        entry.local_work = entry.local_work - work if entry.own else 0
 
 
 def note_failed(state: LoadState, name: str, now: float) -> None:
-    """Remember that an attempt failed, which makes the endpoint look full."""
+    """Record a failed attempt, which adds to the endpoint's cost."""
     entry = state.of(name)
-    failures = _recent_failures(entry, now) + 1
-    entry.failures = min(failures, _MOST_FAILURES)
+    failures = _decay_failures(entry, now) + 1
+    entry.failures = min(failures, _MAX_FAILURES)
     entry.failed_at = now
 
 
-def believe(state: LoadState, name: str, now: float) -> Belief:
-    """Return the believed load and the age of the report behind it."""
+def estimate_load(state: LoadState, name: str, now: float) -> LoadEstimate:
+    """Return the estimated load and the age of the last report."""
     entry = state.of(name)
     age = now - entry.reported_at
-    others = _believe_others(state, entry, _find_trust(age))
-    return Belief(entry.own_work + others, age)
+    others = _estimate_others(state, entry, _compute_report_weight(age))
+    return LoadEstimate(entry.local_work + others, age)
 
 
-def weigh(state: LoadState, name: str, now: float) -> float:
-    """Return what a choice compares, in typical requests.
+def compute_load_cost(state: LoadState, name: str, now: float) -> float:
+    """Return the cost of an endpoint in typical requests.
 
-    It takes own work in full, others' only in part, and adds to endpoints
-    that have failed lately or are short of KV cache.
+    It counts local work in full and the work of other instances in part.
+    Recent failures and a lack of free KV cache add to it.
     """
     entry = state.of(name)
-    trust = _find_trust(now - entry.reported_at)
-    others = _believe_others(state, entry, trust)
-    cost = entry.own_work + _find_gain(state) * others
+    report_weight = _compute_report_weight(now - entry.reported_at)
+    others = _estimate_others(state, entry, report_weight)
+    cost = entry.local_work + _compute_others_weight(state) * others
     if entry.failures:
-        cost += _FAILURE_LOAD * _recent_failures(entry, now)
-    if entry.report.kv_free_share < _KV_TIGHT_SHARE:
-        cost += trust * _KV_TIGHT_LOAD
+        cost += _FAILURE_COST * _decay_failures(entry, now)
+    if entry.report.kv_free_share < _KV_LOW_SHARE:
+        cost += report_weight * _KV_LOW_COST
     return cost
 
 
-def _find_trust(age_s: float) -> float:
-    return 0.5 ** (age_s / _TRUST_HALF_LIFE_S)
+def _compute_report_weight(age_s: float) -> float:
+    return 0.5 ** (age_s / _REPORT_HALF_LIFE_S)
 
 
-def _believe_others(
+def _estimate_others(
     state: LoadState,
     entry: EndpointLoad,
-    trust: float,
+    report_weight: float,
 ) -> float:
-    return trust * _count_others(entry) + (1 - trust) * state.mean_others
+    return (
+        report_weight * _count_others(entry)
+        + (1 - report_weight) * state.mean_others
+    )
 
 
-def _find_gain(state: LoadState) -> float:
-    """Return the own share of all work, within its bound."""
+def _compute_others_weight(state: LoadState) -> float:
+    """Return the local share of all work, at most its maximum."""
     others = state.mean_others * len(state.endpoints)
-    return min(_MOST_GAIN, state.open / (state.open + others + 1))
+    return min(_MAX_OTHERS_WEIGHT, state.open / (state.open + others + 1))
 
 
 def _count_others(entry: EndpointLoad) -> int:
     reported = entry.report.running + entry.report.queued
-    return max(0, reported - entry.own_at_report)
+    return max(0, reported - entry.local_at_report)
 
 
-def _recent_failures(entry: EndpointLoad, now: float) -> float:
+def _decay_failures(entry: EndpointLoad, now: float) -> float:
     age = now - entry.failed_at
     return entry.failures * 0.5 ** (age / _FAILURE_HALF_LIFE_S)
--- a/packages/verbenahall/src/verbenahall/load/_messages.py
+++ b/packages/verbenahall/src/verbenahall/load/_messages.py
@@ -1,18 +1,19 @@
-"""Reports of endpoints about their load, and beliefs drawn from them."""
+"""Load reports of endpoints, and the estimates based on them."""
 
 import dataclasses
 import re
 from typing import Final
 
-#: Running, queued, free share; bounded, as endpoints may send anything.
+#: Running and queued requests, free share of the KV cache. The numbers of
+#: digits are bounded because endpoints may send any text.
 _REPORT: Final = re.compile(r'(\d{1,9}),(\d{1,9}),(\d{1,3}(?:\.\d{1,20})?)')
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Report:
-    """What an endpoint last said: requests running and queued.
+    """The load that an endpoint reports: running and queued requests.
 
-    ``kv_free_share`` is the free share of its KV cache, 0 to 1.
+    ``kv_free_share`` is the free share of its KV cache, from 0 to 1.
     """
 
     running: int
@@ -21,10 +22,10 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Belief:
-    """Believed load in typical requests, and the report's age in seconds.
+class LoadEstimate:
+    """The estimated load of an endpoint in typical requests.
 
-    The age is infinite where no report was ever heard.
+    ``age_s`` is the age of its last report, infinite if there is none.
     """
 
     load: float
@@ -32,7 +33,7 @@
 
 
 def parse_report(text: str) -> Report | None:
-    """Read an ``X-Load`` header; a malformed one counts as none."""
+    """Parse an ``X-Load`` header; return None if it is malformed."""
     parts = _REPORT.fullmatch(text)
     if parts is None:
         return None
--- a/packages/verbenahall/src/verbenahall/load/_state.py
+++ b/packages/verbenahall/src/verbenahall/load/_state.py
@@ -1,4 +1,4 @@
-"""What one instance has seen of each endpoint's load."""
+"""What one instance keeps about the load of each endpoint."""
 
 import math
 from collections.abc import Container
@@ -6,55 +6,58 @@
 
 from verbenahall.load._messages import Report
 
-_NOTHING_REPORTED = Report(0, 0)
+_EMPTY_REPORT = Report(0, 0)
 
 
 @final
 class EndpointLoad:
-    """One endpoint: its last report and this instance's own open work.
+    """The last report of an endpoint, and the local attempts there.
 
-    ``own`` maps each open attempt to its work in typical requests.
-    ``own_at_report`` is how many attempts were open when the report came.
+    ``own`` maps each open attempt of this instance to its work in typical
+    requests, and ``local_work`` is the sum. ``local_at_report`` is the number
+    of local attempts that were open when the report was received.
     """
 
     __slots__ = (
         'report',
         'reported_at',
         'own',
-        'own_work',
-        'own_at_report',
+        'local_work',
+        'local_at_report',
         'failures',
         'failed_at',
     )
 
     def __init__(self) -> None:
         """Start without a report."""
-        self.report = _NOTHING_REPORTED
+        self.report = _EMPTY_REPORT
         self.reported_at = -math.inf
         self.own: dict[str, float] = {}
-        self.own_work: float = 0
-        self.own_at_report = 0
+        self.local_work: float = 0
+        self.local_at_report = 0
         self.failures: float = 0
         self.failed_at = -math.inf
 
 
 @final
 class LoadState:
-    """All endpoints by name, and the mean of what others have open there.
+    """The load of all endpoints by name.
 
-    ``open`` counts this instance's open attempts at all of them.
+    ``mean_others`` is the mean number of requests that other instances have
+    open at an endpoint. ``open`` is the number of open attempts of this
+    instance at all endpoints.
     """
 
     __slots__ = ('endpoints', 'mean_others', 'open')
 
     def __init__(self) -> None:
-        """Start with nothing seen."""
+        """Start without endpoints."""
         self.endpoints: dict[str, EndpointLoad] = {}
         self.mean_others: float = 0
         self.open = 0
 
     def of(self, name: str) -> EndpointLoad:
-        """Return the endpoint's entry, made on first use."""
+        """Return the entry of an endpoint, which is created on first use."""
         entry = self.endpoints.get(name)
         if entry is None:
             entry = EndpointLoad()
@@ -62,10 +65,10 @@
         return entry
 
     def keep(self, names: Container[str]) -> None:
-        """Forget all other endpoints, unless work is open there.
+        """Remove all endpoints but these and those with open attempts.
 
-        Hundreds are replaced in a day; those that are gone would count
-        among the endpoints for ever.
+        Hundreds of endpoints are replaced per day. Without this, removed ones
+        would stay in memory and in the number of endpoints for ever.
         """
         self.endpoints = {
             name: entry
--- a/packages/verbenahall/src/verbenahall/routing/__init__.py
+++ b/packages/verbenahall/src/verbenahall/routing/__init__.py
@@ -1,4 +1,4 @@
-"""Which endpoint takes a request."""
+"""Selects the endpoint for each attempt of a request."""
 
 from verbenahall.routing._candidates import (
     Candidate,
--- a/packages/verbenahall/src/verbenahall/routing/_candidates.py
+++ b/packages/verbenahall/src/verbenahall/routing/_candidates.py
@@ -1,4 +1,8 @@
-"""Candidates, and the subsets that keep instances from herding."""
+"""Candidate endpoints, and the subset of them that an instance uses.
+
+Each instance picks its own subset by rendezvous hashing, so instances do not
+all send to the same few endpoints.
+"""
 
 import dataclasses
 import functools
@@ -10,16 +14,17 @@
 import xxhash
 
 from verbenahall.fleet import Endpoint, Role
-from verbenahall.routing._mix import Mix
+from verbenahall.routing._mix import WorkloadMix
 
-#: Endpoints that one instance chooses among; further ones are spill-over.
+#: Maximum number of endpoints that one instance chooses among.
 SUBSET_SIZE: Final = 24
-_RANKS_KEPT: Final = 8192
+#: Cached pairs of instance and endpoint.
+_RANK_CACHE_SIZE: Final = 8192
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Candidate:
-    """An endpoint that could take the request, and its role."""
+    """An endpoint that can serve the request, and its role."""
 
     endpoint: Endpoint
     role: Role = Role.MIXED
@@ -27,7 +32,11 @@
 
 @final
 class RoutingState:
-    """An instance's own name, data centre and random source."""
+    """What one instance keeps for routing.
+
+    ``mixes`` holds the recent mix of prompt lengths of each model, estimated
+    from the requests that this instance routed.
+    """
 
     __slots__ = ('instance', 'data_centre', 'mixes', 'random')
 
@@ -35,23 +44,26 @@
         self,
         instance: str,
         data_centre: str,
-        source: random.Random,
+        rng: random.Random,
     ) -> None:
-        """Keep who chooses; ``source`` is seeded apart on each instance."""
+        """Create the state of one instance.
+
+        Each instance needs an ``rng`` with a seed of its own.
+        """
         self.instance = instance
         self.data_centre = data_centre
-        self.random = source
-        #: What this instance has seen arrive, by model.
-        self.mixes: dict[str, Mix] = {}
+        self.random = rng
+        self.mixes: dict[str, WorkloadMix] = {}
 
 
 def rank_by_rendezvous(key: str, names: Iterable[str]) -> list[str]:
-    """Order names by their rendezvous weight for a key, highest first.
+    """Order names by their rendezvous weight for a key, lowest first.
 
-    All instances get the same order; taking a name away moves no other.
+    All instances compute the same order, and removing a name does not change
+    the order of the others.
     """
     return sorted(
-        names, key=lambda name: (weigh_by_rendezvous(key, name), name)
+        names, key=lambda name: (compute_rendezvous_weight(key, name), name)
     )
 
 
@@ -60,26 +72,29 @@
     candidates: Sequence[Candidate],
     size: int = SUBSET_SIZE,
 ) -> Sequence[Candidate]:
-    """Return the candidates that this instance looks at."""
+    """Return at most ``size`` candidates, a stable subset per instance."""
     if len(candidates) <= size:
         return candidates
     return heapq.nsmallest(
         size,
         candidates,
-        key=lambda found: _rank_of(instance, found.endpoint.name),
+        key=lambda candidate: _rank_endpoint(
+            instance,
+            candidate.endpoint.name,
+        ),
     )
 
 
-@functools.lru_cache(maxsize=_RANKS_KEPT)
-def _rank_of(instance: str, name: str) -> tuple[int, str]:
-    """Return where an endpoint stands for this instance.
+@functools.lru_cache(maxsize=_RANK_CACHE_SIZE)
+def _rank_endpoint(instance: str, name: str) -> tuple[int, str]:
+    """Return the sort key of an endpoint in an instance's subset.
 
-    Kept, since hashing a data centre's endpoints anew for each request is
-    what a choice at the planned size would mostly spend its time on.
+    Cached: hashing all endpoints of a data centre for each request would
+    take most of the time of a selection at the planned fleet size.
     """
-    return weigh_by_rendezvous(instance, name), name
+    return compute_rendezvous_weight(instance, name), name
 
 
-def weigh_by_rendezvous(key: str, name: str) -> int:
-    """Return the weight of a name for a key, alike on all instances."""
+def compute_rendezvous_weight(key: str, name: str) -> int:
+    """Return the weight of a name for a key, equal on all instances."""
     return xxhash.xxh64_intdigest(f'{key}\0{name}'.encode())
--- a/packages/verbenahall/src/verbenahall/routing/_decisions.py
+++ b/packages/verbenahall/src/verbenahall/routing/_decisions.py
@@ -1,10 +1,13 @@
-"""The choice: a few random candidates, role and prefix as hints.
+"""Endpoint selection: the cheapest of a few randomly sampled candidates.
 
-An instance looks at no more candidates than it has requests open, and at two
-at least: beyond that its own work cannot tell them apart, old reports would,
-and all instances would run to the endpoint that once looked empty. A little
-noise parts instances that see the same. Role and cached prefix are hints,
-priced in load, so both give way when the endpoint that they favour is busy.
+The sample is as large as the number of requests that this instance has open,
+and at least two. In a larger sample the instance's own requests would not
+distinguish the candidates, only old load reports would, and all instances
+would send to the endpoint that last reported an empty queue. Random jitter on
+the costs separates instances that have the same reports.
+
+Role and cached prefix are preferences. They are expressed as load, so a
+preferred endpoint that is busy loses to an idle one.
 """
 
 from collections.abc import Sequence
@@ -15,27 +18,34 @@
 
 from verbenahall.errors import ErrorKind, Problem
 from verbenahall.fleet import Role
-from verbenahall.load import LoadState, believe, weigh
+from verbenahall.load import LoadState, compute_load_cost, estimate_load
 from verbenahall.routing._candidates import (
     Candidate,
     RoutingState,
+    compute_rendezvous_weight,
     take_subset,
-    weigh_by_rendezvous,
 )
-from verbenahall.routing._gathering import gather
+from verbenahall.routing._gathering import filter_by_prompt_length
 from verbenahall.routing._messages import Choice, Question
 
-_FEWEST_LOOKED_AT: Final = 2
-_MOST_LOOKED_AT: Final = 12
-#: Differences below this are settled by chance.
-_NOISE: Final = 0.3
-#: A prompt this many times its output is prefill work, and the inverse.
+#: Bounds of the sample size. The preferred role and the other roles are
+#: sampled separately.
+_MIN_SAMPLE: Final = 2
+_MAX_SAMPLE: Final = 12
+#: Width of the random jitter on a cost, in typical requests. Smaller
+#: differences in cost are decided at random.
+_COST_JITTER: Final = 0.3
+#: A request prefers a prefill engine if its prompt has at least this many
+#: tokens per output token.
 _PREFILL_RATIO: Final = 8.0
+#: A request prefers a decode engine if its output has at least this many
+#: tokens per prompt token.
 _DECODE_RATIO: Final = 2.0
-#: How many typical requests of load a cached prefix is worth.
-_PREFIX_WORTH: Final = 2.0
-#: Load that is added for an engine of a less fitting role.
-_ROLE_LOAD: Final = MappingProxyType(
+#: Cost reduction for a cached prefix, in typical requests.
+_PREFIX_CACHE_DISCOUNT: Final = 2.0
+#: Cost added for an engine of another role, in typical requests, by
+#: preferred role and engine role.
+_ROLE_MISMATCH_COST: Final = MappingProxyType(
     {
         (Role.PREFILL, Role.MIXED): 1.0,
         (Role.PREFILL, Role.DECODE): 6.0,
@@ -48,8 +58,11 @@
 
 
 @final
-class _Offer:
-    """A candidate at its cost; plain, as many are made for each choice."""
+class _ScoredCandidate:
+    """A candidate with its cost and the reason to select it.
+
+    Not a dataclass: creation is on the hot path of every selection.
+    """
 
     __slots__ = ('candidate', 'cost', 'reason')
 
@@ -71,12 +84,12 @@
     load: LoadState,
     now: float,
 ) -> Result[Choice, Problem]:
-    """Choose the endpoint of one attempt, or say that none is left.
+    """Select the endpoint of one attempt, or fail with ``NO_ENDPOINT``.
 
-    ``candidates`` are live and hold what the request needs. Those of the own
-    data centre go first; others are taken only when none of them is left.
+    ``candidates`` are live and able to serve the request. Those of other data
+    centres are used only if the local one has none left.
     """
-    pool = _narrow(state, question, candidates)
+    pool = _filter_candidates(state, question, candidates)
     if not pool:
         return Failure(
             Problem(
@@ -84,21 +97,30 @@
                 'no live endpoint can take this request now',
             ),
         )
-    pool = gather(state, question, pool, now)
-    wanted = want_role(question)
-    offers = [
-        _Offer(candidate, _price(state, candidate, wanted, load, now))
-        for candidate in _sample(state, pool, wanted, load.open)
+    pool = filter_by_prompt_length(state, question, pool, now)
+    preferred = find_preferred_role(question)
+    scored = [
+        _ScoredCandidate(
+            candidate,
+            _compute_candidate_cost(state, candidate, preferred, load, now),
+        )
+        for candidate in _sample(state, pool, preferred, load.open)
     ]
-    favourite = _find_favourite(question, pool)
-    if favourite:
-        cost = _price(state, favourite, wanted, load, now)
-        offers.append(_Offer(favourite, cost - _PREFIX_WORTH, 'prefix'))
-    return Success(_conclude(offers, load, now))
+    prefix_owner = _find_prefix_owner(question, pool)
+    if prefix_owner:
+        cost = _compute_candidate_cost(
+            state, prefix_owner, preferred, load, now
+        )
+        scored.append(
+            _ScoredCandidate(
+                prefix_owner, cost - _PREFIX_CACHE_DISCOUNT, 'prefix'
+            )
+        )
+    return Success(_select_cheapest(scored, load, now))
 
 
-def want_role(question: Question) -> Role:
-    """Return the role whose work dominates the request."""
+def find_preferred_role(question: Question) -> Role:
+    """Return the engine role that fits the request's token counts."""
     if not question.prompt_tokens and not question.output_tokens:
         return Role.MIXED
     if question.prompt_tokens >= _PREFILL_RATIO * question.output_tokens:
@@ -108,83 +130,89 @@
     return Role.MIXED
 
 
-def _narrow(
+def _filter_candidates(
     state: RoutingState,
     question: Question,
     candidates: Sequence[Candidate],
 ) -> Sequence[Candidate]:
-    """Drop what already failed; keep to the own data centre if possible."""
-    left = candidates
+    """Return this instance's subset of the candidates that are usable.
+
+    Drops excluded endpoints, and remote ones if a local one is left.
+    """
+    remaining = candidates
     if question.excluded:
-        left = [
+        remaining = [
             candidate
             for candidate in candidates
             if candidate.endpoint.name not in question.excluded
         ]
-    near = [
+    local = [
         candidate
-        for candidate in left
+        for candidate in remaining
         if candidate.endpoint.data_centre == state.data_centre
     ]
-    return take_subset(state.instance, near or left)
+    return take_subset(state.instance, local or remaining)
 
 
 def _sample(
     state: RoutingState,
     pool: Sequence[Candidate],
-    wanted: Role,
+    preferred: Role,
     open_requests: int,
 ) -> list[Candidate]:
-    """Take a few at random of the wanted role, and a few of the others."""
-    size = min(_MOST_LOOKED_AT, max(_FEWEST_LOOKED_AT, open_requests))
-    fitting = [found for found in pool if found.role is wanted]
-    others = [found for found in pool if found.role is not wanted]
+    """Sample candidates of the preferred role and of the other roles."""
+    size = min(_MAX_SAMPLE, max(_MIN_SAMPLE, open_requests))
+    fitting = [option for option in pool if option.role is preferred]
+    others = [option for option in pool if option.role is not preferred]
     return [
         *state.random.sample(fitting, min(size, len(fitting))),
         *state.random.sample(others, min(size, len(others))),
     ]
 
 
-def _find_favourite(
+def _find_prefix_owner(
     question: Question,
     pool: Sequence[Candidate],
 ) -> Candidate | None:
-    """Return the engine on which all instances gather this prefix."""
+    """Return the engine to which all instances send this prefix.
+
+    None if the request has no prefix.
+    """
     if not question.prefix:
         return None
     return max(
         pool,
-        key=lambda found: weigh_by_rendezvous(
+        key=lambda option: compute_rendezvous_weight(
             question.prefix,
-            found.endpoint.name,
+            option.endpoint.name,
         ),
     )
 
 
-def _price(
+def _compute_candidate_cost(
     state: RoutingState,
     candidate: Candidate,
-    wanted: Role,
+    preferred: Role,
     load: LoadState,
     now: float,
 ) -> float:
-    cost = weigh(load, candidate.endpoint.name, now)
-    if candidate.role is not wanted:
-        cost += _ROLE_LOAD[wanted, candidate.role]
-    return cost + _NOISE * state.random.random()
+    cost = compute_load_cost(load, candidate.endpoint.name, now)
+    if candidate.role is not preferred:
+        cost += _ROLE_MISMATCH_COST[preferred, candidate.role]
+    return cost + _COST_JITTER * state.random.random()
 
 
-def _conclude(
-    offers: Sequence[_Offer],
+def _select_cheapest(
+    scored: Sequence[_ScoredCandidate],
     load: LoadState,
     now: float,
 ) -> Choice:
-    best = min(offers, key=lambda offer: offer.cost)
+    best = min(scored, key=lambda option: option.cost)
     chosen = best.candidate.endpoint
-    over = {offer.candidate.endpoint.name for offer in offers}
+    over = {option.candidate.endpoint.name for option in scored}
     return Choice(
         endpoint=chosen,
-        belief=believe(load, chosen.name, now),
+        belief=estimate_load(load, chosen.name, now),
         over=tuple(sorted(over - {chosen.name})),
         reason=best.reason,
     )
--- a/packages/verbenahall/src/verbenahall/routing/_gathering.py
+++ b/packages/verbenahall/src/verbenahall/routing/_gathering.py
@@ -1,13 +1,14 @@
-"""Gathers long prompts on some engines, so that they hold up few others.
+"""Restricts long prompts to a part of the engines.
 
-A long prompt stretches every step of the engine that prefills it, and each
-answer that streams there falls behind. Spread over all engines, a rush of
-them makes all streams late; gathered on the share of engines that their work
-needs, it leaves the others alone. That costs no role change and follows a
-swing within seconds.
+The prefill of a long prompt lengthens every step of its engine and delays all
+streams that decode there. A burst of long prompts over all engines delays all
+streams; sent to as many engines as their work needs, it leaves the others
+undisturbed. This needs no role change and follows a change of the mix within
+seconds.
 
-All instances order engines alike, so they gather on the same ones without a
-word between them. Each estimates the share from its own arrivals.
+All instances order the engines the same way, so they use the same ones for
+long prompts without exchanging messages. Each instance estimates the number of
+engines from the requests that it routes itself.
 """
 
 import functools
@@ -21,82 +22,98 @@
 from verbenahall.fleet import Role
 from verbenahall.routing._candidates import Candidate, RoutingState
 from verbenahall.routing._messages import Question
-from verbenahall.routing._mix import Mix
+from verbenahall.routing._mix import WorkloadMix
 
-#: Prompts from here on stretch a step beyond what a stream can bear.
+#: Prompts of at least this many tokens are long: their prefill delays a
+#: decode step by more than a stream tolerates.
 LONG_PROMPT_TOKENS: Final = 4000
-#: Prompt tokens that cost an engine about as much as one output token.
-_PREFILL_SPEED_UP: Final = 4
-#: Time constant of the estimate; a few long prompts must fall into it.
-_WINDOW_S: Final = 15.0
-#: The count grows early and shrinks late: an engine too few leaves long
-#: prompts waiting behind each other, one too many costs the rest a little.
-_GROW_SLACK: Final = 0.3
-_SHRINK_SLACK: Final = 0.9
-_ROUNDING: Final = 0.7
-#: In a smaller pool one engine is too large a part of it to set apart.
-_FEWEST_ENGINES: Final = 3
-#: Less long work than this part of one engine is not worth an engine.
-_LEAST_ENGINES: Final = 0.1
-_ORDERS_KEPT: Final = 8192
-_RANKS: Final = MappingProxyType(
+#: Prompt tokens that take an engine about as long as one output token.
+_PREFILL_TOKENS_PER_OUTPUT_TOKEN: Final = 4
+#: Time constant of the estimate in seconds; long enough for several long
+#: prompts to arrive within it.
+_TIME_CONSTANT_S: Final = 15.0
+#: The number of engines grows early and shrinks late: with one too few, long
+#: prompts queue behind each other, while one too many costs the other requests
+#: little. Differences from the target and offset are in engines.
+_GROW_THRESHOLD: Final = 0.3
+_SHRINK_THRESHOLD: Final = 0.9
+_ROUND_UP_OFFSET: Final = 0.7
+#: Smaller pools are not divided: one engine is too large a part of them.
+_MIN_POOL_SIZE: Final = 3
+#: Long prompts get an engine if their work exceeds this part of one engine.
+_MIN_LONG_PROMPT_ENGINES: Final = 0.1
+#: Cached hashes of endpoint names.
+_HASH_CACHE_SIZE: Final = 8192
+#: Engines that suit long prompts best come first.
+_ROLE_ORDER: Final = MappingProxyType(
     {Role.PREFILL: 0, Role.MIXED: 1, Role.DECODE: 2},
 )
 
 
-def gather(
+def filter_by_prompt_length(
     state: RoutingState,
     question: Question,
     pool: Sequence[Candidate],
     now: float,
 ) -> Sequence[Candidate]:
-    """Return the engines for a request of this length; never none.
+    """Return the engines for a request of this prompt length, at least one.
 
-    Plain services, whose calls have no tokens, are left as they are. In a pool
-    of which an instance sees only a subset, the common order makes the
-    gathered part of each subset a part of the same engines.
+    Calls of plain services have no tokens, so their pool is returned whole. If
+    ``pool`` is an instance's subset of a larger pool, the common order still
+    puts the same engines first in every subset.
     """
-    if not question.prompt_tokens or len(pool) < _FEWEST_ENGINES:
+    if not question.prompt_tokens or len(pool) < _MIN_POOL_SIZE:
         return pool
-    mix = state.mixes.setdefault(question.model, Mix())
+    mix = state.mixes.setdefault(question.model, WorkloadMix())
     is_long = question.prompt_tokens >= LONG_PROMPT_TOKENS
-    _note(mix, question, now, is_long=is_long)
-    _settle(mix, len(pool))
-    if not mix.gathered:
+    _record_arrival(mix, question, now, is_long=is_long)
+    _update_long_prompt_engines(mix, len(pool))
+    if not mix.long_prompt_engines:
         return pool
-    ordered = sorted(pool, key=_rank)
+    ordered = sorted(pool, key=_sort_key)
     if is_long:
-        return ordered[: mix.gathered]
-    return ordered[mix.gathered :]
+        return ordered[: mix.long_prompt_engines]
+    return ordered[mix.long_prompt_engines :]
 
 
-def _note(mix: Mix, question: Question, now: float, *, is_long: bool) -> None:
-    factor = math.exp((mix.updated - now) / _WINDOW_S)
-    mix.long *= factor
-    mix.rest *= factor
+def _record_arrival(
+    mix: WorkloadMix,
+    question: Question,
+    now: float,
+    *,
+    is_long: bool,
+) -> None:
+    factor = math.exp((mix.updated - now) / _TIME_CONSTANT_S)
+    mix.long_work *= factor
+    mix.other_work *= factor
     mix.updated = now
-    work = question.prompt_tokens / _PREFILL_SPEED_UP + question.output_tokens
+    work = (
+        question.prompt_tokens / _PREFILL_TOKENS_PER_OUTPUT_TOKEN
+        + question.output_tokens
+    )
     if is_long:
-        mix.long += work
+        mix.long_work += work
     else:
-        mix.rest += work
+        mix.other_work += work
 
 
-def _settle(mix: Mix, count: int) -> None:
-    """Move the gathered count when the wanted one has left it clearly."""
-    wanted = count * mix.long / (mix.long + mix.rest)
-    missing = wanted - mix.gathered
-    if missing > _GROW_SLACK or missing < -_SHRINK_SLACK:
-        mix.gathered = math.floor(wanted + _ROUNDING)
-    least = 1 if wanted > _LEAST_ENGINES else 0
-    mix.gathered = min(max(least, mix.gathered), count - 1)
+def _update_long_prompt_engines(mix: WorkloadMix, count: int) -> None:
+    """Adjust the number of engines if it is too far from its target."""
+    target = count * mix.long_work / (mix.long_work + mix.other_work)
+    shortfall = target - mix.long_prompt_engines
+    if shortfall > _GROW_THRESHOLD or shortfall < -_SHRINK_THRESHOLD:
+        mix.long_prompt_engines = math.floor(target + _ROUND_UP_OFFSET)
+    minimum = 1 if target > _MIN_LONG_PROMPT_ENGINES else 0
+    mix.long_prompt_engines = min(
+        max(minimum, mix.long_prompt_engines), count - 1
+    )
 
 
-def _rank(candidate: Candidate) -> tuple[int, int]:
+def _sort_key(candidate: Candidate) -> tuple[int, int]:
     name = candidate.endpoint.name
-    return _RANKS[candidate.role], _hash_name(name)
+    return _ROLE_ORDER[candidate.role], _hash_name(name)
 
 
-@functools.lru_cache(maxsize=_ORDERS_KEPT)
+@functools.lru_cache(maxsize=_HASH_CACHE_SIZE)
 def _hash_name(name: str) -> int:
     return xxhash.xxh64_intdigest(name.encode())
--- a/packages/verbenahall/src/verbenahall/routing/_messages.py
+++ b/packages/verbenahall/src/verbenahall/routing/_messages.py
@@ -1,18 +1,19 @@
-"""What routing is asked and what it answers."""
+"""The request and the result of an endpoint selection."""
 
 import dataclasses
 
 from verbenahall.fleet import Endpoint
-from verbenahall.load import Belief
+from verbenahall.load import LoadEstimate
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Question:
     """One attempt that needs an endpoint.
 
-    Token counts are estimates. ``prefix`` names the start of the prompt that
-    an engine may have cached (empty for none). ``excluded`` holds endpoints
-    that an earlier attempt of this request has failed at.
+    ``request`` is the request's identity. Token counts are estimates.
+    ``prefix`` identifies the beginning of the prompt that an engine may have
+    cached, empty for none. ``excluded`` holds the endpoints at which earlier
+    attempts of this request failed.
     """
 
     request: str
@@ -25,9 +26,13 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Choice:
-    """The endpoint chosen, the belief behind it and what lost to it."""
+    """The selected endpoint and why it was selected.
+
+    ``belief`` is its load estimate, ``over`` the names of the other candidates
+    that were compared, ``reason`` either ``load`` or ``prefix``.
+    """
 
     endpoint: Endpoint
-    belief: Belief
+    belief: LoadEstimate
     over: tuple[str, ...]
     reason: str
--- a/packages/verbenahall/src/verbenahall/routing/_mix.py
+++ b/packages/verbenahall/src/verbenahall/routing/_mix.py
@@ -1,18 +1,22 @@
-"""The recent mix of long prompts and other work of one model."""
+"""Recent work of one model, by prompt length."""
 
 import math
 from typing import final
 
 
 @final
-class Mix:
-    """Recent work of long prompts and of the rest, decaying with time."""
+class WorkloadMix:
+    """Recent work of long prompts and of other requests.
 
-    __slots__ = ('gathered', 'long', 'rest', 'updated')
+    Work is in output tokens and decays exponentially. ``long_prompt_engines``
+    is the number of engines that currently take the long prompts.
+    """
+
+    __slots__ = ('long_prompt_engines', 'long_work', 'other_work', 'updated')
 
     def __init__(self) -> None:
-        """Start with no work seen and nothing gathered."""
-        self.long: float = 0
-        self.rest: float = 0
+        """Start with no work and no engine for long prompts."""
+        self.long_work: float = 0
+        self.other_work: float = 0
         self.updated: float = -math.inf
-        self.gathered = 0
+        self.long_prompt_engines = 0
--- a/packages/verbenahall/tests/routing/test_decisions.py
+++ b/packages/verbenahall/tests/routing/test_decisions.py
@@ -1,4 +1,4 @@
-"""The choice against a naive router, and its hints."""
+"""Endpoint selection, its preferences and the load estimates behind it."""
 
 import random
 
@@ -11,12 +11,12 @@
 from verbenahall.load import (
     LoadState,
     Report,
-    believe,
+    compute_load_cost,
+    estimate_load,
     note_failed,
     note_finished,
     note_sent,
     observe_report,
-    weigh,
 )
 from verbenahall.routing import (
     Candidate,
@@ -50,10 +50,10 @@
     return RoutingState(instance, 'here', random.Random(seed))
 
 
-def pick(candidates, load, times=1, seed=1, **asked):
-    """Choose so often with nothing sent in between; return the names."""
+def pick(candidates, load, times=1, seed=1, **attributes):
+    """Select an endpoint several times without sending; return the names."""
     routing = make_routing(seed)
-    question = Question('r', **asked)
+    question = Question('r', **attributes)
     chosen = [
         choose(routing, question, candidates, load, 0).unwrap()
         for _ in range(times)
@@ -63,20 +63,22 @@
 
 @given(FLEETS, st.frozensets(NAMES), st.integers(0, 9))
 def test_choice_is_one_that_the_naive_router_allows(fleet, excluded, seed):
-    """The naive router scans all endpoints that are not excluded, those of
-    the own data centre first. Ours must choose among the same, and none just
-    when the naive one has none.
+    """The naive router allows all endpoints that are not excluded, and only
+    local ones if there are any. The selection must be one of these, and must
+    fail exactly when there are none.
     """
     load = LoadState()
     candidates = []
     for index, (data_centre, role, busy) in fleet.items():
         observe_report(load, f'e{index}', Report(busy, 0), 0)
         candidates.append(make_candidate(index, data_centre, role))
-    out = frozenset(f'e{number}' for number in excluded)
-    left = [row for row in candidates if row.endpoint.name not in out]
-    near = [row for row in left if row.endpoint.data_centre == 'here']
-    allowed = {row.endpoint.name for row in near or left}
-    question = Question('r', excluded=out)
+    excluded_names = frozenset(f'e{number}' for number in excluded)
+    remaining = [
+        row for row in candidates if row.endpoint.name not in excluded_names
+    ]
+    local = [row for row in remaining if row.endpoint.data_centre == 'here']
+    allowed = {row.endpoint.name for row in local or remaining}
+    question = Question('r', excluded=excluded_names)
     chosen = choose(make_routing(seed), question, candidates, load, 0)
     if allowed:
         assert chosen.unwrap().endpoint.name in allowed
@@ -86,42 +88,46 @@
 
 
 @given(st.lists(st.integers(0, 9), max_size=60), st.integers(0, 9))
-def test_own_work_counts_as_the_naive_tally(ends, seed):
-    """Requests start and end in any order, some told twice. The own work
-    believed must equal a plain tally, or endpoints look busy for ever.
+def test_local_work_equals_the_naive_tally(ends, seed):
+    """Requests start and end in any order, and each end is recorded twice.
+    The estimate of the instance's own work must equal a plain sum, or idle
+    endpoints would count as busy for ever.
     """
     load, tally = LoadState(), {}
     source = random.Random(seed)
     for number, end in enumerate(ends):
         note_sent(load, 'e', f'a{number}', 0.25 * end, 0)
         tally[f'a{number}'] = 0.25 * end
-        done = f'a{source.randrange(number + 1)}'
+        finished = f'a{source.randrange(number + 1)}'
         for _ in range(2):
-            note_finished(load, 'e', done, 0)
-        tally.pop(done, None)
-        assert weigh(load, 'e', 0) == pytest.approx(sum(tally.values()))
+            note_finished(load, 'e', finished, 0)
+        tally.pop(finished, None)
+        assert compute_load_cost(load, 'e', 0) == pytest.approx(
+            sum(tally.values())
+        )
         assert load.open == len(tally)
 
 
-def test_roles_are_hints_that_give_way_to_load():
-    """Long prompts go to the prefill engine. When it is loaded far beyond
-    the others, a caller must not wait there for the role's sake.
+def test_busy_engine_loses_its_role_preference():
+    """Long prompts go to the prefill engine, but not if its queue is far
+    longer than that of the others.
     """
     load = LoadState()
     candidates = [
         make_candidate(1, role=Role.PREFILL),
         make_candidate(2, role=Role.DECODE),
     ]
-    asked = {'prompt_tokens': 9000, 'output_tokens': 50}
-    assert set(pick(candidates, load, 50, **asked)) == {'e1'}
+    attributes = {'prompt_tokens': 9000, 'output_tokens': 50}
+    assert set(pick(candidates, load, 50, **attributes)) == {'e1'}
     for number in range(20):
         note_sent(load, 'e1', f'a{number}', 1, 0)
-    assert set(pick(candidates, load, 50, **asked)) == {'e2'}
+    assert set(pick(candidates, load, 50, **attributes)) == {'e2'}
 
 
-def test_prefix_gathers_on_one_engine_until_it_is_busy():
-    """Two instances get requests with one long prefix. Both send them to the
-    same engine, whose cache holds it, until its queue costs more than that.
+def test_prefix_stays_on_one_engine_until_it_is_busy():
+    """Two instances route requests with the same prefix. Both must use the
+    same engine, which has the prefix cached, until its queue costs more than
+    the cached prefix saves.
     """
     load = LoadState()
     candidates = [make_candidate(number) for number in range(8)]
@@ -135,8 +141,8 @@
 
 
 def test_failing_endpoint_does_not_draw_traffic():
-    """An endpoint fails at once, so its queue is always empty and it looks
-    the best. Chosen for that, it would fail most of the fleet's requests.
+    """An endpoint that fails every request immediately always has an empty
+    queue. Selected for that, it would fail most requests of the fleet.
     """
     load = LoadState()
     candidates = [make_candidate(number) for number in range(4)]
@@ -147,9 +153,9 @@
     assert 'e3' not in pick(candidates, load, 60)
 
 
-def test_endpoints_that_are_gone_are_forgotten():
-    """Engines are replaced all day. Those that are gone must not stay in
-    memory for ever, but one where work is open still counts it.
+def test_removed_endpoints_are_dropped():
+    """Engines are replaced throughout the day. Entries of removed endpoints
+    must be dropped, except while a request is still open there.
     """
     load = LoadState()
     for number in range(100):
@@ -162,23 +168,23 @@
     assert set(load.endpoints) == {'e0', 'e1'}
 
 
-def test_old_report_neither_draws_nor_repels():
-    """An engine's last report is a minute old. What it said is nearly
-    forgotten: the engine counts as loaded like the mean of the others.
+def test_old_report_counts_as_the_mean_load():
+    """A report that is a minute old has almost no weight: the engine's load
+    is estimated as the mean load of all engines.
     """
     load = LoadState()
     for number in range(9):
         observe_report(load, f'e{number}', Report(10, 0), 0)
     observe_report(load, 'e9', Report(500, 0), 0)
-    old = believe(load, 'e9', 60)
-    assert old.age_s == 60
-    assert old.load == pytest.approx(load.mean_others)
-    assert believe(load, 'e9', 0).load == 500
+    outdated = estimate_load(load, 'e9', 60)
+    assert outdated.age_s == 60
+    assert outdated.load == pytest.approx(load.mean_others)
+    assert estimate_load(load, 'e9', 0).load == 500
 
 
-def test_subsets_differ_and_stay_when_others_leave():
-    """Hundreds of instances must not watch the same few of a thousand
-    engines, and an engine that leaves must not move everybody's subset.
+def test_subsets_differ_and_are_stable_when_others_leave():
+    """The subsets of sixty instances must cover most of a thousand engines.
+    The removal of engines must change a subset only by those engines.
     """
     candidates = [make_candidate(number) for number in range(1000)]
     subsets = [set(take_subset(f'i{row}', candidates)) for row in range(60)]
