--- a/packages/verbenahall/tests/routing/test_balance.py
+++ b/packages/verbenahall/tests/routing/test_balance.py
@@ -1,7 +1,7 @@
-"""Nine instances and ten engines with old load reports, in virtual time.
+"""Simulates nine instances and ten engines with delayed load reports.
 
 Run with ``-s`` to see the table: lag, policy, and the p50, p95 and p99 of
-the wait for the first token in seconds.
+the wait for the first token, in seconds of virtual time.
 """
 
 import collections
@@ -28,12 +28,13 @@
 SERVICE_S = 1.0
 UTILISATION = 0.85
 POLL_S = 0.5
-LAST_S = 90.0
+ARRIVALS_END_S = 90.0
 WARM_UP_S = 20.0
 LAGS = (0, 0.5, 2, 5)
-#: Archives asked about, archives that an engine caches, cost of a miss.
-ARCHIVES = 60
-CACHED = 8
+#: Number of distinct prefixes, prefixes that an engine caches, and prefill
+#: time of a prefix that is not cached.
+PREFIXES = 60
+CACHE_SIZE = 8
 MISS_S = 0.4
 NAMES = tuple(f'engine-{number}' for number in range(ENGINES))
 CANDIDATES = tuple(
@@ -44,23 +45,25 @@
 
 class RoundRobin:
     def __init__(self, number, seed):
-        self.turn = itertools.count(random.Random(seed + number).randrange(10))
+        self.next_index = itertools.count(
+            random.Random(seed + number).randrange(10)
+        )
 
     def pick(self, request, now):
-        return NAMES[next(self.turn) % ENGINES]
+        return NAMES[next(self.next_index) % ENGINES]
 
-    def hear(self, name, report, now):
-        """Take no notice."""
+    def receive_report(self, name, report, now):
+        """Ignore the report."""
 
     def start(self, name, request, now):
-        """Take no notice."""
+        """Do nothing."""
 
     def end(self, name, request, now):
-        """Take no notice."""
+        """Do nothing."""
 
 
 class LeastReported(RoundRobin):
-    """Scan all, take the least report; the first of equals."""
+    """Selects the engine with the least reported load, the first of equals."""
 
     def __init__(self, number, seed):
         self.reports = dict.fromkeys(NAMES, 0)
@@ -68,12 +71,12 @@
     def pick(self, request, now):
         return min(NAMES, key=self.reports.__getitem__)
 
-    def hear(self, name, report, now):
+    def receive_report(self, name, report, now):
         self.reports[name] = report.running + report.queued
 
 
 class NaiveRouter(LeastReported):
-    """Scan all, sort by report and own work added up, take the first."""
+    """Selects the engine with the least sum of reported and own load."""
 
     def __init__(self, number, seed):
         super().__init__(number, seed)
@@ -90,7 +93,7 @@
         self.own[name] -= 1
 
 
-class Ours(RoundRobin):
+class SampledRouter(RoundRobin):
     def __init__(self, number, seed):
         source = random.Random(seed * 100 + number)
         self.routing = RoutingState(f'i{number}', 'here', source)
@@ -101,7 +104,7 @@
         chosen = choose(self.routing, question, CANDIDATES, self.load, now)
         return chosen.unwrap().endpoint.name
 
-    def hear(self, name, report, now):
+    def receive_report(self, name, report, now):
         observe_report(self.load, name, report, now)
 
     def start(self, name, request, now):
@@ -112,7 +115,7 @@
 
 
 class Model:
-    """Engines with slots and a queue; reports are ``lag`` seconds old."""
+    """Engines with slots and a queue; reports arrive ``lag`` seconds late."""
 
     def __init__(self, policy, lag, seed):
         self.source = random.Random(seed)
@@ -122,32 +125,36 @@
         self.queues = {name: collections.deque() for name in NAMES}
         self.waits = []
         self.events = []
-        self.order = itertools.count()
+        self.sequence = itertools.count()
 
     def run(self):
         rate = ENGINES * SLOTS / SERVICE_S * UTILISATION
-        self.at(0, self.arrive, rate)
+        self.schedule(0, self.arrive, rate)
         for number in range(INSTANCES):
-            self.at(self.source.uniform(0, POLL_S), self.poll, number)
+            self.schedule(self.source.uniform(0, POLL_S), self.poll, number)
         while self.events:
-            now, _, act, argument = heapq.heappop(self.events)
-            act(now, argument)
+            now, _, action, argument = heapq.heappop(self.events)
+            action(now, argument)
         waits = sorted(self.waits)
         return [waits[int(len(waits) * part)] for part in (0.5, 0.95, 0.99)]
 
-    def at(self, when, act, argument):
-        heapq.heappush(self.events, (when, next(self.order), act, argument))
+    def schedule(self, when, action, argument):
+        heapq.heappush(
+            self.events, (when, next(self.sequence), action, argument)
+        )
 
     def arrive(self, now, rate):
-        request = next(self.order)
+        request = next(self.sequence)
         number = self.source.randrange(INSTANCES)
         router = self.routers[number]
         name = router.pick(request, now)
         router.start(name, request, now)
         self.queues[name].append((now, number, request))
         self.admit(now, name)
-        if now < LAST_S:
-            self.at(now + self.source.expovariate(rate), self.arrive, rate)
+        if now < ARRIVALS_END_S:
+            self.schedule(
+                now + self.source.expovariate(rate), self.arrive, rate
+            )
 
     def admit(self, now, name):
         while self.queues[name] and self.running[name] < SLOTS:
@@ -156,7 +163,7 @@
                 self.waits.append(now - arrived)
             self.running[name] += 1
             ends = now + self.source.expovariate(1 / SERVICE_S)
-            self.at(ends, self.end, (name, number, request))
+            self.schedule(ends, self.end, (name, number, request))
 
     def end(self, now, ended):
         name, number, request = ended
@@ -167,88 +174,90 @@
     def poll(self, now, number):
         for name in NAMES:
             report = Report(self.running[name], len(self.queues[name]))
-            self.at(now + self.lag, self.hear, (number, name, report))
-        if now < LAST_S:
-            self.at(now + POLL_S, self.poll, number)
+            self.schedule(
+                now + self.lag, self.receive_report, (number, name, report)
+            )
+        if now < ARRIVALS_END_S:
+            self.schedule(now + POLL_S, self.poll, number)
 
-    def hear(self, now, heard):
-        number, name, report = heard
-        self.routers[number].hear(name, report, now)
+    def receive_report(self, now, delivery):
+        number, name, report = delivery
+        self.routers[number].receive_report(name, report, now)
 
 
 @pytest.mark.parametrize('lag', LAGS)
 def test_balance_under_lag(lag):
-    """Load reports arrive late, so all instances run to the engine that
-    looked empty, and callers wait behind each other there. Ours must not do
-    worse than turns without any reports, nor than the naive router.
+    """Late load reports make all instances send to the engine that last
+    reported an empty queue. The p99 wait must be no worse than that of round
+    robin, which uses no reports, and of the naive routers.
     """
     p99 = {}
-    for policy in (RoundRobin, LeastReported, NaiveRouter, Ours):
+    for policy in (RoundRobin, LeastReported, NaiveRouter, SampledRouter):
         waits = [Model(policy, lag, seed).run() for seed in (1, 2)]
         mean = [sum(row) / len(waits) for row in zip(*waits, strict=True)]
         p99[policy] = mean[-1]
-        shown = ' '.join(f'{wait:7.3f}' for wait in mean)
-        sys.stdout.write(f'lag {lag:3} s {policy.__name__:13} {shown}\n')
+        formatted = ' '.join(f'{wait:7.3f}' for wait in mean)
+        sys.stdout.write(f'lag {lag:3} s {policy.__name__:13} {formatted}\n')
     best_naive = min(p99[RoundRobin], p99[LeastReported], p99[NaiveRouter])
-    assert p99[Ours] <= best_naive * 1.05
+    assert p99[SampledRouter] <= best_naive * 1.05
 
 
-class Gathering(Ours):
-    """Ours with the prefix named in the question."""
+class PrefixRouter(SampledRouter):
+    """The sampled router with a prefix in each request."""
 
     def pick(self, request, now):
-        prefix = f'archive-{request % ARCHIVES}'
+        prefix = f'archive-{request % PREFIXES}'
         question = Question(str(request), prefix=prefix)
         chosen = choose(self.routing, question, CANDIDATES, self.load, now)
         return chosen.unwrap().endpoint.name
 
 
 class CachingModel(Model):
-    """Each engine caches few archives; one that is missing costs time."""
+    """Each engine caches few prefixes; a cache miss adds prefill time."""
 
     def __init__(self, policy, lag, seed):
         super().__init__(policy, lag, seed)
         self.caches = {name: collections.OrderedDict() for name in NAMES}
         self.hits = 0
-        self.asked = 0
+        self.lookups = 0
 
     def admit(self, now, name):
         while self.queues[name] and self.running[name] < SLOTS:
             arrived, number, request = self.queues[name].popleft()
-            prefill_s = self.read_archive(name, request % ARCHIVES)
+            prefill_s = self.prefill_prefix(name, request % PREFIXES)
             if arrived > WARM_UP_S:
                 self.waits.append(now + prefill_s - arrived)
             self.running[name] += 1
             decode_s = self.source.expovariate(1 / (SERVICE_S - MISS_S))
             ends = now + prefill_s + decode_s
-            self.at(ends, self.end, (name, number, request))
+            self.schedule(ends, self.end, (name, number, request))
 
-    def read_archive(self, name, archive):
+    def prefill_prefix(self, name, prefix):
         cache = self.caches[name]
-        self.asked += 1
-        if archive in cache:
-            cache.move_to_end(archive)
+        self.lookups += 1
+        if prefix in cache:
+            cache.move_to_end(prefix)
             self.hits += 1
             return MISS_S / 10
-        cache[archive] = True
-        if len(cache) > CACHED:
+        cache[prefix] = True
+        if len(cache) > CACHE_SIZE:
             cache.popitem(last=False)
         return MISS_S
 
 
 def test_gathering_prefixes_pays_without_costing_the_slowest():
-    """Sixty archives are asked about and an engine caches eight. Spread
-    evenly, nearly every request reads its archive anew; gathered by prefix,
-    most find it cached, and the busiest engine makes nobody wait longer.
+    """Requests use sixty prefixes and an engine caches eight. Without prefix
+    affinity nearly every request prefills its prefix again. With it, the hit
+    rate must more than double and the p99 wait must not grow.
     """
-    seen = {}
-    for policy in (Ours, Gathering):
+    results = {}
+    for policy in (SampledRouter, PrefixRouter):
         model = CachingModel(policy, 0.5, 1)
         _, p95, p99 = model.run()
-        share = model.hits / model.asked
-        seen[policy] = (share, p99)
+        share = model.hits / model.lookups
+        results[policy] = (share, p99)
         sys.stdout.write(
             f'{policy.__name__:9} hits {share:.2f} {p95:.3f} {p99:.3f}\n',
         )
-    assert seen[Gathering][0] > 2 * seen[Ours][0]
-    assert seen[Gathering][1] <= seen[Ours][1]
+    assert results[PrefixRouter][0] > 2 * results[SampledRouter][0]
+    assert results[PrefixRouter][1] <= results[SampledRouter][1]
