--- a/packages/verbenahall/tests/routing/test_gathering.py
+++ b/packages/verbenahall/tests/routing/test_gathering.py
@@ -1,4 +1,4 @@
-"""Long prompts gathered on a part of the engines."""
+"""Long prompts are restricted to a part of the engines."""
 
 import random
 
@@ -32,7 +32,7 @@
 
 
 def choose_all(questions, pool, seed=1):
-    """Yield each request's kind and the engine that took it."""
+    """Yield the ``request`` of each question and the engine selected."""
     state = build_state(seed)
     load = LoadState()
     for number, question in enumerate(questions):
@@ -41,32 +41,32 @@
 
 
 def test_rush_of_long_prompts_leaves_engines_to_streams():
-    """An archive rush runs beside blurbs that stream.
+    """A burst of long prompts arrives together with short streams.
 
-    Spread over all engines, the archives hold up every blurb and each comes
-    late; some engines must stay free of them.
+    Long prompts on all engines would delay every stream, so some engines must
+    get none of them.
     """
     taken = list(choose_all(repeat(200, LONG, SHORT), build_pool(6)))
     settled = taken[len(taken) // 2 :]
-    long = {name for kind, name in settled if kind == LONG.request}
-    short = {name for kind, name in settled if kind == SHORT.request}
-    assert long
-    assert short
-    assert not long & short
+    long_engines = {name for kind, name in settled if kind == LONG.request}
+    short_engines = {name for kind, name in settled if kind == SHORT.request}
+    assert long_engines
+    assert short_engines
+    assert not long_engines & short_engines
 
 
 def test_instances_gather_on_the_same_engines():
-    """Each instance sees its own arrivals and asks no other.
+    """Each instance estimates the mix from its own requests only.
 
-    If they gathered on different engines, every engine would get archives
-    from one of them, and no blurb would be on time.
+    If instances used different engines for long prompts, every engine would
+    get some, and all streams would be delayed.
     """
     questions = [*repeat(60, SHORT), LONG]
-    several = [*questions, *questions, *questions]
-    last = [
-        list(choose_all(several, build_pool(6), seed))[-1] for seed in range(9)
+    repeated = [*questions, *questions, *questions]
+    last_choices = [
+        list(choose_all(repeated, build_pool(6), seed))[-1] for seed in range(9)
     ]
-    assert len(set(last)) <= 2
+    assert len(set(last_choices)) <= 2
 
 
 @given(
@@ -77,7 +77,7 @@
     st.integers(1, 30),
 )
 def test_every_request_finds_an_engine(sizes, count):
-    """Against the naive rule: any live candidate may take any request."""
+    """No combination of prompt lengths may leave a request without engine."""
     pool = build_pool(count)
     state = build_state(1)
     load = LoadState()
@@ -89,13 +89,13 @@
 
 
 def test_long_prompts_alone_use_nearly_all_engines():
-    """Only archives arrive; they must not wait for a few engines."""
+    """If only long prompts arrive, they must not queue for a few engines."""
     taken = set(choose_all(repeat(400, LONG), build_pool(6)))
     assert len(taken) >= 5
 
 
 def test_after_a_pause_the_rest_gets_its_engines_back():
-    """A rush ends; blurbs must not stay shut out of the rush's engines."""
+    """After a burst of long prompts, short ones must get all engines."""
     taken = list(
         choose_all([*repeat(200, LONG), *repeat(2000, SHORT)], build_pool(6))
     )
