--- a/packages/verbenahall/src/verbenahall/roles/__init__.py
+++ b/packages/verbenahall/src/verbenahall/roles/__init__.py
@@ -1,4 +1,4 @@
-"""Roles of engines: how many prefill, decode and mixed engines a mix wants."""
+"""Plans how many engines of a pool prefill, decode or do both."""
 
 from verbenahall.roles._demand import DemandState, note_arrival, read_demand
 from verbenahall.roles._messages import (
@@ -11,7 +11,7 @@
 )
 from verbenahall.roles._planner import PlannerState, decide
 from verbenahall.roles._shell import DEFAULT_PROFILE, RolePlanner
-from verbenahall.roles._served import served_share
+from verbenahall.roles._served import compute_served_share
 
 __all__ = (
     'DEFAULT_PROFILE',
@@ -24,8 +24,8 @@
     'PlannerState',
     'Profile',
     'RolePlanner',
+    'compute_served_share',
     'decide',
     'note_arrival',
     'read_demand',
-    'served_share',
 )
--- a/packages/verbenahall/src/verbenahall/roles/_planner.py
+++ b/packages/verbenahall/src/verbenahall/roles/_planner.py
@@ -1,10 +1,11 @@
-"""When roles change: once the loss of staying has paid for the change.
-
-Nobody knows how long a new mix will stay. The planner adds up what the
-present roles lose against the best ones (the regret, in engine-seconds) and
-changes when that reaches the cost of the change: a swing that ends sooner
-changes nothing, one that stays costs at most twice what perfect knowledge
-would have (the rent-or-buy argument).
+"""Decides when engines change roles.
+
+It is unknown how long a new mix of requests will last. The planner therefore
+accumulates the regret: the useful work, in engine-seconds, that the current
+roles have lost compared with the best ones. Roles change when the regret
+reaches the cost of the change. A shift of demand that ends earlier causes no
+change, and one that lasts costs at most twice as much as if its duration had
+been known (ski rental problem).
 """
 
 import collections
@@ -21,25 +22,29 @@
     Plan,
     Profile,
 )
-from verbenahall.roles._served import engines_wanted, served_share
+from verbenahall.roles._served import (
+    compute_engines_needed,
+    compute_served_share,
+)
 
-#: Engines are planned to be busy for this share of their time at most.
+#: Maximum planned utilisation of the engines.
 _UTILISATION: Final = 0.85
-#: Regret halves in this time while the present roles are the best.
+#: Half-life of the regret in seconds while the current roles are the best.
 _REGRET_HALF_LIFE_S: Final = 15.0
-#: Longest step over which regret is added: a planner that was paused must
-#: not take the pause for observed loss.
-_LONGEST_STEP_S: Final = 2.0
-#: A demand older than this says nothing about the present mix.
-_OLDEST_DEMAND_S: Final = 20.0
-#: At most one engine in this many changes in one decision.
+#: Maximum time in seconds for which one step adds regret, so that a pause of
+#: the process adds none for demand that was not observed.
+_MAX_STEP_S: Final = 2.0
+#: Maximum age of a demand in seconds; an older one is ignored.
+_MAX_DEMAND_AGE_S: Final = 20.0
+#: One decision changes at most one engine in this many.
 _CHANGE_FRACTION: Final = 4
-#: Work is compared to this many digits, so that rounding moves no engine.
+#: Decimal places to which useful work is compared, so that rounding errors
+#: cause no role change.
 _WORK_DIGITS: Final = 6
 
 
 class PlannerState:
-    """One pool's regret so far."""
+    """The accumulated regret of one pool, in engine-seconds."""
 
     __slots__ = ('regret', 'updated')
 
@@ -51,30 +56,35 @@
 
 def decide(
     state: PlannerState,
-    seen: Observation,
+    observation: Observation,
     profile: Profile,
     now: float,
 ) -> Plan:
-    """Return the roles wanted from now on; mostly the present ones."""
-    present = count_roles(seen)
-    step_s = min(now - state.updated, _LONGEST_STEP_S)
+    """Return the target roles, and add the regret of the last step.
+
+    They are the current roles unless the regret has reached the cost.
+    """
+    current = count_roles(observation)
+    elapsed_s = min(now - state.updated, _MAX_STEP_S)
     state.updated = now
-    if seen.demand.age_s > _OLDEST_DEMAND_S:
+    if observation.demand.age_s > _MAX_DEMAND_AGE_S:
         state.regret = 0
-        return _stay(seen, state, 'no recent demand')
-    best = find_best(present, seen, profile)
-    best_work = _useful_work(best, seen, profile)
-    loss = best_work - _useful_work(present, seen, profile)
-    _add_regret(state, loss, step_s)
-    cost = _cost(present, best, seen, profile)
-    if best == present:
-        return _stay(seen, state, 'present roles are the best')
+        return _keep_roles(observation, state, 'no recent demand')
+    best = find_best(current, observation, profile)
+    best_work = _compute_useful_work(best, observation, profile)
+    shortfall = best_work - _compute_useful_work(current, observation, profile)
+    _add_regret(state, shortfall, elapsed_s)
+    cost = _compute_change_cost(current, best, observation, profile)
+    if best == current:
+        return _keep_roles(observation, state, 'the current roles are the best')
     if state.regret < cost:
-        return _stay(seen, state, 'loss has not paid for the change', cost)
+        return _keep_roles(
+            observation, state, 'the regret is below the cost', cost
+        )
     plan = Plan(
-        roles=_assign(seen, best),
-        changes=present.changes_to(best),
-        reason=f'demand wants {best}',
+        roles=_assign_roles(observation, best),
+        changes=current.changes_to(best),
+        reason=f'the best roles for the demand are {best}',
         regret=state.regret,
         cost=cost,
     )
@@ -82,9 +92,9 @@
     return plan
 
 
-def count_roles(seen: Observation) -> Counts:
+def count_roles(observation: Observation) -> Counts:
     """Count the pool's engines by role."""
-    roles = collections.Counter(engine.role for engine in seen.engines)
+    roles = collections.Counter(engine.role for engine in observation.engines)
     return Counts(
         prefill=roles[Role.PREFILL],
         decode=roles[Role.DECODE],
@@ -92,33 +102,43 @@
     )
 
 
-def find_best(present: Counts, seen: Observation, profile: Profile) -> Counts:
-    """Return the counts within reach with most useful work per change."""
+def find_best(
+    current: Counts, observation: Observation, profile: Profile
+) -> Counts:
+    """Return the reachable counts with the most useful work.
+
+    Of equal ones, the counts with the fewest changes are returned.
+    """
     return max(
-        _reachable(present, seen.floor),
+        _list_reachable(current, observation.floor),
         key=lambda counts: (
-            round(_useful_work(counts, seen, profile), _WORK_DIGITS),
-            -present.changes_to(counts),
+            round(
+                _compute_useful_work(counts, observation, profile), _WORK_DIGITS
+            ),
+            -current.changes_to(counts),
         ),
     )
 
 
-def _reachable(present: Counts, floor: int) -> Iterator[Counts]:
-    """Yield every counts that a bounded number of changes leads to."""
-    reach = math.ceil(present.total / _CHANGE_FRACTION)
-    steps = range(-reach, reach + 1)
-    for more_prefill, more_decode in itertools.product(steps, steps):
+def _list_reachable(current: Counts, floor: int) -> Iterator[Counts]:
+    """Yield all allowed counts within the maximum number of changes."""
+    max_changes = math.ceil(current.total / _CHANGE_FRACTION)
+    steps = range(-max_changes, max_changes + 1)
+    for prefill_change, decode_change in itertools.product(steps, steps):
         counts = Counts(
-            present.prefill + more_prefill,
-            present.decode + more_decode,
-            present.mixed - more_prefill - more_decode,
+            current.prefill + prefill_change,
+            current.decode + decode_change,
+            current.mixed - prefill_change - decode_change,
         )
-        if _is_allowed(counts, floor) and present.changes_to(counts) <= reach:
+        if (
+            _is_allowed(counts, floor)
+            and current.changes_to(counts) <= max_changes
+        ):
             yield counts
 
 
 def _is_allowed(counts: Counts, floor: int) -> bool:
-    """Keep a floor able to decode, and someone able to prefill."""
+    """Whether enough engines can decode and at least one can prefill."""
     if min(counts.prefill, counts.decode, counts.mixed) < 0:
         return False
     able_to_prefill = counts.prefill + counts.mixed
@@ -126,64 +146,72 @@
     return able_to_decode >= min(floor, counts.total) and able_to_prefill > 0
 
 
-def _useful_work(counts: Counts, seen: Observation, profile: Profile) -> float:
-    """Return served work in engines, with a full share worth all of it."""
-    share = served_share(counts, seen.demand, profile) * _UTILISATION
-    return min(1, share) * engines_wanted(seen.demand, profile)
+def _compute_useful_work(
+    counts: Counts, observation: Observation, profile: Profile
+) -> float:
+    """Return the demand that is served, in engines."""
+    share = (
+        compute_served_share(counts, observation.demand, profile) * _UTILISATION
+    )
+    return min(1, share) * compute_engines_needed(observation.demand, profile)
 
 
-def _add_regret(state: PlannerState, loss: float, step_s: float) -> None:
-    decay = math.exp(-step_s * math.log(2) / _REGRET_HALF_LIFE_S)
-    if loss > 0:
-        state.regret += loss * step_s
+def _add_regret(
+    state: PlannerState, shortfall: float, elapsed_s: float
+) -> None:
+    decay = math.exp(-elapsed_s * math.log(2) / _REGRET_HALF_LIFE_S)
+    if shortfall > 0:
+        state.regret += shortfall * elapsed_s
     else:
         state.regret *= decay
 
 
-def _cost(
-    present: Counts,
+def _compute_change_cost(
+    current: Counts,
     best: Counts,
-    seen: Observation,
+    observation: Observation,
     profile: Profile,
 ) -> float:
-    """Return the engine-seconds that the change takes, as weighted.
+    """Return the weighted engine-seconds that the role changes cost.
 
-    A swing ends, and then the engines change back, so each change is paid
-    for twice.
+    Each change counts twice: when the shift of demand ends, the engines
+    change back.
     """
-    weight = seen.change_weight / seen.goodput_weight
-    return 2 * present.changes_to(best) * profile.change_s * weight
+    weight = observation.change_weight / observation.goodput_weight
+    return 2 * current.changes_to(best) * profile.change_s * weight
 
 
-def _stay(
-    seen: Observation,
+def _keep_roles(
+    observation: Observation,
     state: PlannerState,
     reason: str,
     cost: float = 0,
 ) -> Plan:
-    roles = {engine.name: engine.role for engine in seen.engines}
+    roles = {engine.name: engine.role for engine in observation.engines}
     return Plan(roles, 0, reason, state.regret, cost)
 
 
-def _assign(seen: Observation, wanted: Counts) -> dict[str, Role]:
-    """Give each engine a role, changing the least busy ones."""
-    room = {
-        Role.PREFILL: wanted.prefill,
-        Role.DECODE: wanted.decode,
-        Role.MIXED: wanted.mixed,
+def _assign_roles(observation: Observation, target: Counts) -> dict[str, Role]:
+    """Return a role for each engine; the least busy engines change."""
+    vacancies = {
+        Role.PREFILL: target.prefill,
+        Role.DECODE: target.decode,
+        Role.MIXED: target.mixed,
     }
     roles: dict[str, Role] = {}
-    moving: list[str] = []
-    for engine in sorted(seen.engines, key=_busiest_first):
-        if room[engine.role] > 0:
-            room[engine.role] -= 1
+    reassigned: list[str] = []
+    for engine in sorted(observation.engines, key=_sort_key):
+        if vacancies[engine.role] > 0:
+            vacancies[engine.role] -= 1
             roles[engine.name] = engine.role
         else:
-            moving.append(engine.name)
-    free = (role for role, count in room.items() for _ in range(count))
-    roles.update(zip(moving, free, strict=True))
+            reassigned.append(engine.name)
+    vacant_roles = (
+        role for role, count in vacancies.items() for _ in range(count)
+    )
+    roles.update(zip(reassigned, vacant_roles, strict=True))
     return roles
 
 
-def _busiest_first(engine: EngineNow) -> tuple[int, str]:
+def _sort_key(engine: EngineNow) -> tuple[int, str]:
     return -engine.running, engine.name
--- a/packages/verbenahall/src/verbenahall/roles/_served.py
+++ b/packages/verbenahall/src/verbenahall/roles/_served.py
@@ -1,21 +1,24 @@
-"""How much of a demand a set of roles can serve."""
+"""Capacity of a pool with given roles, relative to a demand."""
 
 from verbenahall.roles._messages import Counts, Demand, Profile
 
-#: Demand below this many engines counts as none.
-_NOTHING = 1e-9
+#: Smaller demands, in engines, count as zero.
+_MIN_DEMAND_ENGINES = 1e-9
 
 
-def served_share(counts: Counts, demand: Demand, profile: Profile) -> float:
+def compute_served_share(
+    counts: Counts, demand: Demand, profile: Profile
+) -> float:
     """Return the largest multiple of the demand that the roles can serve.
 
-    A mixed engine prefills and decodes at a share of the dedicated rates
-    (``mixed_prefill``, ``mixed_decode``). With demand of ``p`` and ``d``
-    engines, a multiple ``f`` is served when what the dedicated engines lack,
-    in mixed engines' time, is at most ``mixed``: ``max(0, (f*p - prefill) /
-    mixed_prefill) + max(0, (f*d - decode) / mixed_decode) <= mixed``. That
-    sum is the largest of its parts, which gives three bounds on ``f``; the
-    least of them is the answer. Above 1 there is headroom.
+    A result above 1 means headroom. A mixed engine prefills and decodes at a
+    fraction of the dedicated rates (``mixed_prefill``, ``mixed_decode``). Let
+    the demand be ``p`` engines of prefill and ``d`` of decode. A multiple
+    ``f`` can be served if the work beyond the dedicated engines fits into the
+    mixed ones: ``max(0, (f*p - prefill) / mixed_prefill) + max(0, (f*d -
+    decode) / mixed_decode) <= mixed``. As ``max(0, a) + max(0, b)`` is the
+    largest of ``0``, ``a``, ``b`` and ``a + b``, this gives three upper bounds
+    on ``f``. The result is the lowest of them.
     """
     prefill = demand.prefill_tokens_s / profile.prefill_tokens_s
     decode = demand.decode_tokens_s / profile.decode_tokens_s
@@ -33,13 +36,13 @@
     )
 
 
-def engines_wanted(demand: Demand, profile: Profile) -> float:
-    """Return the demand in engines working at their full rate."""
+def compute_engines_needed(demand: Demand, profile: Profile) -> float:
+    """Return the demand in engines at their full rate."""
     return (
         demand.prefill_tokens_s / profile.prefill_tokens_s
         + demand.decode_tokens_s / profile.decode_tokens_s
     )
 
 
-def _divide(capacity: float, wanted: float) -> float:
-    return float('inf') if wanted < _NOTHING else capacity / wanted
+def _divide(capacity: float, needed: float) -> float:
+    return float('inf') if needed < _MIN_DEMAND_ENGINES else capacity / needed
--- a/packages/verbenahall/tests/roles/test_planner.py
+++ b/packages/verbenahall/tests/roles/test_planner.py
@@ -1,4 +1,4 @@
-"""The planner of roles against a naive one that tries everything."""
+"""The role planner, compared with an exhaustive search."""
 
 import itertools
 from types import SimpleNamespace
@@ -17,7 +17,7 @@
     Profile,
     RolePlanner,
     decide,
-    served_share,
+    compute_served_share,
 )
 
 PROFILE = Profile(
@@ -35,34 +35,34 @@
 demands = st.builds(Demand, st.floats(1, 20000), st.floats(1, 2000))
 
 
-def make_pool(*roles, demand, **weights):
-    """Build an observation of engines in the given roles."""
+def make_observation(*roles, demand, **weights):
+    """Return an observation of engines in the given roles."""
     engines = tuple(
         EngineNow(f'engine-{index}', role) for index, role in enumerate(roles)
     )
     return Observation('pool', demand, engines, **weights)
 
 
-def serve_naively(present, demand):
-    """Try many splits of the mixed engines and keep the best multiple."""
+def search_served_share(current, demand):
+    """Try many splits of the mixed engines and return the best multiple."""
     prefill = demand.prefill_tokens_s / PROFILE.prefill_tokens_s
     decode = demand.decode_tokens_s / PROFILE.decode_tokens_s
-    prefilling = present.mixed * PROFILE.mixed_prefill
-    decoding = present.mixed * PROFILE.mixed_decode
+    prefilling = current.mixed * PROFILE.mixed_prefill
+    decoding = current.mixed * PROFILE.mixed_decode
     return max(
         min(
-            (present.prefill + prefilling * step / 2000) / prefill,
-            (present.decode + decoding * (2000 - step) / 2000) / decode,
+            (current.prefill + prefilling * step / 2000) / prefill,
+            (current.decode + decoding * (2000 - step) / 2000) / decode,
         )
         for step in range(2001)
     )
 
 
 @given(counts, demands)
-def test_closed_form_equals_trying_every_split(present, demand):
-    """The bound is exact, so no plan is taken on a wrong capacity."""
-    exact = served_share(present, demand, PROFILE)
-    naive = serve_naively(present, demand)
+def test_served_share_equals_the_best_split(current, demand):
+    """A wrong capacity would lead to wrong plans."""
+    exact = compute_served_share(current, demand, PROFILE)
+    naive = search_served_share(current, demand)
 
     assert naive <= exact * (1 + 1e-9)
     assert naive == pytest.approx(exact, rel=0.02, abs=0.01)
@@ -73,56 +73,60 @@
     demands,
     st.integers(1, 400),
 )
-def test_plan_keeps_every_engine_and_both_abilities(roles, demand, ticks):
-    """Whatever the mix, some engine can prefill and some can decode."""
-    seen = make_pool(*roles, demand=demand)
+def test_plan_keeps_every_engine_and_both_functions(roles, demand, ticks):
+    """For any demand, some engine can prefill and some can decode."""
+    observation = make_observation(*roles, demand=demand)
     state = PlannerState(0)
     for tick in range(ticks):
-        plan = decide(state, seen, PROFILE, tick)
+        plan = decide(state, observation, PROFILE, tick)
 
-    assert plan.roles.keys() == {engine.name for engine in seen.engines}
+    assert plan.roles.keys() == {engine.name for engine in observation.engines}
     if plan.changes:
         wanted = set(plan.roles.values())
         assert wanted & {Role.PREFILL, Role.MIXED}
         assert wanted & {Role.DECODE, Role.MIXED}
 
 
-def run_swing(change_weight, stay_s):
-    """Count the changes while decode demand doubles for ``stay_s`` seconds."""
-    calm = Demand(1000, 100)
-    rush = Demand(500, 380)
+def run_burst(change_weight, duration_s):
+    """Count the changes in a burst of decode demand of ``duration_s``."""
+    baseline = Demand(1000, 100)
+    burst = Demand(500, 380)
     state = PlannerState(0)
     roles = [Role.PREFILL, Role.PREFILL, Role.DECODE, Role.DECODE]
     changes = 0
-    for tick in range(stay_s + 30):
-        demand = rush if tick < stay_s else calm
-        seen = make_pool(*roles, demand=demand, change_weight=change_weight)
-        plan = decide(state, seen, PROFILE, tick)
+    for tick in range(duration_s + 30):
+        demand = burst if tick < duration_s else baseline
+        observation = make_observation(
+            *roles, demand=demand, change_weight=change_weight
+        )
+        plan = decide(state, observation, PROFILE, tick)
         changes += plan.changes
-        roles = [plan.roles[engine.name] for engine in seen.engines]
+        roles = [plan.roles[engine.name] for engine in observation.engines]
     return changes
 
 
 @pytest.mark.parametrize(
-    ('change_weight', 'stay_s', 'changes'),
+    ('change_weight', 'duration_s', 'changes'),
     [(1, 1, False), (1, 60, True), (50, 20, False)],
 )
-def test_change_waits_until_the_loss_has_paid(change_weight, stay_s, changes):
-    """A short rush must not take an engine away for seconds.
+def test_roles_change_only_when_the_regret_exceeds_the_cost(
+    change_weight, duration_s, changes
+):
+    """A short burst must not make an engine unavailable for seconds.
 
-    A reactive planner would change at the first second of the rush and back
-    again after it; crews at locked gates wait through both changes.
+    A planner that reacts at once would change roles at the first second of
+    the burst and back after it, and requests would wait during both changes.
     """
-    assert bool(run_swing(change_weight, stay_s)) is changes
+    assert bool(run_burst(change_weight, duration_s)) is changes
 
 
-def test_pause_of_the_planner_is_not_taken_for_loss():
-    """The process is frozen for a minute in the middle of a rush.
+def test_pause_of_the_planner_adds_no_regret():
+    """The process is paused for a minute during a burst.
 
-    On waking, the whole minute would look like observed loss and roles would
-    change on the spot, though the rush may be over.
+    If the whole minute counted as regret, roles would change as soon as the
+    process resumes, although the burst may be over.
     """
-    seen = make_pool(
+    observation = make_observation(
         Role.PREFILL,
         Role.PREFILL,
         Role.DECODE,
@@ -130,23 +134,25 @@
         demand=Demand(500, 380),
     )
     state = PlannerState(0)
-    decide(state, seen, PROFILE, 1)
+    decide(state, observation, PROFILE, 1)
 
-    assert decide(state, seen, PROFILE, 61).changes == 0
+    assert decide(state, observation, PROFILE, 61).changes == 0
 
 
 def test_stale_demand_changes_nothing():
-    """No request has come for long, so the mix is unknown."""
-    seen = make_pool(Role.PREFILL, Role.DECODE, demand=Demand(10, 900, 60))
+    """Without recent requests the mix is unknown, so no role changes."""
+    observation = make_observation(
+        Role.PREFILL, Role.DECODE, demand=Demand(10, 900, 60)
+    )
     state = PlannerState(0)
 
     assert not any(
-        decide(state, seen, PROFILE, tick).changes for tick in range(200)
+        decide(state, observation, PROFILE, tick).changes for tick in range(200)
     )
 
 
 class FakePools:
-    """One automatic pool of four engines; ``leading`` is switched by tests."""
+    """One automatic pool of four engines; tests set ``leading``."""
 
     def __init__(self):
         self.leading = True
@@ -175,26 +181,26 @@
 
 
 def run_planner(pools, seconds):
-    """Send decode-heavy arrivals for some seconds; return the wishes."""
+    """Record decode-heavy arrivals and return the target roles of each step."""
     now = itertools.count()
     planner = RolePlanner(pools, PROFILE, clock=lambda: next(now) / 10)
-    wishes = []
+    targets = []
     for _ in range(seconds):
         planner.note_arrival('drafter', 10, 300)
         planner.plan()
-        wishes.append(dict(planner.roles))
-    return wishes
+        targets.append(dict(planner.roles))
+    return targets
 
 
 def test_only_the_lease_holder_plans():
-    """Two instances of a data centre see different halves of the callers.
+    """Two instances of a data centre receive different halves of the requests.
 
-    If both planned, engines would be sent to and fro between their views.
+    If both planned, engines would change back and forth between their plans.
     """
     pools = FakePools()
     assert any(
-        Role.DECODE in wish.values() or Role.MIXED in wish.values()
-        for wish in run_planner(pools, 200)
+        Role.DECODE in target.values() or Role.MIXED in target.values()
+        for target in run_planner(pools, 200)
     )
 
     pools.leading = False
