--- a/packages/verbenahall/src/verbenahall/roles/_demand.py
+++ b/packages/verbenahall/src/verbenahall/roles/_demand.py
@@ -1,17 +1,17 @@
-"""Arriving prefill and decode work, as exponentially decaying rates."""
+"""Estimates the rates at which prefill and decode work arrives."""
 
 import math
 from typing import Final
 
 from verbenahall.roles._messages import Demand
 
-#: Time constant of the estimate. Shorter follows noise, longer misses the
-#: start of a swing; docs/design/roles.md has the measurement.
-_WINDOW_S: Final = 8.0
+#: Time constant of the estimate in seconds. A shorter one follows noise, a
+#: longer one reacts too late to a change; see docs/design/roles.md.
+_TIME_CONSTANT_S: Final = 8.0
 
 
 class DemandState:
-    """One pool's arrivals; tokens decay with the window's time constant."""
+    """Exponentially decaying token counts of arriving requests."""
 
     __slots__ = ('prefill', 'decode', 'updated', 'arrived')
 
@@ -29,7 +29,7 @@
     output_tokens: int,
     now: float,
 ) -> None:
-    """Count one arriving request by its prompt and expected output."""
+    """Add the prompt and the expected output of an arriving request."""
     _decay(state, now)
     state.prefill += prompt_tokens
     state.decode += output_tokens
@@ -37,13 +37,13 @@
 
 
 def read_demand(state: DemandState, now: float, share: float = 1) -> Demand:
-    """Return the demand of the whole pool.
+    """Return the estimated demand in the whole data centre.
 
-    An instance sees only its ``share`` of the data centre's callers, since
-    the balancer in front spreads them; the estimate is scaled up by it.
+    The load balancer in front spreads the callers over all instances, so this
+    instance receives only a ``share`` of them. The estimate is divided by it.
     """
     _decay(state, now)
-    scale = 1 / (_WINDOW_S * share)
+    scale = 1 / (_TIME_CONSTANT_S * share)
     return Demand(
         prefill_tokens_s=state.prefill * scale,
         decode_tokens_s=state.decode * scale,
@@ -52,7 +52,7 @@
 
 
 def _decay(state: DemandState, now: float) -> None:
-    factor = math.exp((state.updated - now) / _WINDOW_S)
+    factor = math.exp((state.updated - now) / _TIME_CONSTANT_S)
     state.prefill *= factor
     state.decode *= factor
     state.updated = now
