--- a/packages/verbenahall/src/verbenahall/roles/_messages.py
+++ b/packages/verbenahall/src/verbenahall/roles/_messages.py
@@ -1,4 +1,4 @@
-"""What the planner of roles is told, and what it answers."""
+"""Inputs and results of the role planner."""
 
 import dataclasses
 from collections.abc import Mapping
@@ -8,12 +8,12 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Profile:
-    """What one engine can do, in tokens a second at a full batch.
+    """The throughput of one engine in tokens per second at a full batch.
 
-    ``mixed_prefill`` and ``mixed_decode`` are the shares of these rates at
-    which a mixed engine does the one or the other. ``change_s`` is how long a
-    role change takes the engine away, with the time that it needs to run
-    empty before.
+    ``mixed_prefill`` and ``mixed_decode`` are the fractions of these rates
+    that a mixed engine reaches when it does only prefill or only decode.
+    ``change_s`` is how long a role change makes the engine unavailable,
+    including the time to drain it.
     """
 
     prefill_tokens_s: float
@@ -25,7 +25,10 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Demand:
-    """Arriving work in tokens a second; ``age_s`` since the last arrival."""
+    """Arriving work in tokens per second.
+
+    ``age_s`` is the time since the last arrival.
+    """
 
     prefill_tokens_s: float
     decode_tokens_s: float
@@ -34,7 +37,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class EngineNow:
-    """One live engine of the pool: its role and how many requests it runs."""
+    """A live engine of the pool, its role and its running requests."""
 
     name: str
     role: Role
@@ -43,7 +46,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Counts:
-    """Engines in each role."""
+    """The number of engines in each role."""
 
     prefill: int
     decode: int
@@ -51,11 +54,14 @@
 
     @property
     def total(self) -> int:
-        """All engines of the pool."""
+        """Return the number of engines in the pool."""
         return self.prefill + self.decode + self.mixed
 
     def changes_to(self, other: 'Counts') -> int:
-        """Count the engines that must change for ``other``, equal in total."""
+        """Return how many engines change roles to reach ``other``.
+
+        Both must have the same total.
+        """
         differences = (
             abs(self.prefill - other.prefill),
             abs(self.decode - other.decode),
@@ -66,10 +72,10 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Observation:
-    """The pool as its planner sees it at one moment.
+    """The state of a pool at one step of the planner.
 
-    ``change_weight`` over ``goodput_weight`` says how dear a role change is
-    to this deployment; ``floor`` engines always stay able to decode.
+    The cost of a role change is multiplied by ``change_weight`` over
+    ``goodput_weight``. At least ``floor`` engines stay able to decode.
     """
 
     pool: str
@@ -82,7 +88,11 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Plan:
-    """The wanted role of each engine, and why."""
+    """The target role of each engine.
+
+    ``changes`` is the number of engines whose role differs from the current
+    one. ``regret`` and ``cost`` are the engine-seconds that were compared.
+    """
 
     roles: Mapping[str, Role]
     changes: int
