--- a/packages/verbenahall/src/verbenahall/roles/_shell.py
+++ b/packages/verbenahall/src/verbenahall/roles/_shell.py
@@ -1,4 +1,4 @@
-"""The loop that plans the roles of automatic pools while the lease is held."""
+"""Plans the roles of automatic pools while this process holds the lease."""
 
 import asyncio
 from collections.abc import Mapping
@@ -12,9 +12,11 @@
 from verbenahall.roles._messages import Demand, EngineNow, Observation, Profile
 from verbenahall.roles._planner import PlannerState, decide
 
+#: Time between two steps of the planner, in seconds.
 _PERIOD_S: Final = 1.0
-#: Engines of about 13 billion parameters, by the slopes of the stand-in's
-#: cost model; docs/design/roles.md says how to measure one's own.
+#: Engines with a model of about 13 billion parameters, from the slopes of the
+#: simulated engine's cost model. docs/design/roles.md describes how to measure
+#: other engines.
 DEFAULT_PROFILE: Final = Profile(
     prefill_tokens_s=8700,
     decode_tokens_s=2000,
@@ -26,7 +28,7 @@
 
 
 class AutomaticPool(Protocol):
-    """A pool whose roles are planned."""
+    """A pool whose engines get their roles from the planner."""
 
     name: str
     models: tuple[str, ...]
@@ -36,8 +38,8 @@
     floor: int
 
 
-class RolesSurroundings(Protocol):
-    """What the planner reads anew at each step."""
+class RolePlannerDependencies(Protocol):
+    """What the planner reads at each step."""
 
     def is_leading(self, now: float) -> bool:
         """Whether this process holds the data centre's lease."""
@@ -51,22 +53,23 @@
 
 @final
 class RolePlanner:
-    """Plans roles; ``roles`` is the wish that the rollout turns into orders.
+    """Plans the target roles, which the rollout turns into orders.
 
-    Every instance counts its own arrivals, so that a new lease holder knows
-    the mix at once. Only the holder plans: two planners with different views
-    would send engines to and fro.
+    Every instance counts the requests that it receives, so a new lease holder
+    has an estimate of the demand at once. Only the lease holder plans: two
+    planners with different estimates would change engines back and forth.
+    ``roles`` maps engines to target roles and is empty without the lease.
     """
 
     def __init__(
         self,
-        surroundings: RolesSurroundings,
+        dependencies: RolePlannerDependencies,
         profile: Profile = DEFAULT_PROFILE,
         clock: Clock = monotonic,
     ) -> None:
-        """Start with no arrival seen and no wish."""
+        """Start with no arrivals and no target roles."""
         self.roles: Mapping[str, Role] = _NO_ROLES
-        self._surroundings = surroundings
+        self._dependencies = dependencies
         self._profile = profile
         self._clock = clock
         self._demands: dict[str, DemandState] = {}
@@ -78,31 +81,31 @@
         prompt_tokens: int,
         output_tokens: int,
     ) -> None:
-        """Count one request that a caller sent, by its expected tokens."""
+        """Add a caller's request to the demand, by its expected tokens."""
         now = self._clock()
         demand = self._demands.setdefault(model, DemandState(now))
         note_arrival(demand, prompt_tokens, output_tokens, now)
 
     async def run(self) -> None:
-        """Plan once a period until cancelled."""
+        """Plan periodically until cancelled."""
         while True:
             await asyncio.sleep(_PERIOD_S)
             self.plan()
 
     def plan(self) -> None:
-        """Plan all pools once, or drop the wish without the lease."""
+        """Plan all pools once, or clear the target roles without the lease."""
         now = self._clock()
-        if not self._surroundings.is_leading(now):
+        if not self._dependencies.is_leading(now):
             self._planners.clear()
             self.roles = _NO_ROLES
             return
         roles: dict[str, Role] = {}
-        for pool in self._surroundings.list_pools():
+        for pool in self._dependencies.list_pools():
             roles.update(self._plan_pool(pool, now))
         self.roles = roles
 
     def _plan_pool(self, pool: AutomaticPool, now: float) -> Mapping[str, Role]:
-        seen = Observation(
+        observation = Observation(
             pool=pool.name,
             demand=self._add_demands(pool.models, now),
             engines=pool.engines,
@@ -110,10 +113,10 @@
             change_weight=pool.change_weight,
             floor=pool.floor,
         )
-        if not seen.engines:
+        if not observation.engines:
             return _NO_ROLES
         state = self._planners.setdefault(pool.name, PlannerState(now))
-        plan = decide(state, seen, self._profile, now)
+        plan = decide(state, observation, self._profile, now)
         if plan.changes:
             journal.write_decision(
                 'roles',
@@ -122,12 +125,12 @@
                 reason=plan.reason,
                 regret=round(plan.regret, 2),
                 cost=round(plan.cost, 2),
-                demand_age_s=round(seen.demand.age_s, 2),
+                demand_age_s=round(observation.demand.age_s, 2),
             )
         return plan.roles
 
     def _add_demands(self, models: tuple[str, ...], now: float) -> Demand:
-        share = self._surroundings.find_share(now)
+        share = self._dependencies.find_share(now)
         demands = [
             read_demand(self._demands[model], now, share)
             for model in models
