--- a/packages/verbenahall/src/verbenahall/requests/_budget.py
+++ b/packages/verbenahall/src/verbenahall/requests/_budget.py
@@ -1,4 +1,4 @@
-"""The share of traffic that retries may take."""
+"""Limits on the number of retries relative to the number of requests."""
 
 import collections
 import itertools
@@ -6,51 +6,56 @@
 
 from verbenahall.clock import Clock
 
-_SHARE: Final = 0.2
-_MOST_SAVED: Final = 20.0
+#: Retries allowed per request.
+_RETRY_SHARE: Final = 0.2
+#: Capacity of the bucket, in retries.
+_MAX_TOKENS: Final = 20.0
 
 
 @final
 class RetryBudget:
-    """A token bucket filled by requests and emptied by retries.
+    """A token bucket that is filled by requests and emptied by retries.
 
-    Without it a fleet that fails under load is sent every request several
-    times, and fails more. Each request saves ``share`` of a retry, up to
-    ``most``; a retry takes one.
+    Unlimited retries would multiply the load on a fleet that already fails
+    under load. Each request adds ``share`` tokens, up to ``max_tokens``; each
+    retry takes one.
     """
 
-    __slots__ = ('_share', '_most', '_saved')
+    __slots__ = ('_share', '_max_tokens', '_tokens')
 
     def __init__(
         self,
-        share: float = _SHARE,
-        most: float = _MOST_SAVED,
+        share: float = _RETRY_SHARE,
+        max_tokens: float = _MAX_TOKENS,
     ) -> None:
         """Start with a full bucket."""
         self._share = share
-        self._most = most
-        self._saved = most
+        self._max_tokens = max_tokens
+        self._tokens = max_tokens
 
     def earn(self) -> None:
         """Count a new request."""
-        self._saved = min(self._most, self._saved + self._share)
+        self._tokens = min(self._max_tokens, self._tokens + self._share)
 
     def spend(self, sends: int = 1) -> bool:
-        """Take a retry of so many sends out; False when too few are left."""
-        if self._saved < sends:
+        """Take one token per send, or return False if there are too few."""
+        if self._tokens < sends:
             return False
-        self._saved -= sends
+        self._tokens -= sends
         return True
 
 
 @final
 class WindowBudget:
-    """Bounds further sends within every window of time, as operators do.
+    """Limits the retries within a sliding window of time.
 
-    Within a window an instance may send again ``share`` times its requests of
-    that window and ``slack`` more. A bucket that fills by the same share is
-    empty after four sends, and a crash breaks forty streams in one second:
-    most of them were given up while the window's bound was far away.
+    In each window of ``window_s`` seconds, the number of retried sends is at
+    most ``share`` times the number of new requests, plus ``slack``. The
+    operators state their limit in this form.
+
+    A token bucket of the same share is empty after four sends. The crash of an
+    engine can break forty streams within one second; with the bucket, most of
+    them failed although the window's limit was far from reached.
     """
 
     __slots__ = ('slack', '_share', '_window_s', '_now', '_requests', '_sends')
@@ -73,19 +78,19 @@
     def earn(self) -> None:
         """Count a new request."""
         self._requests.append(self._now())
-        self._forget(self._requests)
+        self._drop_expired(self._requests)
 
     def spend(self, sends: int = 1) -> bool:
-        """Take so many sends out of the window; False when too few are left."""
-        self._forget(self._requests)
-        self._forget(self._sends)
+        """Add sends to the window, or return False if they exceed it."""
+        self._drop_expired(self._requests)
+        self._drop_expired(self._sends)
         allowed = self._share * len(self._requests) + self.slack
         if len(self._sends) + sends > allowed:
             return False
         self._sends.extend(itertools.repeat(self._now(), sends))
         return True
 
-    def _forget(self, moments: collections.deque[float]) -> None:
-        since = self._now() - self._window_s
-        while moments and moments[0] < since:
-            moments.popleft()
+    def _drop_expired(self, timestamps: collections.deque[float]) -> None:
+        window_start = self._now() - self._window_s
+        while timestamps and timestamps[0] < window_start:
+            timestamps.popleft()
--- a/packages/verbenahall/tests/requests/test_decisions.py
+++ b/packages/verbenahall/tests/requests/test_decisions.py
@@ -1,4 +1,4 @@
-"""What follows a failed attempt, and the check of a stream."""
+"""Retry decisions, and the check of a stream."""
 
 import itertools
 import json
@@ -39,16 +39,16 @@
     )
 
 
-def may_repeat_naively(outcome, facts):
-    """List the whole table, row by row, instead of deciding."""
-    sure = isinstance(outcome, NeverWritten | Refused)
-    goes_on = not facts['delivered'] or facts['resumable']
+def look_up_retryable(outcome, facts):
+    """Look the decision up in a table of all cases."""
+    did_not_run = isinstance(outcome, NeverWritten | Refused)
+    is_resumable = not facts['delivered'] or facts['resumable']
     return {
         (True, True): True,
         (True, False): True,
         (False, True): isinstance(outcome, Broken),
         (False, False): False,
-    }[sure, facts['repeatable']] and goes_on
+    }[did_not_run, facts['repeatable']] and is_resumable
 
 
 @given(
@@ -63,12 +63,13 @@
     ),
 )
 def test_retry_only_where_the_naive_table_allows(outcome, facts):
-    """An attempt ends in any way at any point. It may be sent again only if
-    it surely did not run or may run twice, and only if what has reached the
-    caller can be gone on with; else the caller hears what is known.
+    """A request may be retried only if the attempt certainly did not run or
+    may run twice, and only if an answer that has been partly delivered can be
+    resumed. Otherwise the caller gets an answer that never claims "not run"
+    wrongly.
     """
     step = decide(outcome, **facts)
-    assert isinstance(step, Retry) == may_repeat_naively(outcome, facts)
+    assert isinstance(step, Retry) == look_up_retryable(outcome, facts)
     if isinstance(step, GiveUp) and step.problem.answer.ran is Ran.NO:
         assert isinstance(outcome, NeverWritten | Refused)
         assert not facts['unknown']
@@ -90,9 +91,11 @@
         ),
     ),
 )
-def test_final_answer_says_what_is_known(outcome, facts, kind, ran):
-    """The last attempt has failed. The caller must read "no" only where an
-    endpoint surely never began, or it would order the same thing twice.
+def test_final_problem_reports_whether_the_request_ran(
+    outcome, facts, kind, ran
+):
+    """The final answer may say "not run" only if no endpoint started the
+    request. Otherwise the caller would repeat it and it would run twice.
     """
     step = decide(outcome, attempts=9, **facts)
     assert step.problem.kind is kind
@@ -100,8 +103,8 @@
 
 
 def test_backoff_grows_and_stops_before_the_deadline():
-    """A fleet is slow for all callers at once. Their retries must spread
-    and not come back together, and none may begin after its deadline.
+    """Requests that fail at the same time must be retried at different times,
+    and no retry may start after the deadline.
     """
     delays = [decide(Refused(503), attempts=row).delay_s for row in (1, 2, 3)]
     assert all(delay * 100 <= 8 for delay in delays)
@@ -109,22 +112,22 @@
     assert isinstance(decide(Refused(503), now=100), GiveUp)
 
 
-def test_refused_flag_is_tried_on():
-    """Engines refuse while they are full, and the budget is used up. A flag
-    is tried on, for it costs the fleet nothing; other requests are not.
+def test_refused_urgent_request_is_retried():
+    """Engines are full and the retry budget is empty. Refused urgent requests
+    are still retried, since that costs the fleet nothing; others are not.
     """
-    empty = RetryBudget(most=0)
+    empty = RetryBudget(max_tokens=0)
     assert isinstance(decide(Refused(503), empty, attempts=9), GiveUp)
-    flag = {'attempts': 9, 'urgent': True}
-    assert isinstance(decide(Refused(503), empty, **flag), Retry)
-    assert isinstance(decide(Broken('x'), empty, **flag), GiveUp)
+    urgent = {'attempts': 9, 'urgent': True}
+    assert isinstance(decide(Refused(503), empty, **urgent), Retry)
+    assert isinstance(decide(Broken('x'), empty, **urgent), GiveUp)
 
 
 def test_budget_bounds_retries_to_a_share_of_traffic():
-    """Every attempt fails. Beyond the saved ones, retries are a fifth of the
-    requests, however many each of them would like.
+    """Every attempt fails. Apart from the initial tokens, the number of
+    retries must be at most a fifth of the number of requests.
     """
-    budget = RetryBudget(share=0.2, most=10)
+    budget = RetryBudget(share=0.2, max_tokens=10)
     retries = 0
     for _ in range(1000):
         budget.earn()
@@ -132,13 +135,13 @@
     assert 200 <= retries <= 211
 
 
-def test_names_never_come_twice():
-    """An instance restarts and counts from one again. An answer to the old
-    process's first attempt must not pass for the new one's.
+def test_attempt_ids_are_unique():
+    """A restarted instance counts from one again. An answer to the first
+    attempt of the old process must not match that of the new one.
     """
-    old, new = AttemptNames('i1.aa'), AttemptNames('i1.bb')
-    names = [names.next_name() for names in (old, new) for _ in range(99)]
-    assert len(set(names)) == len(names)
+    first, second = AttemptNames('i1.aa'), AttemptNames('i1.bb')
+    ids = [names.next_name() for names in (first, second) for _ in range(99)]
+    assert len(set(ids)) == len(ids)
 
 
 EVENTS = st.lists(
@@ -159,8 +162,8 @@
     return f'data: {text}\n\n'.encode()
 
 
-def read_naively(events):
-    """Decode every event and keep the tokens that come in order."""
+def decode_stream(events):
+    """Decode every event and return the tokens in order, done and gap."""
     expected, passed = 0, []
     for kind, index in events:
         if kind == 'done':
@@ -175,9 +178,9 @@
 
 @given(EVENTS, st.booleans(), st.lists(st.integers(1, 40), max_size=30))
 def test_stream_check_equals_the_naive_reading(events, spaced, cuts):
-    """Tokens come twice, out of order, with gaps, for another attempt, and
-    cut anywhere by the network. What reaches the caller must be what a
-    reader that decodes each event would pass on, in whole events.
+    """Events are duplicated, out of order, missing, of another attempt, and
+    split anywhere. The forwarded bytes must be the complete events that a
+    reader which decodes every event would forward.
     """
     sent = b''.join(write_event(*event, spaced) for event in events)
     state = StreamState('mine')
@@ -185,7 +188,7 @@
     for end in itertools.accumulate([*cuts, len(sent)]):
         passed += feed(state, sent[start:end]).passed
         start = end
-    tokens, done, gap = read_naively(events)
+    tokens, done, gap = decode_stream(events)
     assert passed == b''.join(
         write_event('mine', token, spaced) for token in tokens
     )
