--- a/packages/verbenahall/src/verbenahall/requests/_decisions.py
+++ b/packages/verbenahall/src/verbenahall/requests/_decisions.py
@@ -1,8 +1,8 @@
-"""What follows a failed attempt: the one place that decides on retries.
+"""Decides whether a failed attempt is retried, for all kinds of requests.
 
-An attempt surely did not run in two cases only: no byte of it was written,
-or the endpoint refused it before starting. After any other end it may have
-run, and only a request that may run twice is sent again.
+An attempt certainly did not run in two cases only: none of its bytes were
+written, or the endpoint refused it before starting. After any other failure
+it may have run, and only a request that is safe to run twice is retried.
 """
 
 import random
@@ -25,24 +25,27 @@
     Unprepared,
 )
 
-_MOST_ATTEMPTS: Final = 4
-_MOST_URGENT_ATTEMPTS: Final = 12
+#: Attempts per request. Refused attempts of urgent requests cost the fleet
+#: nothing, so there may be more of them.
+_MAX_ATTEMPTS: Final = 4
+_MAX_URGENT_ATTEMPTS: Final = 12
+#: Upper bound of the first delay; it doubles with each attempt.
 _FIRST_DELAY_S: Final = 0.02
-_LONGEST_DELAY_S: Final = 1.0
+_MAX_DELAY_S: Final = 1.0
 
 
 def decide_next(
     outcome: Outcome,
     facts: Facts,
     budget: RetryBudget | WindowBudget,
-    source: random.Random,
+    rng: random.Random,
     now: float,
 ) -> Retry | GiveUp:
-    """Decide between another attempt and a final answer."""
-    if not _may_repeat(outcome, facts):
+    """Decide between a retry and a final problem for the caller."""
+    if not _is_retryable(outcome, facts):
         return GiveUp(conclude(outcome, facts))
-    delay = _back_off(facts.attempts, source)
-    if now + delay >= facts.deadline or not _may_afford(
+    delay = _compute_backoff(facts.attempts, rng)
+    if now + delay >= facts.deadline or not _is_within_limits(
         outcome,
         facts,
         budget,
@@ -52,14 +55,14 @@
 
 
 def conclude(outcome: Outcome, facts: Facts) -> Problem:
-    """Say what became of a request whose last attempt ended so."""
+    """Return the problem that answers a request after its last attempt."""
     ran = Ran.UNKNOWN if facts.unknown else Ran.NO
     match outcome:
         case TimedOut():
             message = 'the deadline passed after the request was sent'
             return Problem(ErrorKind.DEADLINE_EXCEEDED, message, Ran.UNKNOWN)
         case _ if facts.delivered:
-            message = f'the answer ends early: {name_outcome(outcome)}'
+            message = f'the answer was truncated: {name_outcome(outcome)}'
             return Problem(ErrorKind.ANSWER_TRUNCATED, message)
         case Unprepared(detail):
             message = f'the request was not sent: {detail}'
@@ -70,30 +73,30 @@
         case Quarantined(left_s):
             return describe_quarantine(left_s, ran)
         case Limited(wait_s):
-            message = 'the endpoint takes no more requests now'
+            message = 'the endpoint accepts no more requests at present'
             return Problem(ErrorKind.OVERLOADED, message, ran, wait_s)
         case Unauthorized():
-            message = 'the API key is no longer in force'
+            message = 'the API key is no longer valid'
             return Problem(ErrorKind.UNAUTHORIZED, message, ran)
         case Refused(status):
-            message = f'the endpoint refused with status {status}'
+            message = f'the endpoint refused the request with status {status}'
             return Problem(ErrorKind.OVERLOADED, message, ran)
         case Broken(detail) if facts.repeatable:
             message = f'the endpoint failed: {detail}'
             return Problem(ErrorKind.ENDPOINT_FAILED, message, Ran.UNKNOWN)
         case Broken(detail):
-            message = f'whether it ran is not known: {detail}'
+            message = f'it is unknown whether the request ran: {detail}'
             return Problem(ErrorKind.OUTCOME_UNKNOWN, message)
 
 
 def describe_quarantine(left_s: float, ran: Ran = Ran.NO) -> Problem:
-    """Say that a request is not sent for so many seconds."""
-    message = 'endpoints have crashed under this request'
+    """Return the problem of a request in quarantine for ``left_s`` seconds."""
+    message = 'the request is in quarantine: endpoints crashed while running it'
     return Problem(ErrorKind.QUARANTINED, message, ran, left_s)
 
 
 def may_have_run(outcome: Outcome) -> bool:
-    """Whether a request may have run whose attempt failed so."""
+    """Whether an attempt with this outcome may have run."""
     return not isinstance(
         outcome,
         NeverWritten
@@ -106,7 +109,7 @@
 
 
 def name_outcome(outcome: Outcome) -> str:
-    """Return the outcome's word in logs and metrics."""
+    """Return the label of an outcome in logs and metrics."""
     match outcome:
         case NeverWritten():
             return 'never_written'
@@ -126,7 +129,7 @@
             return 'timed_out'
 
 
-def _may_repeat(outcome: Outcome, facts: Facts) -> bool:
+def _is_retryable(outcome: Outcome, facts: Facts) -> bool:
     if facts.delivered and not facts.resumable:
         return False
     match outcome:
@@ -138,34 +141,35 @@
             return False
 
 
-def _may_afford(
+def _is_within_limits(
     outcome: Outcome,
     facts: Facts,
     budget: RetryBudget | WindowBudget,
 ) -> bool:
-    """Whether a further attempt is within the bounds.
+    """Whether the limits on attempts and the budget allow a retry.
 
-    A flag that is refused costs the fleet nothing and must not wait behind
-    other requests' retries, so it is tried longer and outside the budget.
+    A refused attempt costs the fleet nothing, and an urgent request must not
+    depend on the budget that other requests' retries use. So urgent requests
+    that are refused get more attempts, outside the budget.
     """
     if facts.most_runs and facts.runs >= facts.most_runs:
         return False
     if facts.urgent and isinstance(outcome, Refused):
-        return facts.attempts < _MOST_URGENT_ATTEMPTS
-    if facts.attempts >= _MOST_ATTEMPTS:
+        return facts.attempts < _MAX_URGENT_ATTEMPTS
+    if facts.attempts >= _MAX_ATTEMPTS:
         return False
-    # What reached no endpoint has put no load on the fleet. Paid for, the
-    # failed connects of one crash used up the budget that streams which broke
-    # in the same crash needed to be resumed.
-    unsent = isinstance(outcome, NeverWritten | Limited)
-    return unsent or budget.spend(facts.resends)
+    # Attempts that reached no endpoint put no load on the fleet, so they are
+    # not charged. When they were, the failed connects after a crash used up
+    # the budget that the streams broken by it needed in order to resume.
+    is_unsent = isinstance(outcome, NeverWritten | Limited)
+    return is_unsent or budget.spend(facts.resends)
 
 
-def _back_off(attempts: int, source: random.Random) -> float:
-    """Return a delay between zero and the doubled bound of this attempt.
+def _compute_backoff(attempts: int, rng: random.Random) -> float:
+    """Return a random delay below a bound that doubles with each attempt.
 
-    The jitter is the whole delay: callers that failed together would
-    otherwise come back together.
+    The jitter covers the whole range (full jitter): requests that failed at
+    the same time must not be retried at the same time.
     """
-    bound = _FIRST_DELAY_S * 2 ** (attempts - 1)
-    return source.uniform(0, min(bound, _LONGEST_DELAY_S))
+    max_delay_s = _FIRST_DELAY_S * 2 ** (attempts - 1)
+    return rng.uniform(0, min(max_delay_s, _MAX_DELAY_S))
