--- a/packages/verbenahall/src/verbenahall/requests/_stream.py
+++ b/packages/verbenahall/src/verbenahall/requests/_stream.py
@@ -1,9 +1,9 @@
-"""A stream of events checked as it passes, without decoding each event.
+"""Checks the events of a stream without decoding each of them.
 
-An engine's events begin with the attempt and the index in this order, so a
-comparison with the expected bytes settles nearly every event; only one that
-looks otherwise is decoded. What is passed on are whole events, so an engine
-that dies inside one leaves no half event with the caller.
+Engines write the attempt and the index first in each event, so comparing a
+prefix of expected bytes is enough for nearly all events. Only an event that
+differs is decoded. Only complete events are forwarded, so an engine that dies
+within one leaves no partial event with the caller.
 """
 
 import dataclasses
@@ -13,24 +13,25 @@
 
 from verbenahall import wire
 
-_END: Final = b'\n\n'
-_DONE: Final = b'data: [DONE]'
-_DATA: Final = b'data: '
+_EVENT_SEPARATOR: Final = b'\n\n'
+_DONE_EVENT: Final = b'data: [DONE]'
+_DATA_PREFIX: Final = b'data: '
 
 
 @final
 class StreamState:
-    """How far a stream has come.
+    """The position in a stream.
 
-    ``index`` is the next token expected; ``done`` is set by the end mark,
-    ``gap`` by a token that was left out. ``dropped`` counts events of other
-    attempts and second copies.
+    ``index`` is the next expected token. ``done`` is set by the end marker,
+    ``gap`` by a missing token. ``dropped`` counts duplicates, malformed events
+    and events of other attempts. ``tail`` holds the bytes of an incomplete
+    event.
     """
 
     __slots__ = ('attempt', 'index', 'done', 'gap', 'dropped', 'tail')
 
     def __init__(self, attempt: str, index: int = 0) -> None:
-        """Expect the events of an attempt from an index on."""
+        """Start a stream of one attempt at the token ``index``."""
         self.attempt = attempt
         self.index = index
         self.done = False
@@ -41,28 +42,30 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class StreamStep:
-    """What a piece of a stream brought: bytes to pass on, tokens in them."""
+    """The bytes to forward after one chunk, and the tokens in them."""
 
     passed: bytes
     tokens: int
 
 
-def feed(state: StreamState, piece: bytes) -> StreamStep:
-    """Check the next piece and return the whole events to pass on.
+def feed(state: StreamState, chunk: bytes) -> StreamStep:
+    """Check the next chunk and return the complete events to forward.
 
-    The end mark is not passed on: the shell sends it once, after the last
-    attempt. Nothing is passed on after a gap.
+    The end marker is not forwarded: the relay writes it once, after the last
+    attempt. Nothing is forwarded after a gap.
     """
-    events = (state.tail + piece).split(_END)
+    events = (state.tail + chunk).split(_EVENT_SEPARATOR)
     state.tail = events.pop()
-    before = state.index
-    passed = [event for event in events if _take(state, event)]
-    if passed:
-        passed.append(b'')
-    return StreamStep(_END.join(passed), state.index - before)
+    start_index = state.index
+    accepted = [event for event in events if _accept_event(state, event)]
+    if accepted:
+        accepted.append(b'')
+    return StreamStep(
+        _EVENT_SEPARATOR.join(accepted), state.index - start_index
+    )
 
 
-def _take(state: StreamState, event: bytes) -> bool:
+def _accept_event(state: StreamState, event: bytes) -> bool:
     if state.done or state.gap:
         return False
     prefix = b'data: {"attempt":"%b","index":%d,' % (
@@ -72,29 +75,30 @@
     if event.startswith(prefix):
         state.index += 1
         return True
-    return _take_unusual(state, event)
+    return _accept_decoded_event(state, event)
 
 
-def _take_unusual(state: StreamState, event: bytes) -> bool:
-    """Decode an event that is not the plain next one."""
-    if event.strip() == _DONE:
+def _accept_decoded_event(state: StreamState, event: bytes) -> bool:
+    """Decode an event that does not have the expected prefix."""
+    if event.strip() == _DONE_EVENT:
         state.done = True
         return False
-    match wire.decode_table(event.strip().removeprefix(_DATA)):
+    match wire.decode_table(event.strip().removeprefix(_DATA_PREFIX)):
         case Success({'attempt': state.attempt, 'index': int(index)}):
-            return _take_index(state, index)
+            return _accept_index(state, index)
         case _:
             state.dropped += 1
             return False
 
 
-def _take_index(state: StreamState, index: int) -> bool:
+def _accept_index(state: StreamState, index: int) -> bool:
     if index < state.index:
-        # A second copy of a token would be shown to the caller twice.
+        # A duplicate, which the caller must not receive again.
         state.dropped += 1
         return False
     if index > state.index:
-        # A token was lost. Passed on, the answer would read as whole.
+        # A token is missing. With the later ones forwarded, the caller could
+        # not tell that the answer is incomplete.
         state.gap = True
         return False
     state.index += 1
