--- a/packages/verbenahall/src/verbenahall/requests/__init__.py
+++ b/packages/verbenahall/src/verbenahall/requests/__init__.py
@@ -1,4 +1,4 @@
-"""Attempts of one request: identities, retries, budgets and streams."""
+"""Attempts of a request: identities, retries, retry budgets and streams."""
 
 from verbenahall.requests._budget import RetryBudget, WindowBudget
 from verbenahall.requests._decisions import (
--- a/packages/verbenahall/src/verbenahall/requests/_hindrances.py
+++ b/packages/verbenahall/src/verbenahall/requests/_hindrances.py
@@ -1,13 +1,13 @@
-"""Why an attempt is not sent at all for now."""
+"""Reasons for which an attempt is not sent."""
 
 import dataclasses
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Quarantined:
-    """Nothing was sent: earlier sends of this request crashed endpoints.
+    """Not sent: endpoints crashed during earlier attempts of this request.
 
-    It may be sent again after ``left_s`` seconds.
+    The quarantine ends after ``left_s`` seconds.
     """
 
     left_s: float
@@ -15,11 +15,11 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Limited:
-    """Nothing was sent: the endpoint takes the next one after ``wait_s``."""
+    """Not sent: the endpoint accepts the next request after ``wait_s``."""
 
     wait_s: float
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Unauthorized:
-    """Nothing was sent: the request's API key is no longer in force."""
+    """Not sent: the request's API key is no longer valid."""
--- a/packages/verbenahall/src/verbenahall/requests/_messages.py
+++ b/packages/verbenahall/src/verbenahall/requests/_messages.py
@@ -1,4 +1,4 @@
-"""How an attempt may end, and what may follow."""
+"""Identities of attempts, and the decision that follows a failed one."""
 
 import dataclasses
 import itertools
@@ -9,16 +9,16 @@
 
 @final
 class AttemptNames:
-    """Makes identities that are never used again.
+    """Generates identities that are unique across restarts.
 
-    The incarnation is drawn anew by each process, so a restarted instance
-    cannot meet an answer to an attempt of the one before.
+    Each process draws a new incarnation, so a restarted instance does not
+    mistake an answer to its predecessor's attempt for one to its own.
     """
 
     __slots__ = ('_prefix', '_numbers')
 
     def __init__(self, incarnation: str) -> None:
-        """Start counting under an incarnation."""
+        """Start at 1 within an incarnation."""
         self._prefix = incarnation
         self._numbers = itertools.count(1)
 
@@ -30,15 +30,16 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Facts:
-    """What is known of a request when one of its attempts has failed.
-
-    ``repeatable`` means that running it twice harms nobody. ``delivered``
-    means that a byte of its answer has reached the caller, ``resumable``
-    that an endpoint is left which goes on from there. ``unknown`` means that
-    an earlier attempt may have run, ``urgent`` that it is a flag. ``runs``
-    counts the attempts that may have run, of which ``most_runs`` are allowed
-    (0 for no bound of its own). ``resends`` is how many sends another attempt
-    takes.
+    """The state of a request after one of its attempts failed.
+
+    ``repeatable`` means that it is safe to run the request twice.
+    ``deadline`` is a time on the clock that ``decide_next`` gets. ``attempts``
+    counts the attempts so far. ``delivered`` means that at least one byte of
+    the answer has reached the caller, ``resumable`` that another endpoint can
+    continue the answer from there. ``unknown`` means that an earlier attempt
+    may have run, ``urgent`` that the request has the highest priority.
+    ``runs`` counts the attempts that may have run, ``most_runs`` is the limit
+    on it (0 for none). ``resends`` is the number of sends that a retry takes.
     """
 
     repeatable: bool
@@ -55,7 +56,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Retry:
-    """Try again after a pause in seconds."""
+    """Send another attempt after ``delay_s`` seconds."""
 
     delay_s: float
     reason: str
--- a/packages/verbenahall/src/verbenahall/requests/_outcomes.py
+++ b/packages/verbenahall/src/verbenahall/requests/_outcomes.py
@@ -1,4 +1,4 @@
-"""How an attempt may fail."""
+"""The outcomes of failed attempts."""
 
 import dataclasses
 from typing import Union
@@ -19,9 +19,9 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Unprepared:
-    """A step before the request failed; the request itself was not sent.
+    """A step before the request failed, so the request was not sent.
 
-    Unlike ``NeverWritten`` the failed step reached an endpoint.
+    Unlike with ``NeverWritten``, the failed step reached an endpoint.
     """
 
     detail: str
@@ -29,17 +29,17 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Refused:
-    """The endpoint said that it has not started the request."""
+    """The endpoint answered that it has not started the request."""
 
     status: int
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Broken:
-    """Bytes were written, and no whole answer came back.
+    """Bytes were written, and no complete answer was received.
 
-    ``answered`` means that the endpoint lives all the same: it said itself
-    that it failed.
+    ``answered`` means that the endpoint itself reported the failure, so it is
+    still alive.
     """
 
     detail: str
