--- a/packages/verbenahall/tests/requests/test_window_budget.py
+++ b/packages/verbenahall/tests/requests/test_window_budget.py
@@ -1,4 +1,4 @@
-"""Further sends stay within the bound in every window of time."""
+"""Retries stay within the limit of every time window."""
 
 import random
 
@@ -6,7 +6,7 @@
 
 
 class Clock:
-    """A clock that a test moves."""
+    """A clock that is set by the test."""
 
     def __init__(self):
         self.seconds = 0
@@ -19,9 +19,10 @@
     return WindowBudget(share=0.16, slack=4, window_s=10, now=clock)
 
 
-def test_a_crash_may_use_what_the_window_holds():
-    # An engine crashes and breaks twenty streams in one second. A bucket that
-    # held four sends gave up sixteen of them though the bound allowed all.
+def test_burst_of_retries_may_use_the_whole_window():
+    # The crash of an engine breaks twenty streams in one second. With a token
+    # bucket of four sends, sixteen of them failed although the limit of the
+    # window allowed all retries.
     clock = Clock()
     budget = make_budget(clock)
     for _ in range(100):
@@ -31,8 +32,8 @@
 
 
 def test_no_window_exceeds_its_bound():
-    # Failures come in bursts at any moment. More sends in some window than
-    # the operators allow put a failing fleet under even more load.
+    # Failures come in bursts at random times. More retries in any window than
+    # the operators allow would add load to a fleet that already fails.
     clock = Clock()
     budget = make_budget(clock)
     source = random.Random(7)
@@ -45,9 +46,11 @@
             if budget.spend():
                 sends.append(clock.seconds)
     for since in sends:
-        within = sum(since <= at <= since + 10 for at in sends)
-        asked = sum(since - 10 <= at <= since + 10 for at in requests)
-        assert within <= 0.16 * asked + 4
+        sent_in_window = sum(since <= at <= since + 10 for at in sends)
+        requests_in_window = sum(
+            since - 10 <= at <= since + 10 for at in requests
+        )
+        assert sent_in_window <= 0.16 * requests_in_window + 4
 
 
 def test_several_sends_are_taken_together_or_not_at_all():
@@ -58,7 +61,7 @@
     assert budget.spend(1)
 
 
-def test_spent_sends_come_back_with_the_window():
+def test_sends_leave_the_window():
     clock = Clock()
     budget = make_budget(clock)
     assert budget.spend(4)
