--- a/packages/verbenahall/src/verbenahall/load/_engines.py
+++ b/packages/verbenahall/src/verbenahall/load/_engines.py
@@ -1,4 +1,4 @@
-"""What each engine last said that it holds."""
+"""The last reported state of each engine."""
 
 import dataclasses
 from collections.abc import Mapping
@@ -13,10 +13,11 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class EngineState:
-    """An engine's own word: role, models by version, adapters.
+    """The state that an engine reports about itself.
 
-    ``changing`` means that it takes no work now. ``resumes`` means that it
-    can begin a stream at a later token.
+    ``models`` maps the names of its models to their versions. ``changing``
+    means that the engine accepts no requests now. ``resumes`` means that it
+    can start a stream at a later token than the first.
     """
 
     name: str
@@ -30,46 +31,46 @@
     report: Report
 
     def holds(self, model: str, adapter: str) -> bool:
-        """Whether it can take a request for the model and adapter now."""
+        """Whether the engine can serve the model and adapter now."""
         if self.changing or model not in self.models:
             return False
         return not adapter or any(
-            held.name == adapter and held.model == model
-            for held in self.adapters
+            loaded.name == adapter and loaded.model == model
+            for loaded in self.adapters
         )
 
 
 @final
 class EngineStates:
-    """All engines' states by name."""
+    """The last state of each engine, by name."""
 
     __slots__ = ('by_name',)
 
     def __init__(self) -> None:
-        """Start with nothing heard."""
+        """Start without states."""
         self.by_name: dict[str, EngineState] = {}
 
     def put(self, found: EngineState) -> None:
-        """Keep an engine's newest state."""
+        """Store the state of an engine in place of its last one."""
         self.by_name[found.name] = found
 
     def forget(self, name: str) -> None:
-        """Drop a state that the engine itself has contradicted."""
+        """Remove the state of an engine whose answers contradict it."""
         self.by_name.pop(name, None)
 
     def knows_model(self, model: str) -> bool:
-        """Whether any engine holds the model."""
+        """Whether any engine has the model."""
         return any(model in found.models for found in self.by_name.values())
 
 
 def read_engine_state(table: dict[str, Any]) -> Result[EngineState, Problem]:
-    """Turn the body of ``GET /state`` into a state, or say it is malformed."""
+    """Parse the body of ``GET /state``, or fail if it is malformed."""
     try:
         return Success(_build_state(table))
     except (KeyError, TypeError, ValueError) as error:
         problem = Problem(
             ErrorKind.ENDPOINT_FAILED,
-            f'the state of an engine is malformed: {error!r}',
+            f'malformed engine state: {error!r}',
         )
         return Failure(problem)
 
