--- a/packages/verbenahall/src/verbenahall/load/_shell.py
+++ b/packages/verbenahall/src/verbenahall/load/_shell.py
@@ -1,4 +1,4 @@
-"""Polls engines for their state."""
+"""Polls the engines for their state."""
 
 import asyncio
 import heapq
@@ -21,34 +21,38 @@
 )
 from verbenahall.load._state import LoadState
 
-#: How long one engine may take to say its state.
+#: Timeout of one poll.
 _TIMEOUT: Final = aiohttp.ClientTimeout(total=1)
-#: An answer takes about half a kilobyte; at two periods a second this is a
-#: third of the 6 kB/s that an instance may spend on control.
-_ASKED_AT_ONCE: Final = 2
-#: Engines that were never asked are many at the start, when the instance is
-#: not ready before it knows them.
-_ASKED_AT_START: Final = 16
-#: An engine that is only spilled over to is asked so much later, in seconds.
-_FAR_DELAY_S: Final = 8.0
-
-
-def _never(name: str) -> bool:
-    """Hold no engine for urgent, or for far."""
+#: Engines polled per period. An answer has about 0.5 kB, so with two periods
+#: per second this is a third of the 6 kB/s that an instance may use for control
+#: traffic.
+_POLLS_PER_PERIOD: Final = 2
+#: Maximum number of engines polled per period while there are engines that were
+#: never polled. At the start these are many, and the instance is not ready
+#: before it has their states.
+_MAX_POLLS_AT_START: Final = 16
+#: Added to the time of the last poll of remote engines, in seconds. They get
+#: requests only if no local engine can take them.
+_REMOTE_DELAY_S: Final = 8.0
+
+
+def _always_false(name: str) -> bool:
+    """Treat no engine as urgent or remote."""
     return False
 
 
 @final
 class StatePoller:
-    """Asks engines of ``endpoints()`` for ``/state``, a few each period.
-
-    Those that ``urgent(name)`` holds for go first, then those not asked for
-    the longest time, ``far(name)`` ones later; so the bytes that an instance
-    spends do not grow with the fleet, and load is mostly known from reports
-    on answers.
-    ``heard(name)`` and ``missed(name)`` feed the membership with the poll's
-    outcome, ``told(state)`` with the engine's own word on its life and on
-    whether it leaves.
+    """Polls ``/state`` of a few engines of ``endpoints()`` per period.
+
+    Engines with ``urgent(name)`` are polled first, then those whose last poll
+    is the longest ago; remote ones, with ``far(name)``, are polled less often.
+    So the traffic of an instance does not grow with the fleet. Most load
+    reports come with the answers to requests.
+
+    ``heard(name)`` and ``missed(name)`` are called after a successful or a
+    failed poll. ``told(state)`` is called with each state; the membership
+    reads the engine's incarnation and whether it is leaving from it.
     """
 
     def __init__(
@@ -61,22 +65,22 @@
         heard: Callable[[str], None],
         missed: Callable[[str], None],
         told: Callable[[EngineState], None],
-        urgent: Callable[[str], bool] = _never,
-        far: Callable[[str], bool] = _never,
+        urgent: Callable[[str], bool] = _always_false,
+        far: Callable[[str], bool] = _always_false,
         clock: Clock = monotonic,
     ) -> None:
-        """Keep what the polls read and feed."""
+        """Create a poller; ``run`` starts it."""
         self._session = session
         self._endpoints = endpoints
         self._states = states
         self._load = load
         self._period_s = period_s
-        self._heard = heard
-        self._missed = missed
-        self._told = told
-        self._urgent = urgent
-        self._far = far
-        self._asked_at: dict[str, float] = {}
+        self._on_success = heard
+        self._on_failure = missed
+        self._on_state = told
+        self._is_urgent = urgent
+        self._is_remote = far
+        self._polled_at: dict[str, float] = {}
         self._clock = clock
 
     async def run(self) -> None:
@@ -86,55 +90,55 @@
             await asyncio.sleep(self._period_s)
 
     async def poll(self) -> None:
-        """Ask the engines that are due; returns when all have answered."""
-        due = self._choose(self._endpoints())
+        """Poll the engines that are due, and wait for all their answers."""
+        due = self._select_due(self._endpoints())
         now = self._clock()
-        self._asked_at.update((endpoint.name, now) for endpoint in due)
-        await asyncio.gather(*(self._ask(endpoint) for endpoint in due))
+        self._polled_at.update((endpoint.name, now) for endpoint in due)
+        await asyncio.gather(*(self._poll_engine(endpoint) for endpoint in due))
 
-    def _choose(self, endpoints: Iterable[Endpoint]) -> list[Endpoint]:
-        known = {endpoint.name: endpoint for endpoint in endpoints}
-        self._asked_at = {
-            name: self._asked_at.get(name, -math.inf) for name in known
+    def _select_due(self, endpoints: Iterable[Endpoint]) -> list[Endpoint]:
+        by_name = {endpoint.name: endpoint for endpoint in endpoints}
+        self._polled_at = {
+            name: self._polled_at.get(name, -math.inf) for name in by_name
         }
-        never_asked = list(self._asked_at.values()).count(-math.inf)
-        count = max(_ASKED_AT_ONCE, min(never_asked, _ASKED_AT_START))
+        never_polled = list(self._polled_at.values()).count(-math.inf)
+        count = max(_POLLS_PER_PERIOD, min(never_polled, _MAX_POLLS_AT_START))
         return heapq.nsmallest(
             count,
-            known.values(),
-            key=lambda endpoint: self._rank(endpoint.name),
+            by_name.values(),
+            key=lambda endpoint: self._sort_key(endpoint.name),
         )
 
-    def _rank(self, name: str) -> tuple[bool, float]:
-        delay = _FAR_DELAY_S if self._far(name) else 0
-        return not self._urgent(name), self._asked_at[name] + delay
+    def _sort_key(self, name: str) -> tuple[bool, float]:
+        delay = _REMOTE_DELAY_S if self._is_remote(name) else 0
+        return not self._is_urgent(name), self._polled_at[name] + delay
 
-    async def _ask(self, endpoint: Endpoint) -> None:
+    async def _poll_engine(self, endpoint: Endpoint) -> None:
         try:
             body = await self._fetch(endpoint)
         except (aiohttp.ClientError, OSError, TimeoutError):
-            self._missed(endpoint.name)
+            self._on_failure(endpoint.name)
             return
         match wire.decode_table(body).bind(read_engine_state):
-            case Success(found):
-                self._take(endpoint, found)
+            case Success(state):
+                self._handle_state(endpoint, state)
             case problem:
                 logging.warning('%s: %s', endpoint.name, problem)
-                self._missed(endpoint.name)
+                self._on_failure(endpoint.name)
 
     async def _fetch(self, endpoint: Endpoint) -> bytes:
         url = f'http://{endpoint.address}/state'
-        async with self._session.get(url, timeout=_TIMEOUT) as answer:
-            return await answer.read()
-
-    def _take(self, endpoint: Endpoint, found: EngineState) -> None:
-        # An address is given to another process while the list still shows
-        # the old name: requests would go to the wrong engine. What the
-        # stranger says is not taken for the endpoint's word.
-        if found.name != endpoint.name:
-            self._missed(endpoint.name)
+        async with self._session.get(url, timeout=_TIMEOUT) as response:
+            return await response.read()
+
+    def _handle_state(self, endpoint: Endpoint, state: EngineState) -> None:
+        # The address may have been reassigned to another process while the
+        # list still has the old name. The state of that process is not used,
+        # or requests would be sent to the wrong engine.
+        if state.name != endpoint.name:
+            self._on_failure(endpoint.name)
             return
-        self._told(found)
-        self._heard(endpoint.name)
-        self._states.put(found)
-        observe_report(self._load, found.name, found.report, self._clock())
+        self._on_state(state)
+        self._on_success(endpoint.name)
+        self._states.put(state)
+        observe_report(self._load, state.name, state.report, self._clock())
