--- a/packages/verbenahall/src/verbenahall/gateway/_admission.py
+++ b/packages/verbenahall/src/verbenahall/gateway/_admission.py
@@ -50,7 +50,7 @@
     ) -> Result[Admission, Problem]:
         """Return the route and the workspace, or why there is none."""
         found = _find_admission(self._core, request, ask)
-        if _may_be_outdated(self._core, ask, found):
+        if _may_be_stale(self._core, ask, found):
             if await self._lookups.look():
                 found = _find_admission(self._core, request, ask)
         return found
@@ -74,15 +74,15 @@
     path, _, _ = request.raw_path.partition('?')
     match find_route(catalog, read_host(request), path):
         case Some(route):
-            holder = authenticate(catalog.keys, ask.key, public=route.public)
-            return holder.map(lambda found: Admission(catalog, route, found))
+            workspace = authenticate(catalog.keys, ask.key, public=route.public)
+            return workspace.map(lambda found: Admission(catalog, route, found))
         case _:
             return Failure(
                 Problem(ErrorKind.NOT_FOUND, 'no route has this path'),
             )
 
 
-def _may_be_outdated(
+def _may_be_stale(
     core: Core,
     ask: Ask,
     found: Result[Admission, Problem],
--- a/packages/verbenahall/src/verbenahall/gateway/_answers.py
+++ b/packages/verbenahall/src/verbenahall/gateway/_answers.py
@@ -13,31 +13,33 @@
 from verbenahall.platform import REQUEST_ID
 
 #: Digits of Retry-After behind the point: hundredths of a second.
-_DIGITS: Final = 2
+_RETRY_AFTER_DECIMALS: Final = 2
 
 
-def answer_with(problem: Problem, request: str) -> web.Response:
+def build_problem_response(problem: Problem, request: str) -> web.Response:
     """Build the final answer for a problem.
 
     What surely has not run is answered so that the caller may come back;
     what may have run is never said to be refused.
     """
-    told = _settle(problem)
-    response = answer_problem(told)
+    public = _choose_public_kind(problem)
+    response = answer_problem(public)
     if request:
         response.headers[REQUEST_ID] = request
-    retry_after = told.answer.retry_after_s
-    if retry_after is not None and told.answer.ran is Ran.NO:
+    retry_after = public.answer.retry_after_s
+    if retry_after is not None and public.answer.ran is Ran.NO:
         # Fractions are allowed here, and callers that wait a whole second
         # more than they must have less time left.
-        response.headers['Retry-After'] = str(round(retry_after, _DIGITS))
+        response.headers['Retry-After'] = str(
+            round(retry_after, _RETRY_AFTER_DECIMALS)
+        )
     else:
         response.headers.popall('Retry-After', None)
-    metrics.GIVEN_UP.add(told.kind.value, told.answer.ran.value)
+    metrics.GIVEN_UP.add(public.kind.value, public.answer.ran.value)
     return response
 
 
-def pass_on(answered: Answered) -> web.Response:
+def build_answer_response(answered: Answered) -> web.Response:
     """Return an endpoint's answer unchanged."""
     return web.Response(
         status=answered.status,
@@ -47,7 +49,7 @@
     )
 
 
-def _settle(problem: Problem) -> Problem:
+def _choose_public_kind(problem: Problem) -> Problem:
     answer = problem.answer
     if (
         answer.ran is Ran.NO
--- a/packages/verbenahall/src/verbenahall/gateway/_attempts.py
+++ b/packages/verbenahall/src/verbenahall/gateway/_attempts.py
@@ -7,7 +7,7 @@
 
 from verbenahall import journal, metrics
 from verbenahall.errors import ErrorKind, Problem, Ran
-from verbenahall.gateway._answers import answer_with
+from verbenahall.gateway._answers import build_problem_response
 from verbenahall.gateway._core import Core
 from verbenahall.gateway._messages import Call
 from verbenahall.requests import (
@@ -47,7 +47,7 @@
         """Whether the route allows one more run after the next one."""
         return self.runs + 1 < self._call.route.max_attempts
 
-    def note(self, endpoint: str, result: Result[Any, Outcome]) -> None:
+    def record(self, endpoint: str, result: Result[Any, Outcome]) -> None:
         """Note how a send of the request itself ended."""
         if isinstance(result, Failure):
             self.tried.add(endpoint)
@@ -55,19 +55,20 @@
         else:
             self.runs += 1
 
-    def go_on(
+    def handle_failure(
         self,
         outcome: Outcome,
         *,
         delivered: bool = False,
         resends: int = 1,
-        **told: Any,
+        **log_fields: Any,
     ) -> Problem | None:
         """Decide what follows a failure; None for another attempt.
 
-        ``told`` is for the log: which endpoints failed, and how far it came.
+        ``log_fields`` is for the log: which endpoints failed, and how
+        far it came.
         """
-        facts = self._describe(delivered, resends)
+        facts = self._make_retry_context(delivered, resends)
         step = decide_next(
             outcome,
             facts,
@@ -75,27 +76,29 @@
             self._core.random,
             self._core.now(),
         )
-        again = isinstance(step, Retry)
-        self._tell_failure(name_outcome(outcome), str(outcome), again, told)
-        return None if again else conclude(outcome, facts)
+        retrying = isinstance(step, Retry)
+        self._log_failure(
+            name_outcome(outcome), str(outcome), retrying, log_fields
+        )
+        return None if retrying else conclude(outcome, facts)
 
-    def improve(self, endpoint: str, status: int) -> bool:
+    def retry_failed_answer(self, endpoint: str, status: int) -> bool:
         """Take a further attempt for a failure that an endpoint answered."""
-        again = self._budget.spend()
+        retrying = self._budget.spend()
         detail = f'status {status}'
-        told = {'endpoint': endpoint}
-        self._tell_failure('failed_answer', detail, again, told)
-        return again
+        log_fields = {'endpoint': endpoint}
+        self._log_failure('failed_answer', detail, retrying, log_fields)
+        return retrying
 
-    def give_up(
+    def abandon(
         self,
         problem: Problem,
         *,
-        answered: bool = False,
+        delivered: bool = False,
     ) -> web.Response:
         """Tell why nothing more is tried; return the answer for it.
 
-        ``answered`` tells that the caller has a part of an answer already.
+        ``delivered`` tells that the caller has a part of an answer already.
         """
         call = self._call
         if self.runs and problem.answer.ran is Ran.NO:
@@ -111,12 +114,12 @@
             reason=problem.message,
             attempts=self.begun,
             runs=self.runs,
-            begun=answered,
+            begun=delivered,
             took_s=journal.round_seconds(self._core.now() - call.received),
         )
-        return answer_with(problem, call.ask.identity)
+        return build_problem_response(problem, call.ask.identity)
 
-    def _describe(self, delivered: bool, resends: int) -> Facts:
+    def _make_retry_context(self, delivered: bool, resends: int) -> Facts:
         call = self._call
         return Facts(
             repeatable=call.route.repeatable,
@@ -130,12 +133,12 @@
             resends=resends,
         )
 
-    def _tell_failure(
+    def _log_failure(
         self,
         outcome: str,
         detail: str,
-        again: bool,
-        told: dict[str, Any],
+        retrying: bool,
+        log_fields: dict[str, Any],
     ) -> None:
         journal.write_decision(
             'attempt_failed',
@@ -144,8 +147,8 @@
             detail=detail,
             attempts=self.begun,
             runs=self.runs,
-            next='repeat' if again else 'give_up',
-            **told,
+            next='repeat' if retrying else 'give_up',
+            **log_fields,
         )
-        if again:
+        if retrying:
             metrics.RETRIES.add(outcome)
--- a/packages/verbenahall/src/verbenahall/gateway/_dispatch.py
+++ b/packages/verbenahall/src/verbenahall/gateway/_dispatch.py
@@ -27,7 +27,7 @@
         self._core = core
         self._queues = PrefillQueues(core)
 
-    async def take(
+    async def admit(
         self,
         call: Call,
         wanted: PlacementRequest,
@@ -36,11 +36,11 @@
         """Wait to be admitted; whoever gets a grant must end it."""
         scheduled = await self._assignments.ask(call, wanted, tried)
         if isinstance(scheduled, Some):
-            verdict = scheduled.unwrap()
-            if isinstance(verdict, Failure):
+            grant_result = scheduled.unwrap()
+            if isinstance(grant_result, Failure):
                 metrics.SHED.add(str(call.priority))
-            return verdict
-        pending = await self._queues.take(call, wanted, tried)
+            return grant_result
+        pending = await self._queues.admit(call, wanted, tried)
         return pending.map(
             lambda admitted: LocalGrant(
                 self._core,
--- a/packages/verbenahall/src/verbenahall/gateway/_engine_calls.py
+++ b/packages/verbenahall/src/verbenahall/gateway/_engine_calls.py
@@ -46,7 +46,7 @@
             async with answer as response:
                 return decode_report(await response.read())
         except CALL_FAILURES as error:
-            _tell('report_failed', engine, error)
+            _log_failure('report_failed', engine, error)
         return Nothing
 
     async def order(self, engine: Entry, order: RoleOrder) -> int | None:
@@ -62,7 +62,7 @@
                 await response.read()
                 return response.status
         except CALL_FAILURES as error:
-            _tell('order_unanswered', engine, error)
+            _log_failure('order_unanswered', engine, error)
         return None
 
     async def free(self, engine: Entry, handle: str) -> None:
@@ -72,7 +72,7 @@
             async with answer as response:
                 await response.read()
         except CALL_FAILURES as error:
-            _tell('handle_not_freed', engine, error)
+            _log_failure('handle_not_freed', engine, error)
 
     @contextlib.asynccontextmanager
     async def _call(
@@ -94,5 +94,5 @@
                 yield response
 
 
-def _tell(event: str, engine: Entry, error: BaseException) -> None:
+def _log_failure(event: str, engine: Entry, error: BaseException) -> None:
     journal.write_decision(event, endpoint=engine.name, reason=repr(error))
--- a/packages/verbenahall/src/verbenahall/gateway/_generation.py
+++ b/packages/verbenahall/src/verbenahall/gateway/_generation.py
@@ -9,9 +9,9 @@
 from verbenahall.gateway._core import Core
 from verbenahall.gateway._grants import Grant
 from verbenahall.gateway._messages import Answered, Call, StreamEnded
-from verbenahall.gateway._reads import Handle
+from verbenahall.gateway._reads import KvHandle
 from verbenahall.gateway._relay import EventRelay
-from verbenahall.gateway._sender import SUCCESS, Opened, Sender
+from verbenahall.gateway._sender import SUCCESS_STATUSES, Opened, Sender
 from verbenahall.placement import InFlight, Plan, Totals
 from verbenahall.platform import CALL_FAILURES, SendOrder, read_answer
 from verbenahall.requests import Broken, Outcome
@@ -19,7 +19,7 @@
 Generated = Result[StreamEnded | Answered, Outcome]
 
 #: The caller's own connection broke while the stream was passed on.
-_CALLER_GONE: Final = ConnectionResetError
+_CALLER_DISCONNECTED: Final = ConnectionResetError
 
 
 @final
@@ -58,14 +58,14 @@
     async def run(
         self,
         plan: Plan,
-        handle: Handle | None,
+        handle: KvHandle | None,
         grant: Grant,
         *,
         resumable: bool,
     ) -> Generated:
         """Send once; go on from the handle, and after the last event."""
         self._grant: Grant = grant
-        order = self._order(plan, handle)
+        order = self._make_order(plan, handle)
         ledger = self._core.placement.ledger
         self._handed_over = handle is not None
         self._flight = ledger.open(
@@ -77,19 +77,21 @@
             ),
         )
         self._sent_at = self._core.now()
-        until = self._relay.silent_until(resumable=resumable)
+        until = self._relay.find_idle_deadline(resumable=resumable)
         sending = self._sender.open(self._call, plan.generator, order, until)
         try:
             async with sending as opened:
-                result = await self._judge(plan, order, opened, resumable)
+                result = await self._handle_opened(
+                    plan, order, opened, resumable
+                )
         finally:
             ledger.close(self._flight)
         ended = result.value_or(None)
         if isinstance(ended, StreamEnded):
-            self._learn(plan, ended)
+            self._record_completion(plan, ended)
         return result
 
-    def _order(self, plan: Plan, handle: Handle | None) -> SendOrder:
+    def _make_order(self, plan: Plan, handle: KvHandle | None) -> SendOrder:
         call = self._call
         return SendOrder(
             plan.generator.name,
@@ -99,7 +101,7 @@
             last_event=self._relay.state.last,
         )
 
-    async def _judge(
+    async def _handle_opened(
         self,
         plan: Plan,
         order: SendOrder,
@@ -108,11 +110,13 @@
     ) -> Generated:
         match opened:
             case Success(response):
-                return await self._take(plan, order, response, resumable)
+                return await self._handle_response(
+                    plan, order, response, resumable
+                )
             case _:
                 return opened
 
-    async def _take(
+    async def _handle_response(
         self,
         plan: Plan,
         order: SendOrder,
@@ -122,7 +126,7 @@
         """Pass a stream on, or return an answer that is no stream."""
         call = self._call
         engine = plan.generator
-        if response.status not in SUCCESS:
+        if response.status not in SUCCESS_STATUSES:
             return await self._sender.read_whole(
                 call,
                 engine,
@@ -132,28 +136,28 @@
             )
         if not read_answer(response.status, response.headers).signed:
             # Events without a signature are no engine's answer.
-            self._sender.note(engine, good=False)
+            self._sender.record_outcome(engine, good=False)
             return Failure(Broken('the stream bears no signature'))
         try:
-            pace = await self._relay.pump(
+            timing = await self._relay.pump(
                 response,
-                self._note_first,
+                self._handle_first_event,
                 resumable=resumable,
             )
-        except _CALLER_GONE:
+        except _CALLER_DISCONNECTED:
             raise
         except CALL_FAILURES as error:
-            return Failure(self._sender.name_failure(call, engine, error))
+            return Failure(self._sender.classify_failure(call, engine, error))
         event_tokens = call.service.engine.event_tokens
-        return Success(StreamEnded(pace, pace.find_step_s(event_tokens)))
+        return Success(StreamEnded(timing, timing.find_step_s(event_tokens)))
 
-    def _note_first(self) -> None:
+    def _handle_first_event(self) -> None:
         """Take the read out of the engine's open work once it is done.
 
         Left there until the stream's end, it looked to others like a prompt
         that they would have to wait for.
         """
-        self._count()
+        self._count_usage()
         placement = self._core.placement
         self._flight = placement.ledger.note_read(self._flight)
         now = self._core.now()
@@ -162,18 +166,18 @@
         if handover_s:
             placement.handover.note(handover_s, now)
 
-    def _count(self) -> None:
+    def _count_usage(self) -> None:
         """Count the request once, however many engines go on with it."""
         workspace = self._call.workspace
         if workspace is not None and not self._counted:
             self._core.meter.note_begun(workspace.name)
         self._counted = True
 
-    def _learn(self, plan: Plan, ended: StreamEnded) -> None:
+    def _record_completion(self, plan: Plan, ended: StreamEnded) -> None:
         call = self._call
-        pace = ended.pace
+        timing = ended.timing
         now = self._core.now()
-        self._sender.note(plan.generator, good=True)
+        self._sender.record_outcome(plan.generator, good=True)
         self._core.observer.note_answered(call.fingerprint)
         placement = self._core.placement
         placement.note_kept(plan.generator, call.ask.work, call.service)
@@ -183,12 +187,12 @@
             'generated',
             request=call.ask.identity,
             engine=plan.generator.name,
-            events=pace.events,
+            events=timing.events,
             first_s=journal.round_seconds(
-                (pace.first_at or now) - self._sent_at
+                (timing.first_at or now) - self._sent_at
             ),
             since_s=journal.round_seconds(
-                (pace.first_at or now) - call.received,
+                (timing.first_at or now) - call.received,
             ),
             took_s=journal.round_seconds(now - self._sent_at),
         )
--- a/packages/verbenahall/src/verbenahall/gateway/_grants.py
+++ b/packages/verbenahall/src/verbenahall/gateway/_grants.py
@@ -66,7 +66,7 @@
 
     def note_prefill(self, seconds: float) -> None:
         """Admit the next request."""
-        self._queues.look(self._call.service)
+        self._queues.admit_waiting(self._call.service)
 
     def note_first(self, handover_s: float) -> None:
         """Let the queue learn how long first events take."""
@@ -79,11 +79,11 @@
     def end(self, *, step_s: float = 0, refused: str = '') -> None:
         """Admit the next request."""
         self.start()
-        self._queues.look(self._call.service)
+        self._queues.admit_waiting(self._call.service)
 
 
 @final
-class NoGrant:
+class UnqueuedGrant:
     """A request that goes on without waiting: its prompt was read before."""
 
     __slots__ = ('plan',)
--- a/packages/verbenahall/src/verbenahall/gateway/_ingress.py
+++ b/packages/verbenahall/src/verbenahall/gateway/_ingress.py
@@ -14,7 +14,7 @@
     Admissions,
     read_host,
 )
-from verbenahall.gateway._answers import answer_with
+from verbenahall.gateway._answers import build_problem_response
 from verbenahall.gateway._core import Core
 from verbenahall.gateway._dispatch import Dispatch
 from verbenahall.gateway._limits import read_within
@@ -29,7 +29,7 @@
 
 #: When callers of a stopping instance may come back, in seconds: at once,
 #: since the balancer sends them to another one.
-_ELSEWHERE_S: Final = 0.05
+_STOPPING_RETRY_AFTER_S: Final = 0.05
 
 
 @final
@@ -58,8 +58,8 @@
         ask = read_ask(request.headers)
         match await self._accept(request, ask, received):
             case Failure(problem):
-                self._tell_refusal(request, ask, problem)
-                return answer_with(problem, ask.identity)
+                self._log_refused(request, ask, problem)
+                return build_problem_response(problem, ask.identity)
             case Success(call):
                 return await self._run(request, call)
         raise AssertionError('a result is a success or a failure')
@@ -69,14 +69,14 @@
         request: web.Request,
         call: Call,
     ) -> web.StreamResponse:
-        self._tell_accepted(call)
+        self._log_accepted(call)
         self._core.budget_of(call.service.name).earn()
         try:
             response = await self._start_flow(request, call)
         except (ConnectionError, asyncio.CancelledError):
-            self._tell_answered(call, 'caller_gone')
+            self._log_answered(call, 'caller_gone')
             raise
-        self._tell_answered(call, str(response.status))
+        self._log_answered(call, str(response.status))
         return response
 
     async def _start_flow(
@@ -89,7 +89,7 @@
             return await flow.run(self._dispatch)
         return await PlainFlow(self._core, self._sender, call).run()
 
-    def _tell_accepted(self, call: Call) -> None:
+    def _log_accepted(self, call: Call) -> None:
         belief_s = self._core.find_age(call.received)
         metrics.BELIEF_AGE_SECONDS.observe(belief_s)
         journal.write_decision(
@@ -108,7 +108,7 @@
             output=call.ask.work.output_tokens,
         )
 
-    def _tell_answered(self, call: Call, outcome: str) -> None:
+    def _log_answered(self, call: Call, outcome: str) -> None:
         journal.write_decision(
             'answered',
             request=call.ask.identity,
@@ -131,7 +131,7 @@
                 Problem(
                     ErrorKind.NOT_READY,
                     'the instance is stopping',
-                    retry_after_s=_ELSEWHERE_S,
+                    retry_after_s=_STOPPING_RETRY_AFTER_S,
                 ),
             )
         await self._core.freshness[OPERATOR_TOPIC].wait_usable()
@@ -197,7 +197,7 @@
             return Failure(describe_quarantine(left_s))
         return Success(call)
 
-    def _tell_refusal(
+    def _log_refused(
         self,
         request: web.Request,
         ask: Ask,
--- a/packages/verbenahall/src/verbenahall/gateway/_messages.py
+++ b/packages/verbenahall/src/verbenahall/gateway/_messages.py
@@ -67,7 +67,7 @@
 
 
 @final
-class Pace:
+class StreamTiming:
     """When a stream's events came: to learn from, and to tell in the log."""
 
     __slots__ = ('first_at', 'last_at', 'events')
@@ -78,7 +78,7 @@
         self.last_at: float | None = None
         self.events = 0
 
-    def note(self, events: int, now: float) -> float | None:
+    def record(self, events: int, now: float) -> float | None:
         """Note new events; return the pause before them, if it is known."""
         before = self.last_at
         self.last_at = now
@@ -102,5 +102,5 @@
     ``step_s`` is the time between two tokens, 0 if it cannot be told.
     """
 
-    pace: Pace
+    timing: StreamTiming
     step_s: float = 0
--- a/packages/verbenahall/src/verbenahall/gateway/_plain.py
+++ b/packages/verbenahall/src/verbenahall/gateway/_plain.py
@@ -9,7 +9,7 @@
 
 from verbenahall import metrics
 from verbenahall.errors import ErrorKind, Problem, Ran
-from verbenahall.gateway._answers import pass_on
+from verbenahall.gateway._answers import build_answer_response
 from verbenahall.gateway._attempts import Attempts
 from verbenahall.gateway._core import Core
 from verbenahall.gateway._messages import Answered, Call
@@ -20,7 +20,7 @@
 
 #: A further attempt needs this share of the objective at least: less time
 #: would hardly bring an answer.
-_LEAST_LEFT: Final = 0.25
+_MIN_LEFT_SHARE: Final = 0.25
 #: Load that an endpoint of another data centre is thought to have more, in
 #: places: a call there takes some milliseconds longer.
 _REMOTE_LOAD: Final = 0.5
@@ -28,7 +28,7 @@
 _FAILING_LOAD: Final = 8.0
 #: Share of the time left that a first attempt of a repeatable call gets, so
 #: that a silent endpoint leaves time for another one.
-_FIRST_SHARE: Final = 0.5
+_FIRST_ATTEMPT_SHARE: Final = 0.5
 
 
 @final
@@ -64,16 +64,16 @@
         final_answer: web.StreamResponse | None = None
         while final_answer is None:
             now = self._core.now()
-            fresh = self._list_fresh(now)
-            endpoint = choose_plain(self._core, fresh, now)
+            untried = self._list_untried(now)
+            endpoint = choose_endpoint(self._core, untried, now)
             if endpoint is None:
-                return self._give_up(self._describe_none_left())
-            others = len(fresh) > 1
+                return self._abandon(self._make_no_endpoint_problem())
+            others = len(untried) > 1
             result = await self._send(endpoint, others=others)
-            final_answer = self._judge(endpoint, result)
+            final_answer = self._handle_result(endpoint, result)
         return final_answer
 
-    def _list_fresh(self, now: float) -> Sequence[Entry]:
+    def _list_untried(self, now: float) -> Sequence[Entry]:
         """Return the endpoints that got this call not yet."""
         live = self._core.roster.live(self._call.service.name, now)
         tried = self._attempts.tried
@@ -92,22 +92,22 @@
         until = call.deadline
         may_repeat = call.route.repeatable and self._attempts.may_run_again
         if others and may_repeat:
-            until = now + call.left_s(now) * _FIRST_SHARE
+            until = now + call.left_s(now) * _FIRST_ATTEMPT_SHARE
         order = SendOrder(endpoint.name, call.left_s(now))
         result = await self._sender.exchange(call, endpoint, order, until)
-        self._attempts.note(endpoint.name, result)
+        self._attempts.record(endpoint.name, result)
         if self._attempts.runs == 1:
-            self._count(self._core.now() - now)
+            self._count_usage(self._core.now() - now)
         return result
 
-    def _count(self, ago_s: float) -> None:
+    def _count_usage(self, ago_s: float) -> None:
         """Count the request once it has, or may have, begun to run."""
         workspace = self._call.workspace
         if workspace is not None and not self._counted:
             self._core.meter.note_begun(workspace.name, ago_s)
         self._counted = True
 
-    def _judge(
+    def _handle_result(
         self,
         endpoint: Entry,
         result: Result[Answered, Outcome],
@@ -115,16 +115,18 @@
         """Return the final answer; None for another attempt."""
         match result:
             case Success(answered):
-                if not self._may_improve(endpoint, answered):
-                    return pass_on(answered)
+                if not self._may_retry_answer(endpoint, answered):
+                    return build_answer_response(answered)
                 self._fallback = answered
             case Failure(outcome):
-                problem = self._attempts.go_on(outcome, endpoint=endpoint.name)
+                problem = self._attempts.handle_failure(
+                    outcome, endpoint=endpoint.name
+                )
                 if problem is not None:
-                    return self._give_up(problem)
+                    return self._abandon(problem)
         return None
 
-    def _may_improve(self, endpoint: Entry, answered: Answered) -> bool:
+    def _may_retry_answer(self, endpoint: Entry, answered: Answered) -> bool:
         """Whether another endpoint may do better than this answer."""
         call = self._call
         failed = answered.status >= HTTPStatus.INTERNAL_SERVER_ERROR
@@ -133,18 +135,20 @@
         if self._attempts.runs >= call.route.max_attempts:
             return False
         left_s = call.left_s(self._core.now())
-        if left_s < call.route.objective_s * _LEAST_LEFT:
+        if left_s < call.route.objective_s * _MIN_LEFT_SHARE:
             return False
         self._attempts.tried.add(endpoint.name)
-        return self._attempts.improve(endpoint.name, answered.status)
+        return self._attempts.retry_failed_answer(
+            endpoint.name, answered.status
+        )
 
-    def _give_up(self, problem: Problem) -> web.StreamResponse:
+    def _abandon(self, problem: Problem) -> web.StreamResponse:
         """Answer with an endpoint's own failure rather than with ours."""
         if self._fallback is not None:
-            return pass_on(self._fallback)
-        return self._attempts.give_up(problem)
+            return build_answer_response(self._fallback)
+        return self._attempts.abandon(problem)
 
-    def _describe_none_left(self) -> Problem:
+    def _make_no_endpoint_problem(self) -> Problem:
         return Problem(
             ErrorKind.NO_ENDPOINT,
             'no endpoint of the service is left to try',
@@ -153,7 +157,7 @@
         )
 
 
-def choose_plain(
+def choose_endpoint(
     core: Core,
     endpoints: Sequence[Entry],
     now: float,
@@ -164,12 +168,12 @@
     ]
     return min(
         usable or endpoints,
-        key=lambda one: (_weigh(core, one, now), core.random.random()),
+        key=lambda one: (_estimate_load(core, one, now), core.random.random()),
         default=None,
     )
 
 
-def _weigh(core: Core, endpoint: Entry, now: float) -> float:
+def _estimate_load(core: Core, endpoint: Entry, now: float) -> float:
     standing = core.standings.of(endpoint.name)
     failing = core.standings.failing(endpoint.name, now)
     load = standing.open + failing * _FAILING_LOAD
--- a/packages/verbenahall/src/verbenahall/gateway/_prefill_queues.py
+++ b/packages/verbenahall/src/verbenahall/gateway/_prefill_queues.py
@@ -23,30 +23,30 @@
 
 #: How often waiting requests are looked at beside the ends of own reads, in
 #: seconds: peers' reads end, and what waited too long is told so.
-_LOOK_S: Final = 0.02
+_POLL_S: Final = 0.02
 
-Verdict = Result[Admitted, Problem]
+AdmitResult = Result[Admitted, Problem]
 
 
 @final
 class PrefillQueues:
     """Admits requests whose prompts engines have room for."""
 
-    __slots__ = ('_core', '_queues', '_waits', '_looking')
+    __slots__ = ('_core', '_queues', '_futures', '_polling')
 
     def __init__(self, core: Core) -> None:
         """Start without queues."""
         self._core = core
         self._queues: dict[str, PrefillQueue] = {}
-        self._waits: dict[QueuedRequest, asyncio.Future[Verdict]] = {}
-        self._looking: set[str] = set()
+        self._futures: dict[QueuedRequest, asyncio.Future[AdmitResult]] = {}
+        self._polling: set[str] = set()
 
-    async def take(
+    async def admit(
         self,
         call: Call,
         wanted: PlacementRequest,
         tried: frozenset[str],
-    ) -> Verdict:
+    ) -> AdmitResult:
         """Wait to be admitted; whoever is must close its work in flight."""
         now = self._core.now()
         pending = QueuedRequest(
@@ -60,8 +60,8 @@
             returning=call.waited_s > 0,
             tried=tried,
         )
-        wait = asyncio.get_running_loop().create_future()
-        self._waits[pending] = wait
+        future = asyncio.get_running_loop().create_future()
+        self._futures[pending] = future
         queue = self._queues.setdefault(call.service.name, PrefillQueue())
         self._apply(
             enqueue(
@@ -72,12 +72,12 @@
                 self._core.random,
             ),
         )
-        self.look(call.service)
+        self.admit_waiting(call.service)
         try:
-            return await self._wait(call, queue, pending, wait)
+            return await self._await_outcome(call, queue, pending, future)
         finally:
             queue.remove(pending)
-            self._waits.pop(pending)
+            self._futures.pop(pending)
 
     def note_first(
         self, call: Call, pending: QueuedRequest, sent_at: float
@@ -87,7 +87,7 @@
         queue = self._queues[call.service.name]
         queue.note_first(pending, now - sent_at, now)
 
-    def look(self, service: Service) -> None:
+    def admit_waiting(self, service: Service) -> None:
         """Admit those that engines have room for."""
         queue = self._queues.get(service.name)
         if queue is None or not queue.waiting:
@@ -101,38 +101,38 @@
                 self._core.random,
             ),
         )
-        if queue.waiting and service.name not in self._looking:
-            self._looking.add(service.name)
+        if queue.waiting and service.name not in self._polling:
+            self._polling.add(service.name)
             loop = asyncio.get_running_loop()
-            loop.call_later(_LOOK_S, self._look_again, service)
+            loop.call_later(_POLL_S, self._poll, service)
 
-    def _look_again(self, service: Service) -> None:
-        self._looking.discard(service.name)
-        self.look(service)
+    def _poll(self, service: Service) -> None:
+        self._polling.discard(service.name)
+        self.admit_waiting(service)
 
-    async def _wait(
+    async def _await_outcome(
         self,
         call: Call,
         queue: PrefillQueue,
         pending: QueuedRequest,
-        wait: asyncio.Future[Verdict],
-    ) -> Verdict:
-        if not wait.done():
-            self._tell_waiting(call, queue, pending)
+        future: asyncio.Future[AdmitResult],
+    ) -> AdmitResult:
+        if not future.done():
+            self._log_queued(call, queue, pending)
         try:
-            verdict = await wait
+            outcome = await future
         except asyncio.CancelledError:
             # The caller went away. Admitted in the same moment, its request
             # would count as a prefill that never ends.
-            if wait.done() and not wait.cancelled():
-                self._give_back(wait.result())
+            if future.done() and not future.cancelled():
+                self._release(future.result())
             raise
         metrics.QUEUE_SECONDS.observe(self._core.now() - call.received)
-        return verdict
+        return outcome
 
-    def _give_back(self, verdict: Verdict) -> None:
-        if isinstance(verdict, Success):
-            self._core.placement.ledger.close(verdict.unwrap().flight)
+    def _release(self, outcome: AdmitResult) -> None:
+        if isinstance(outcome, Success):
+            self._core.placement.ledger.close(outcome.unwrap().flight)
 
     def _describe_fleet(self, service: Service, now: float) -> Fleet:
         core = self._core
@@ -142,20 +142,20 @@
 
     def _apply(self, effects: QueueEffects) -> None:
         for admitted in effects.admitted:
-            self._settle(admitted.pending, Success(admitted))
+            self._resolve(admitted.pending, Success(admitted))
         for pending, problem in effects.refused:
             metrics.SHED.add(str(pending.priority))
-            self._settle(pending, Failure(problem))
+            self._resolve(pending, Failure(problem))
 
-    def _settle(self, pending: QueuedRequest, verdict: Verdict) -> None:
-        wait = self._waits.get(pending)
-        if wait is not None and not wait.done():
-            wait.set_result(verdict)
+    def _resolve(self, pending: QueuedRequest, outcome: AdmitResult) -> None:
+        future = self._futures.get(pending)
+        if future is not None and not future.done():
+            future.set_result(outcome)
         else:
             # The caller has left between two looks.
-            self._give_back(verdict)
+            self._release(outcome)
 
-    def _tell_waiting(
+    def _log_queued(
         self, call: Call, queue: PrefillQueue, pending: QueuedRequest
     ) -> None:
         now = self._core.now()
--- a/packages/verbenahall/src/verbenahall/gateway/_reads.py
+++ b/packages/verbenahall/src/verbenahall/gateway/_reads.py
@@ -24,12 +24,12 @@
 #: A read is given up, and tried at another engine, after this many times the
 #: expected wait and this time more, in seconds. Reads run nothing, so they
 #: may be repeated for every kind of request.
-_LATE_FACTOR: Final = 4.0
-_LATE_S: Final = 1.0
+_TIMEOUT_FACTOR: Final = 4.0
+_TIMEOUT_MARGIN_S: Final = 1.0
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Handle:
+class KvHandle:
     """KV cache of a prompt that lies at an engine until taken or freed."""
 
     engine: Entry
@@ -42,7 +42,7 @@
 
 
 @final
-class PromptReads:
+class PrefillCalls:
     """Has prompts read, and frees what nobody takes."""
 
     __slots__ = ('_core', '_sender')
@@ -52,39 +52,43 @@
         self._core = core
         self._sender = sender
 
-    async def read(
+    async def prefill(
         self,
         call: Call,
         plan: Plan,
-        reader: Entry,
-    ) -> Result[Handle, Outcome]:
+        prefill_engine: Entry,
+    ) -> Result[KvHandle, Outcome]:
         """Have the prompt read; return where its KV cache lies."""
         now = self._core.now()
         order = SendOrder(
-            reader.name,
+            prefill_engine.name,
             call.left_s(now),
             priority=call.priority,
             read_only=True,
         )
-        late_at = now + _LATE_S + plan.wait_s * _LATE_FACTOR
+        timeout_at = now + _TIMEOUT_MARGIN_S + plan.wait_s * _TIMEOUT_FACTOR
         ledger = self._core.placement.ledger
-        waited = ledger.totals(reader.name).reading
-        flight = ledger.open(reader.name, Totals(reading=plan.missing))
+        tokens_ahead = ledger.totals(prefill_engine.name).reading
+        flight = ledger.open(prefill_engine.name, Totals(reading=plan.missing))
         try:
             result = await self._sender.exchange(
                 call,
-                reader,
+                prefill_engine,
                 order,
-                min(call.deadline, late_at),
+                min(call.deadline, timeout_at),
             )
         finally:
             ledger.close(flight)
-        read = _decode(result)
-        if isinstance(read, Success):
-            self._learn(call, plan, reader, waited, self._core.now() - now)
-        return read.map(lambda prompt: Handle(reader, prompt.handle))
+        prefilled = _decode_handle(result)
+        if isinstance(prefilled, Success):
+            self._record_prefill(
+                call, plan, prefill_engine, tokens_ahead, self._core.now() - now
+            )
+        return prefilled.map(
+            lambda prompt: KvHandle(prefill_engine, prompt.handle)
+        )
 
-    def free(self, handle: Handle) -> None:
+    def free(self, handle: KvHandle) -> None:
         """Free a handle in the background.
 
         Untaken, it would keep the engine's memory from others for seconds,
@@ -93,33 +97,37 @@
         calls = self._core.engines
         self._core.spawn(calls.free(handle.engine, handle.name))
 
-    def _learn(
+    def _record_prefill(
         self,
         call: Call,
         plan: Plan,
-        reader: Entry,
-        waited: int,
+        prefill_engine: Entry,
+        tokens_ahead: int,
         seconds: float,
     ) -> None:
-        kept = call.ask.work.prompt_tokens - plan.missing
-        if not waited:
-            self._core.placement.learn_read(plan.missing, kept, seconds)
+        cached_tokens = call.ask.work.prompt_tokens - plan.missing
+        if not tokens_ahead:
+            self._core.placement.learn_read(
+                plan.missing, cached_tokens, seconds
+            )
         journal.write_decision(
             'read',
             request=call.ask.identity,
-            engine=reader.name,
+            engine=prefill_engine.name,
             missing=plan.missing,
-            kept=kept,
-            ahead=waited,
+            kept=cached_tokens,
+            ahead=tokens_ahead,
             took_s=journal.round_seconds(seconds),
         )
         metrics.READ_SECONDS.observe(seconds)
         metrics.READ_TOKENS.add('missing', count=plan.missing)
-        metrics.READ_TOKENS.add('kept', count=kept)
-        self._core.placement.note_kept(reader, call.ask.work, call.service)
+        metrics.READ_TOKENS.add('kept', count=cached_tokens)
+        self._core.placement.note_kept(
+            prefill_engine, call.ask.work, call.service
+        )
 
 
-def _decode(
+def _decode_handle(
     result: Result[Answered, Outcome],
 ) -> Result[ReadPrompt, Outcome]:
     match result:
--- a/packages/verbenahall/src/verbenahall/gateway/_relay.py
+++ b/packages/verbenahall/src/verbenahall/gateway/_relay.py
@@ -9,14 +9,14 @@
 from verbenahall import metrics
 from verbenahall.clock import Clock
 from verbenahall.gateway._events import EventState, feed
-from verbenahall.gateway._messages import Call, Pace
+from verbenahall.gateway._messages import Call, StreamTiming
 from verbenahall.platform import strip_hop_headers
 
 #: A stream that may be resumed and is silent for this many of the pauses
 #: that its callers bear on time is taken up by another engine, and at least
 #: for this long, in seconds: callers leave a stream after two seconds.
-_SILENT_GAPS: Final = 5.0
-_SILENT_S: Final = 1.2
+_IDLE_GAPS: Final = 5.0
+_MIN_IDLE_S: Final = 1.2
 
 
 @final
@@ -48,26 +48,26 @@
         note_first: Callable[[], None],
         *,
         resumable: bool,
-    ) -> Pace:
+    ) -> StreamTiming:
         """Pass a run on to its end; raise when it breaks or falls silent.
 
         ``note_first`` is called when the run's first event is there.
         """
-        pace = Pace()
+        timing = StreamTiming()
         while True:
-            async with asyncio.timeout(self._find_patience(resumable)):
+            async with asyncio.timeout(self._find_idle_timeout(resumable)):
                 piece = await response.content.readany()
             if not piece:
                 break
             step = feed(self.state, piece)
             if step.events:
-                if not pace.events:
+                if not timing.events:
                     note_first()
-                self._time(pace, step.events)
-                await self._write(response, step.passed)
-        if self.state.tail:
+                self._record_timing(timing, step.events)
+                await self._write(response, step.data)
+        if self.state.partial:
             raise ClientPayloadError('the stream ends in an event')
-        return pace
+        return timing
 
     async def finish(self) -> web.StreamResponse | None:
         """End the answer; None when there is none to end."""
@@ -75,27 +75,27 @@
             await self._response.write_eof()
         return self._response
 
-    def break_off(self) -> web.StreamResponse | None:
+    def abort_stream(self) -> web.StreamResponse | None:
         """Close the caller's connection; None when nothing was sent yet."""
         transport = self._request.transport
         if self._response is not None and transport is not None:
             transport.abort()
         return self._response
 
-    def silent_until(self, *, resumable: bool) -> float:
+    def find_idle_deadline(self, *, resumable: bool) -> float:
         """Return until when an engine may be silent."""
         call = self._call
         if not resumable:
             return call.deadline
-        silent_s = max(_SILENT_S, call.route.gap_s * _SILENT_GAPS)
-        return min(call.deadline, self._clock() + silent_s)
+        idle_s = max(_MIN_IDLE_S, call.route.gap_s * _IDLE_GAPS)
+        return min(call.deadline, self._clock() + idle_s)
 
-    def _find_patience(self, resumable: bool) -> float:
-        return self.silent_until(resumable=resumable) - self._clock()
+    def _find_idle_timeout(self, resumable: bool) -> float:
+        return self.find_idle_deadline(resumable=resumable) - self._clock()
 
-    def _time(self, pace: Pace, events: int) -> None:
+    def _record_timing(self, timing: StreamTiming, events: int) -> None:
         now = self._clock()
-        pause = pace.note(events, now)
+        pause = timing.record(events, now)
         if pause is None and self._response is None:
             metrics.FIRST_TOKEN_SECONDS.observe(now - self._call.received)
         elif pause is not None:
@@ -104,7 +104,7 @@
     async def _write(
         self,
         response: ClientResponse,
-        passed: bytes,
+        data: bytes,
     ) -> None:
         if self._response is None:
             self._response = web.StreamResponse(
@@ -114,12 +114,12 @@
             )
             self._response.enable_chunked_encoding()
             await self._response.prepare(self._request)
-        await self._hand_over(self._response, passed)
+        await self._write_before_deadline(self._response, data)
 
-    async def _hand_over(
+    async def _write_before_deadline(
         self,
         response: web.StreamResponse,
-        passed: bytes,
+        data: bytes,
     ) -> None:
         """Write to the caller, but not beyond the request's deadline.
 
@@ -128,6 +128,6 @@
         """
         left_s = self._call.left_s(self._clock())
         try:
-            await asyncio.wait_for(response.write(passed), left_s)
+            await asyncio.wait_for(response.write(data), left_s)
         except TimeoutError as error:
             raise ConnectionResetError('the caller reads no more') from error
--- a/packages/verbenahall/src/verbenahall/gateway/_sender.py
+++ b/packages/verbenahall/src/verbenahall/gateway/_sender.py
@@ -39,15 +39,15 @@
 
 Answer = TypeVar('Answer')
 
-SUCCESS: Final = range(HTTPStatus.OK, HTTPStatus.MULTIPLE_CHOICES)
+SUCCESS_STATUSES: Final = range(HTTPStatus.OK, HTTPStatus.MULTIPLE_CHOICES)
 #: Why nothing is sent to an endpoint that was chosen before it left.
-_LEFT: Final = 'the endpoint has left'
+_ENDPOINT_LEFT: Final = 'the endpoint has left'
 #: Longest time for the rest of a refusal, in seconds.
-_REFUSAL_S: Final = 0.2
+_REFUSAL_BODY_S: Final = 0.2
 #: How the kernel names a peer that acknowledges nothing.
-_SILENCE: Final = frozenset((errno.ETIMEDOUT, errno.EHOSTUNREACH))
+_NO_ACK_ERRNOS: Final = frozenset((errno.ETIMEDOUT, errno.EHOSTUNREACH))
 #: Why nothing is sent.
-Hindrance = NeverWritten | Quarantined | Limited | Unauthorized
+NotSent = NeverWritten | Quarantined | Limited | Unauthorized
 #: How an attempt may end with a response that is not read yet.
 Opened = Result[aiohttp.ClientResponse, Outcome]
 
@@ -78,34 +78,34 @@
         Nothing is sent to an endpoint that has left since it was chosen, that
         takes no more for now, or once endpoints have crashed under the call.
         """
-        hindrance = await self._find_hindrance(call, endpoint, until)
-        if hindrance is not None:
-            self._tell_not_sent(call, endpoint, hindrance)
-            yield Failure(hindrance)
+        not_sent = await self._check_sendable(call, endpoint, until)
+        if not_sent is not None:
+            self._log_not_sent(call, endpoint, not_sent)
+            yield Failure(not_sent)
             return
-        holder = find_workspace(self._core, call).value_or(None)
+        workspace = find_workspace(self._core, call).value_or(None)
         request = self._core.session.request(
             call.method,
             yarl.URL(f'http://{endpoint.address}{call.path}', encoded=True),
             headers=build_send_headers(
                 call.raw_headers,
                 order,
-                holder.name if holder else '',
+                workspace.name if workspace else '',
             ),
             data=call.body or None,
             allow_redirects=False,
         )
         standing = self._core.standings.of(endpoint.name)
         standing.open += 1
-        self._tell_sent(call, endpoint, order)
+        self._log_sent(call, endpoint, order)
         response = None
         sent_at = self._core.now()
         try:
             response = await self._wait_until(until, request)
         except CALL_FAILURES as error:
-            yield Failure(self.name_failure(call, endpoint, error))
+            yield Failure(self.classify_failure(call, endpoint, error))
         else:
-            yield await self._judge(endpoint, order, response, sent_at)
+            yield await self._check_refusal(endpoint, order, response, sent_at)
         finally:
             standing.open -= 1
             if response is not None:
@@ -133,7 +133,7 @@
                     return Failure(outcome)
         return Failure(Broken('no outcome'))
 
-    def note(self, endpoint: Entry, *, good: bool) -> None:
+    def record_outcome(self, endpoint: Entry, *, good: bool) -> None:
         """Note how an endpoint's answer ended."""
         now = self._core.now()
         self._core.standings.note(endpoint.name, now, good=good)
@@ -150,16 +150,20 @@
         try:
             body = await self._wait_until(until, response.read())
         except CALL_FAILURES as error:
-            return Failure(self.name_failure(call, endpoint, error))
+            return Failure(self.classify_failure(call, endpoint, error))
         facts = read_answer(response.status, response.headers)
-        signs = not order.read_only
-        if response.status in SUCCESS and signs and not facts.signed:
+        must_be_signed = not order.read_only
+        if (
+            response.status in SUCCESS_STATUSES
+            and must_be_signed
+            and not facts.signed
+        ):
             # An answer without a signature is no endpoint's answer.
-            self.note(endpoint, good=False)
+            self.record_outcome(endpoint, good=False)
             return Failure(Broken('the answer bears no signature'))
         good = response.status < HTTPStatus.INTERNAL_SERVER_ERROR
-        self.note(endpoint, good=good)
-        if signs and good:
+        self.record_outcome(endpoint, good=good)
+        if must_be_signed and good:
             self._core.observer.note_answered(call.fingerprint)
         return Success(
             Answered(
@@ -170,7 +174,7 @@
             ),
         )
 
-    def name_failure(
+    def classify_failure(
         self,
         call: Call,
         endpoint: Entry,
@@ -181,23 +185,23 @@
         if isinstance(error, CONNECT_FAILURES):
             self._core.standings.note_unreachable(endpoint.name, now)
             return NeverWritten(repr(error))
-        if isinstance(error, OSError) and error.errno in _SILENCE:
+        if isinstance(error, OSError) and error.errno in _NO_ACK_ERRNOS:
             self._core.standings.note_unreachable(endpoint.name, now)
             return Broken(repr(error))
-        self.note(endpoint, good=False)
+        self.record_outcome(endpoint, good=False)
         if isinstance(error, TimeoutError) and now >= call.deadline:
             return TimedOut()
         if not isinstance(error, TimeoutError):
-            self._tell_lost(call, endpoint)
+            self._log_lost_connection(call, endpoint)
             self._core.observer.note_lost(call.fingerprint, endpoint)
         return Broken(repr(error))
 
-    async def _find_hindrance(
+    async def _check_sendable(
         self,
         call: Call,
         endpoint: Entry,
         until: float,
-    ) -> Hindrance | None:
+    ) -> NotSent | None:
         """Return why nothing may be sent to an endpoint chosen before."""
         core = self._core
         limited = await core.limiter.acquire(endpoint, until - core.now())
@@ -209,12 +213,12 @@
         if left_s:
             return Quarantined(left_s)
         if not core.roster.may_get_work(endpoint.name, now):
-            return NeverWritten(_LEFT)
+            return NeverWritten(_ENDPOINT_LEFT)
         if isinstance(find_workspace(core, call), Failure):
             return Unauthorized()
         return None
 
-    def _tell_lost(self, call: Call, endpoint: Entry) -> None:
+    def _log_lost_connection(self, call: Call, endpoint: Entry) -> None:
         journal.write_decision(
             'connection_lost',
             request=call.ask.identity,
@@ -224,21 +228,21 @@
             open=self._core.standings.of(endpoint.name).open,
         )
 
-    def _tell_not_sent(
+    def _log_not_sent(
         self,
         call: Call,
         endpoint: Entry,
-        hindrance: Hindrance,
+        not_sent: NotSent,
     ) -> None:
         journal.write_decision(
             'not_sent',
             request=call.ask.identity,
             fingerprint=call.fingerprint,
             endpoint=endpoint.name,
-            reason=str(hindrance),
+            reason=str(not_sent),
         )
 
-    def _tell_sent(
+    def _log_sent(
         self,
         call: Call,
         endpoint: Entry,
@@ -269,7 +273,7 @@
         async with asyncio.timeout(until - self._core.now()):
             return await work
 
-    async def _judge(
+    async def _check_refusal(
         self,
         endpoint: Entry,
         order: SendOrder,
@@ -288,5 +292,5 @@
         # Read to its end, the refusal leaves its connection to the next
         # send; a new one would cost a handshake.
         with contextlib.suppress(*CALL_FAILURES):
-            await asyncio.wait_for(response.read(), _REFUSAL_S)
+            await asyncio.wait_for(response.read(), _REFUSAL_BODY_S)
         return Failure(Refused(response.status))
--- a/packages/verbenahall/src/verbenahall/gateway/_streams.py
+++ b/packages/verbenahall/src/verbenahall/gateway/_streams.py
@@ -7,15 +7,15 @@
 
 from verbenahall import journal, metrics
 from verbenahall.errors import ErrorKind, Problem
-from verbenahall.gateway._answers import pass_on
+from verbenahall.gateway._answers import build_answer_response
 from verbenahall.gateway._attempts import Attempts
 from verbenahall.gateway._core import Core
 from verbenahall.gateway._dispatch import Dispatch
-from verbenahall.gateway._events import restart
+from verbenahall.gateway._events import discard_partial
 from verbenahall.gateway._generation import Generated, Generation
-from verbenahall.gateway._grants import Grant, NoGrant
+from verbenahall.gateway._grants import Grant, UnqueuedGrant
 from verbenahall.gateway._messages import Answered, Call, StreamEnded
-from verbenahall.gateway._reads import Handle, PromptReads
+from verbenahall.gateway._reads import KvHandle, PrefillCalls
 from verbenahall.gateway._relay import EventRelay
 from verbenahall.gateway._sender import Sender
 from verbenahall.placement import PlacementRequest, Plan, place
@@ -32,7 +32,7 @@
 from verbenahall.roster import Entry
 
 #: After so many refusals the handle may be what is refused.
-_DOUBTED: Final = 2
+_MAX_HANDLE_REFUSALS: Final = 2
 
 
 @final
@@ -43,10 +43,10 @@
         '_core',
         '_call',
         '_relay',
-        '_reads',
+        '_prefills',
         '_generation',
         '_attempts',
-        '_handle',
+        '_kv_handle',
         '_grant',
         '_refusals',
     )
@@ -62,10 +62,10 @@
         self._core = core
         self._call = call
         self._relay = EventRelay(request, call, core.now)
-        self._reads = PromptReads(core, sender)
+        self._prefills = PrefillCalls(core, sender)
         self._generation = Generation(core, sender, call, self._relay)
         self._attempts = Attempts(core, call)
-        self._handle: Handle | None = None
+        self._kv_handle: KvHandle | None = None
         self._grant: Grant | None = None
         self._refusals = 0
 
@@ -74,36 +74,38 @@
         try:
             return await self._run(dispatch)
         finally:
-            self._give_back()
+            self._release()
             metrics.ATTEMPTS.add(str(self._attempts.begun))
 
     async def _run(self, dispatch: Dispatch) -> web.StreamResponse:
         final_answer: web.StreamResponse | None = None
         while final_answer is None:
-            match await self._await_turn(dispatch):
+            match await self._await_admission(dispatch):
                 case Success(grant):
                     self._grant = grant
-                    self._tell_plan(grant.plan)
-                    result = await self._follow(grant)
-                    final_answer = await self._judge(grant.plan, result)
+                    self._log_placement(grant.plan)
+                    result = await self._execute_plan(grant)
+                    final_answer = await self._handle_result(grant.plan, result)
                 case Failure(problem):
-                    return self._give_up(problem)
+                    return self._abandon(problem)
         return final_answer
 
-    async def _await_turn(self, dispatch: Dispatch) -> Result[Grant, Problem]:
+    async def _await_admission(
+        self, dispatch: Dispatch
+    ) -> Result[Grant, Problem]:
         """Wait for the prompt's turn to be read, unless it was read.
 
         A request that may have run, or that has a part of its answer, goes on
         at once: it is not to be told that it has not run, and its caller
         already waits for the next event.
         """
-        if self._handle or self._attempts.runs or self._relay.begun:
-            return self._place().map(NoGrant)
+        if self._kv_handle or self._attempts.runs or self._relay.begun:
+            return self._place().map(UnqueuedGrant)
         wanted = PlacementRequest(self._call.ask.work, self._call.route.gap_s)
         tried = frozenset(self._attempts.tried)
-        return await dispatch.take(self._call, wanted, tried)
+        return await dispatch.admit(self._call, wanted, tried)
 
-    async def _judge(
+    async def _handle_result(
         self,
         plan: Plan,
         result: Generated,
@@ -111,9 +113,9 @@
         """Return the final answer; None for another attempt."""
         match result:
             case Failure(outcome):
-                return self._go_on(plan, outcome)
+                return self._handle_failure(plan, outcome)
             case Success(done):
-                self._handle = None
+                self._kv_handle = None
                 return await self._finish(done)
         raise AssertionError('a result is a success or a failure')
 
@@ -123,48 +125,50 @@
         now = core.now()
         usable = core.list_usable(call.service.name, now)
         tried = self._attempts.tried
-        fresh = [one for one in usable if one.name not in tried]
-        read_by = self._handle.engine if self._handle else None
+        untried = [one for one in usable if one.name not in tried]
+        prefilled_by = self._kv_handle.engine if self._kv_handle else None
         return place(
             core.placement,
-            PlacementRequest(call.ask.work, call.route.gap_s, read_by),
-            fresh or usable,
+            PlacementRequest(call.ask.work, call.route.gap_s, prefilled_by),
+            untried or usable,
             call.service.engine,
             now,
         )
 
-    async def _follow(self, grant: Grant) -> Generated:
+    async def _execute_plan(self, grant: Grant) -> Generated:
         """Carry a plan out; a handle that nobody took is kept."""
         self._attempts.begun += 1
         grant.start()
         plan = grant.plan
-        if plan.reader is not None and self._handle is None:
+        if plan.reader is not None and self._kv_handle is None:
             started = self._core.now()
-            read = await self._reads.read(self._call, plan, plan.reader)
-            match read:
+            prefilled = await self._prefills.prefill(
+                self._call, plan, plan.reader
+            )
+            match prefilled:
                 case Failure(outcome):
                     self._attempts.tried.add(plan.reader.name)
-                    _end(grant, plan.reader, outcome)
-                    return Failure(_name_unread(outcome))
+                    _end_grant(grant, plan.reader, outcome)
+                    return Failure(_classify_prefill_failure(outcome))
                 case Success(handle):
-                    self._handle = handle
+                    self._kv_handle = handle
             grant.note_prefill(self._core.now() - started)
-            plan = self._renew(grant)
+            plan = self._update_plan(grant)
         return await self._generate(plan, grant)
 
     async def _generate(self, plan: Plan, grant: Grant) -> Generated:
         route = self._call.route
         result = await self._generation.run(
             plan,
-            self._handle,
+            self._kv_handle,
             grant,
             resumable=route.resumable and self._attempts.may_run_again,
         )
-        self._attempts.note(plan.generator.name, result)
+        self._attempts.record(plan.generator.name, result)
         match result:
             case Failure(outcome):
-                _end(grant, plan.generator, outcome)
-                if not self._may_keep(outcome):
+                _end_grant(grant, plan.generator, outcome)
+                if not self._can_keep_handle(outcome):
                     self._drop_handle()
             case Success(StreamEnded(step_s=step_s)):
                 grant.end(step_s=step_s)
@@ -172,7 +176,7 @@
                 grant.end()
         return result
 
-    def _may_keep(self, outcome: Outcome) -> bool:
+    def _can_keep_handle(self, outcome: Outcome) -> bool:
         """Whether the KV cache still lies where it was.
 
         Reading the prompt again for another engine costs the time of a whole
@@ -184,17 +188,19 @@
                 return True
             case Refused():
                 self._refusals += 1
-                doubted = self._refusals >= _DOUBTED
-                if doubted and self._handle is not None:
+                suspect = self._refusals >= _MAX_HANDLE_REFUSALS
+                if suspect and self._kv_handle is not None:
                     # Two engines could not fetch it: the one that holds it
                     # moves KV cache too slowly, or not at all.
-                    reader = self._handle.engine.name
-                    self._core.standings.note_refusal(reader, self._core.now())
-                return not doubted
+                    prefill_engine = self._kv_handle.engine.name
+                    self._core.standings.note_refusal(
+                        prefill_engine, self._core.now()
+                    )
+                return not suspect
             case _:
                 return False
 
-    def _renew(self, grant: Grant) -> Plan:
+    def _update_plan(self, grant: Grant) -> Plan:
         """Choose the generator anew once the prompt was read.
 
         A read may take seconds. An engine that has said meanwhile that it
@@ -209,7 +215,7 @@
                 return plan
         return self._place().value_or(plan)
 
-    def _give_back(self) -> None:
+    def _release(self) -> None:
         """Free what is still held at engines."""
         self._drop_handle()
         if self._grant is not None:
@@ -217,11 +223,11 @@
 
     def _drop_handle(self) -> None:
         """Free the handle, if there is one that nobody has taken."""
-        if self._handle is not None:
-            self._reads.free(self._handle)
-            self._handle = None
+        if self._kv_handle is not None:
+            self._prefills.free(self._kv_handle)
+            self._kv_handle = None
 
-    def _go_on(
+    def _handle_failure(
         self,
         plan: Plan,
         outcome: Outcome,
@@ -229,36 +235,36 @@
         """Decide what follows a failure; None for another attempt."""
         # Without a handle the prompt is read and generated anew; a failed
         # read alone is one send.
-        unread = isinstance(outcome, Unprepared)
-        problem = self._attempts.go_on(
+        prefill_failed = isinstance(outcome, Unprepared)
+        problem = self._attempts.handle_failure(
             outcome,
             delivered=self._relay.begun,
-            resends=1 if self._handle or unread else 2,
+            resends=1 if self._kv_handle or prefill_failed else 2,
             reader=plan.reader.name if plan.reader else None,
             generator=plan.generator.name,
             last_event=self._relay.state.last,
         )
         if problem is not None:
-            return self._give_up(problem)
-        restart(self._relay.state)
+            return self._abandon(problem)
+        discard_partial(self._relay.state)
         return None
 
     async def _finish(self, done: object) -> web.StreamResponse:
         if isinstance(done, Answered):
-            return pass_on(done)
+            return build_answer_response(done)
         response = await self._relay.finish()
         if response is None:
             # Complete and empty: nothing was left to resume.
             message = 'the stream had no events'
-            return self._give_up(Problem(ErrorKind.ANSWER_TRUNCATED, message))
+            return self._abandon(Problem(ErrorKind.ANSWER_TRUNCATED, message))
         return response
 
-    def _give_up(self, problem: Problem) -> web.StreamResponse:
+    def _abandon(self, problem: Problem) -> web.StreamResponse:
         """Answer at once, or break a stream so that it does not look whole."""
-        answer = self._attempts.give_up(problem, answered=self._relay.begun)
-        return self._relay.break_off() or answer
+        answer = self._attempts.abandon(problem, delivered=self._relay.begun)
+        return self._relay.abort_stream() or answer
 
-    def _tell_plan(self, plan: Plan) -> None:
+    def _log_placement(self, plan: Plan) -> None:
         journal.write_decision(
             'placed',
             request=self._call.ask.identity,
@@ -271,7 +277,7 @@
         )
 
 
-def _end(grant: Grant, engine: Entry, outcome: Outcome) -> None:
+def _end_grant(grant: Grant, engine: Entry, outcome: Outcome) -> None:
     """Give the engines back after a failure at one of them.
 
     That it took no work is told: it may be changing its role, and others
@@ -281,7 +287,7 @@
     grant.end(refused=engine.name if refused else '')
 
 
-def _name_unread(outcome: Outcome) -> Outcome:
+def _classify_prefill_failure(outcome: Outcome) -> Outcome:
     """Name how a read failed as an outcome of the request itself.
 
     A read runs nothing, so the request may go on elsewhere whatever became
