--- a/packages/verbenahall/src/verbenahall/gateway/_streams.py
+++ b/packages/verbenahall/src/verbenahall/gateway/_streams.py
@@ -1,4 +1,4 @@
-"""Model requests: the prompt read on one engine, generated on another."""
+"""Model requests: prefill on one engine, decode on another."""
 
 from typing import Final, final
 
@@ -31,13 +31,14 @@
 )
 from verbenahall.roster import Entry
 
-#: After so many refusals the handle may be what is refused.
+#: Refusals by decode engines after which the KV cache handle is dropped: the
+#: fault may lie with the engine that holds it rather than with theirs.
 _MAX_HANDLE_REFUSALS: Final = 2
 
 
 @final
 class StreamFlow:
-    """One model request, from its placement to the end of its stream."""
+    """Handles one model request from placement to the end of its stream."""
 
     __slots__ = (
         '_core',
@@ -58,7 +59,7 @@
         call: Call,
         request: web.Request,
     ) -> None:
-        """Prepare; nothing is sent before ``run``."""
+        """Store the arguments; nothing is sent before ``run``."""
         self._core = core
         self._call = call
         self._relay = EventRelay(request, call, core.now)
@@ -70,7 +71,7 @@
         self._refusals = 0
 
     async def run(self, dispatch: Dispatch) -> web.StreamResponse:
-        """Send until the stream has ended or is given up."""
+        """Make attempts until the stream ends or the request is given up."""
         try:
             return await self._run(dispatch)
         finally:
@@ -93,11 +94,11 @@
     async def _await_admission(
         self, dispatch: Dispatch
     ) -> Result[Grant, Problem]:
-        """Wait for the prompt's turn to be read, unless it was read.
+        """Wait in the prefill queue, unless the prompt was prefilled before.
 
-        A request that may have run, or that has a part of its answer, goes on
-        at once: it is not to be told that it has not run, and its caller
-        already waits for the next event.
+        A request that may have run, or part of whose answer was delivered,
+        isn't queued: a refusal by the queue would state that the request has
+        not run, and its caller already waits for the next event.
         """
         if self._kv_handle or self._attempts.runs or self._relay.begun:
             return self._place().map(UnqueuedGrant)
@@ -136,7 +137,7 @@
         )
 
     async def _execute_plan(self, grant: Grant) -> Generated:
-        """Carry a plan out; a handle that nobody took is kept."""
+        """Prefill and decode by the plan; keep the handle if it is unused."""
         self._attempts.begun += 1
         grant.start()
         plan = grant.plan
@@ -177,11 +178,11 @@
         return result
 
     def _can_keep_handle(self, outcome: Outcome) -> bool:
-        """Whether the KV cache still lies where it was.
+        """Whether the handle can be used for the next decode engine.
 
-        Reading the prompt again for another engine costs the time of a whole
-        read. An engine that refuses has mostly no room; only when a second
-        one refuses, too, the handle itself is doubted.
+        Without it the whole prompt is prefilled again. An engine that refuses
+        is usually full, so one refusal doesn't invalidate the handle. After a
+        second one the handle is taken to be unusable.
         """
         match outcome:
             case NeverWritten() | Limited():
@@ -190,8 +191,8 @@
                 self._refusals += 1
                 suspect = self._refusals >= _MAX_HANDLE_REFUSALS
                 if suspect and self._kv_handle is not None:
-                    # Two engines could not fetch it: the one that holds it
-                    # moves KV cache too slowly, or not at all.
+                    # Two engines could not fetch the KV cache: the engine that
+                    # holds it transfers it too slowly or not at all.
                     prefill_engine = self._kv_handle.engine.name
                     self._core.standings.note_refusal(
                         prefill_engine, self._core.now()
@@ -201,11 +202,12 @@
                 return False
 
     def _update_plan(self, grant: Grant) -> Plan:
-        """Choose the generator anew once the prompt was read.
+        """Choose the decode engine again after the prefill.
 
-        A read may take seconds. An engine that has said meanwhile that it
-        leaves may get no more work, and the least busy one may have changed.
-        One that a scheduler keeps a place at is only left if it has left.
+        A prefill may take seconds. Meanwhile the chosen engine may have
+        started to drain, so that it must get no more work, and another one
+        may have become the least busy. An engine at which a scheduler has
+        reserved a place is kept as long as it is usable.
         """
         plan = grant.plan
         if grant.holds_decode:
@@ -216,13 +218,13 @@
         return self._place().value_or(plan)
 
     def _release(self) -> None:
-        """Free what is still held at engines."""
+        """Free the handle and end the grant."""
         self._drop_handle()
         if self._grant is not None:
             self._grant.end()
 
     def _drop_handle(self) -> None:
-        """Free the handle, if there is one that nobody has taken."""
+        """Free the handle if there is an unused one."""
         if self._kv_handle is not None:
             self._prefills.free(self._kv_handle)
             self._kv_handle = None
@@ -232,9 +234,9 @@
         plan: Plan,
         outcome: Outcome,
     ) -> web.StreamResponse | None:
-        """Decide what follows a failure; None for another attempt."""
-        # Without a handle the prompt is read and generated anew; a failed
-        # read alone is one send.
+        """Return the final answer after a failure; None for another attempt."""
+        # The next attempt takes one send if only prefill or only decode is
+        # repeated, and two if both are.
         prefill_failed = isinstance(outcome, Unprepared)
         problem = self._attempts.handle_failure(
             outcome,
@@ -254,13 +256,17 @@
             return build_answer_response(done)
         response = await self._relay.finish()
         if response is None:
-            # Complete and empty: nothing was left to resume.
+            # The stream ended properly without an event, so nothing can be
+            # resumed.
             message = 'the stream had no events'
             return self._abandon(Problem(ErrorKind.ANSWER_TRUNCATED, message))
         return response
 
     def _abandon(self, problem: Problem) -> web.StreamResponse:
-        """Answer at once, or break a stream so that it does not look whole."""
+        """Return an error response, or abort the stream if it has begun.
+
+        Ended normally, the stream would look complete to the caller.
+        """
         answer = self._attempts.abandon(problem, delivered=self._relay.begun)
         return self._relay.abort_stream() or answer
 
@@ -278,21 +284,21 @@
 
 
 def _end_grant(grant: Grant, engine: Entry, outcome: Outcome) -> None:
-    """Give the engines back after a failure at one of them.
+    """End a grant after a failure at one of its engines.
 
-    That it took no work is told: it may be changing its role, and others
-    would be sent there next.
+    A refusal is reported with it: the engine may be changing its role, and
+    the scheduler would assign the next requests to it.
     """
     refused = isinstance(outcome, Refused | NeverWritten | Limited)
     grant.end(refused=engine.name if refused else '')
 
 
 def _classify_prefill_failure(outcome: Outcome) -> Outcome:
-    """Name how a read failed as an outcome of the request itself.
+    """Return the outcome of an attempt whose prefill failed.
 
-    A read runs nothing, so the request may go on elsewhere whatever became
-    of it, also where it may run only once.
+    A prefill doesn't execute the request, so any failure of it allows another
+    attempt, even for a request that may run only once.
     """
     if isinstance(outcome, TimedOut | Quarantined | Limited | Unauthorized):
         return outcome
-    return Unprepared(f'the prompt was not read: {outcome}')
+    return Unprepared(f'the prefill failed: {outcome}')
