--- a/packages/verbenahall/src/verbenahall/gateway/_sender.py
+++ b/packages/verbenahall/src/verbenahall/gateway/_sender.py
@@ -1,4 +1,4 @@
-"""One send to one endpoint, and what became of it."""
+"""Sends a call to one endpoint and classifies the outcome."""
 
 import asyncio
 import contextlib
@@ -40,26 +40,26 @@
 Answer = TypeVar('Answer')
 
 SUCCESS_STATUSES: Final = range(HTTPStatus.OK, HTTPStatus.MULTIPLE_CHOICES)
-#: Why nothing is sent to an endpoint that was chosen before it left.
+#: Reason that is logged when the endpoint left after it was chosen.
 _ENDPOINT_LEFT: Final = 'the endpoint has left'
-#: Longest time for the rest of a refusal, in seconds.
+#: Longest time to read the body of a refusal, in seconds.
 _REFUSAL_BODY_S: Final = 0.2
-#: How the kernel names a peer that acknowledges nothing.
+#: Errors of the kernel for a host that doesn't acknowledge packets.
 _NO_ACK_ERRNOS: Final = frozenset((errno.ETIMEDOUT, errno.EHOSTUNREACH))
-#: Why nothing is sent.
+#: Reasons why a call is not sent.
 NotSent = NeverWritten | Quarantined | Limited | Unauthorized
-#: How an attempt may end with a response that is not read yet.
+#: A response whose body is not read yet, or the outcome of a failed send.
 Opened = Result[aiohttp.ClientResponse, Outcome]
 
 
 @final
 class Sender:
-    """Sends calls to endpoints and tells every outcome by its kind."""
+    """Sends calls to endpoints and classifies the outcomes."""
 
     __slots__ = ('_core',)
 
     def __init__(self, core: Core) -> None:
-        """Send through the process's session."""
+        """Send through the HTTP session of the core."""
         self._core = core
 
     @contextlib.asynccontextmanager
@@ -70,13 +70,14 @@
         order: SendOrder,
         until: float,
     ) -> AsyncIterator[Opened]:
-        """Send a call and yield the response once its head is there.
+        """Send a call and yield the response once its head has arrived.
 
-        Leaving the context early closes the connection, by which endpoints
-        notice that nobody waits for the answer any more.
+        Leaving the context early closes the connection, which tells the
+        endpoint that the caller no longer waits for the answer.
 
-        Nothing is sent to an endpoint that has left since it was chosen, that
-        takes no more for now, or once endpoints have crashed under the call.
+        Nothing is sent if the endpoint has left since it was chosen, if its
+        rate limit allows no more, if the call is in quarantine because
+        endpoints crashed under it, or if its API key is no longer valid.
         """
         not_sent = await self._check_sendable(call, endpoint, until)
         if not_sent is not None:
@@ -134,7 +135,7 @@
         return Failure(Broken('no outcome'))
 
     def record_outcome(self, endpoint: Entry, *, good: bool) -> None:
-        """Note how an endpoint's answer ended."""
+        """Record whether an endpoint's answer was good."""
         now = self._core.now()
         self._core.standings.note(endpoint.name, now, good=good)
 
@@ -146,7 +147,7 @@
         response: aiohttp.ClientResponse,
         until: float,
     ) -> Result[Answered, Outcome]:
-        """Read the rest of an answer whose head is there."""
+        """Read the rest of an answer whose head has arrived."""
         try:
             body = await self._wait_until(until, response.read())
         except CALL_FAILURES as error:
@@ -158,9 +159,10 @@
             and must_be_signed
             and not facts.signed
         ):
-            # An answer without a signature is no endpoint's answer.
+            # Endpoints sign their answers, so this one comes from something
+            # else at the address.
             self.record_outcome(endpoint, good=False)
-            return Failure(Broken('the answer bears no signature'))
+            return Failure(Broken('the answer has no signature'))
         good = response.status < HTTPStatus.INTERNAL_SERVER_ERROR
         self.record_outcome(endpoint, good=good)
         if must_be_signed and good:
@@ -180,7 +182,7 @@
         endpoint: Entry,
         error: BaseException,
     ) -> Outcome:
-        """Name how a send failed, and note it against the endpoint."""
+        """Return the outcome of a failed send and record the failure."""
         now = self._core.now()
         if isinstance(error, CONNECT_FAILURES):
             self._core.standings.note_unreachable(endpoint.name, now)
@@ -202,7 +204,7 @@
         endpoint: Entry,
         until: float,
     ) -> NotSent | None:
-        """Return why nothing may be sent to an endpoint chosen before."""
+        """Return why a call may not be sent; None if it may be."""
         core = self._core
         limited = await core.limiter.acquire(endpoint, until - core.now())
         if limited is not None:
@@ -248,7 +250,7 @@
         endpoint: Entry,
         order: SendOrder,
     ) -> None:
-        """Write a line for a send, with the age of the list behind it."""
+        """Log a send with the age of the endpoint list that it relies on."""
         core = self._core
         now = core.now()
         age_s = core.freshness[ENDPOINTS_TOPIC].find_age(now)
@@ -285,12 +287,13 @@
         if not facts.not_run:
             return Success(response)
         if not order.kv_source:
-            # With a handle the refusal may be for the engine that holds it,
-            # which has crashed, rather than for the one that was asked.
+            # A send with a handle may be refused because the engine that
+            # holds the KV cache has crashed, so only refusals of sends without
+            # one count against the endpoint.
             now = self._core.now()
             self._core.standings.note_refusal(endpoint.name, now)
-        # Read to its end, the refusal leaves its connection to the next
-        # send; a new one would cost a handshake.
+        # Once the refusal is read to its end, the connection can be reused,
+        # which saves the next send a handshake.
         with contextlib.suppress(*CALL_FAILURES):
             await asyncio.wait_for(response.read(), _REFUSAL_BODY_S)
         return Failure(Refused(response.status))
