--- a/packages/verbenahall/src/verbenahall/gateway/_attempts.py
+++ b/packages/verbenahall/src/verbenahall/gateway/_attempts.py
@@ -1,4 +1,4 @@
-"""The attempts at one call: what they brought, and what may follow."""
+"""Counts the attempts at one call and decides on retries."""
 
 from typing import Any, final
 
@@ -23,18 +23,18 @@
 
 @final
 class Attempts:
-    """Counts the attempts at a call, and decides on further ones.
+    """Counts the attempts at a call and decides on retries.
 
-    ``begun`` counts all of them, ``runs`` those that may have run, and
-    ``tried`` names the endpoints that failed one. The pause before a retry is
-    not kept: the next attempt goes to another endpoint, and callers of the
-    platform leave within two seconds.
+    ``begun`` counts all attempts, ``runs`` those that may have run, and
+    ``tried`` holds the names of the endpoints that failed one. The pause of a
+    ``Retry`` is ignored: the next attempt goes to another endpoint, and
+    callers disconnect after two seconds without an answer.
     """
 
     __slots__ = ('begun', 'runs', 'tried', '_core', '_call', '_budget')
 
     def __init__(self, core: Core, call: Call) -> None:
-        """Start before the first one."""
+        """Start without attempts."""
         self.begun = 0
         self.runs = 0
         self.tried: set[str] = set()
@@ -44,11 +44,11 @@
 
     @property
     def may_run_again(self) -> bool:
-        """Whether the route allows one more run after the next one."""
+        """Whether the route allows another run after the next one."""
         return self.runs + 1 < self._call.route.max_attempts
 
     def record(self, endpoint: str, result: Result[Any, Outcome]) -> None:
-        """Note how a send of the request itself ended."""
+        """Record the result of a send that may have run the request."""
         if isinstance(result, Failure):
             self.tried.add(endpoint)
             self.runs += may_have_run(result.failure())
@@ -63,10 +63,10 @@
         resends: int = 1,
         **log_fields: Any,
     ) -> Problem | None:
-        """Decide what follows a failure; None for another attempt.
+        """Return the problem that ends the call; None for another attempt.
 
-        ``log_fields`` is for the log: which endpoints failed, and how
-        far it came.
+        ``resends`` is how many sends another attempt takes. ``log_fields``
+        are further fields of the log line, such as the endpoints that failed.
         """
         facts = self._make_retry_context(delivered, resends)
         step = decide_next(
@@ -83,7 +83,7 @@
         return None if retrying else conclude(outcome, facts)
 
     def retry_failed_answer(self, endpoint: str, status: int) -> bool:
-        """Take a further attempt for a failure that an endpoint answered."""
+        """Spend retry budget on an error answer; False if none is left."""
         retrying = self._budget.spend()
         detail = f'status {status}'
         log_fields = {'endpoint': endpoint}
@@ -96,14 +96,14 @@
         *,
         delivered: bool = False,
     ) -> web.Response:
-        """Tell why nothing more is tried; return the answer for it.
+        """Log why the call is given up; return the response for it.
 
-        ``delivered`` tells that the caller has a part of an answer already.
+        ``delivered`` means that the caller has part of an answer already.
         """
         call = self._call
         if self.runs and problem.answer.ran is Ran.NO:
-            # What ended the last attempt knows nothing of the earlier ones: a
-            # caller that is told so would have the request run once more.
+            # The problem describes only the last attempt. An earlier one may
+            # have run, and told otherwise the caller would repeat the request.
             problem = Problem(ErrorKind.OUTCOME_UNKNOWN, problem.message)
         journal.write_decision(
             'given_up',
