--- a/packages/verbenahall/src/verbenahall/gateway/_plain.py
+++ b/packages/verbenahall/src/verbenahall/gateway/_plain.py
@@ -1,4 +1,4 @@
-"""Calls to plain services: whole answers, repeated only where allowed."""
+"""Calls to plain services: unstreamed answers, with retries if allowed."""
 
 from collections.abc import Sequence
 from http import HTTPStatus
@@ -18,22 +18,23 @@
 from verbenahall.requests import Outcome
 from verbenahall.roster import Entry
 
-#: A further attempt needs this share of the objective at least: less time
-#: would hardly bring an answer.
+#: Least share of the objective that must be left to retry an error answer:
+#: an attempt with less time would rarely be answered.
 _MIN_LEFT_SHARE: Final = 0.25
-#: Load that an endpoint of another data centre is thought to have more, in
-#: places: a call there takes some milliseconds longer.
+#: Load added to an endpoint in another data centre, in open calls: a call
+#: there takes some milliseconds longer.
 _REMOTE_LOAD: Final = 0.5
-#: Load that an endpoint is thought to have more that fails every request.
+#: Load added to an endpoint that fails every request, in open calls; less in
+#: proportion for a lower share of failures.
 _FAILING_LOAD: Final = 8.0
-#: Share of the time left that a first attempt of a repeatable call gets, so
-#: that a silent endpoint leaves time for another one.
+#: Share of the remaining time for an attempt of a repeatable call that can be
+#: retried, so that an endpoint that doesn't respond leaves time for another.
 _FIRST_ATTEMPT_SHARE: Final = 0.5
 
 
 @final
 class PlainFlow:
-    """One call to a plain service, from its choice of endpoint to its end."""
+    """Handles one call to a plain service, with its retries."""
 
     __slots__ = (
         '_core',
@@ -45,7 +46,7 @@
     )
 
     def __init__(self, core: Core, sender: Sender, call: Call) -> None:
-        """Prepare; nothing is sent before ``run``."""
+        """Store the arguments; nothing is sent before ``run``."""
         self._core = core
         self._sender = sender
         self._call = call
@@ -54,7 +55,7 @@
         self._counted = False
 
     async def run(self) -> web.StreamResponse:
-        """Send until an answer is final; return it."""
+        """Make attempts until an answer is final; return it."""
         try:
             return await self._run()
         finally:
@@ -74,7 +75,7 @@
         return final_answer
 
     def _list_untried(self, now: float) -> Sequence[Entry]:
-        """Return the endpoints that got this call not yet."""
+        """Return the live endpoints that have not failed this call."""
         live = self._core.roster.live(self._call.service.name, now)
         tried = self._attempts.tried
         return [one for one in live if one.name not in tried]
@@ -85,7 +86,7 @@
         *,
         others: bool,
     ) -> Result[Answered, Outcome]:
-        """Send; keep time for another endpoint if there are ``others``."""
+        """Send once; with ``others``, leave time for another endpoint."""
         call = self._call
         self._attempts.begun += 1
         now = self._core.now()
@@ -101,7 +102,10 @@
         return result
 
     def _count_usage(self, ago_s: float) -> None:
-        """Count the request once it has, or may have, begun to run."""
+        """Count the request in its workspace's usage, once for all attempts.
+
+        ``ago_s`` is how long ago it was sent, in seconds.
+        """
         workspace = self._call.workspace
         if workspace is not None and not self._counted:
             self._core.meter.note_begun(workspace.name, ago_s)
@@ -127,7 +131,7 @@
         return None
 
     def _may_retry_answer(self, endpoint: Entry, answered: Answered) -> bool:
-        """Whether another endpoint may do better than this answer."""
+        """Decide whether to retry an error answer at another endpoint."""
         call = self._call
         failed = answered.status >= HTTPStatus.INTERNAL_SERVER_ERROR
         if not failed or not call.route.repeatable:
@@ -143,7 +147,7 @@
         )
 
     def _abandon(self, problem: Problem) -> web.StreamResponse:
-        """Answer with an endpoint's own failure rather than with ours."""
+        """Return an endpoint's error answer if there is one, else our own."""
         if self._fallback is not None:
             return build_answer_response(self._fallback)
         return self._attempts.abandon(problem)
@@ -162,7 +166,10 @@
     endpoints: Sequence[Entry],
     now: float,
 ) -> Entry | None:
-    """Choose the endpoint with the least load, near ones first."""
+    """Choose the endpoint with the least load, local ones preferred.
+
+    Endpoints that are avoided for now are used only if there is no other.
+    """
     usable = [
         one for one in endpoints if not core.standings.paused(one.name, now)
     ]
