--- a/packages/verbenahall/src/verbenahall/gateway/_generation.py
+++ b/packages/verbenahall/src/verbenahall/gateway/_generation.py
@@ -1,4 +1,4 @@
-"""The send that has an engine generate, and its stream."""
+"""Sends a request to its decode engine and relays the stream."""
 
 from typing import Final, final
 
@@ -18,13 +18,13 @@
 
 Generated = Result[StreamEnded | Answered, Outcome]
 
-#: The caller's own connection broke while the stream was passed on.
+#: Raised when the caller's connection broke while the stream was relayed.
 _CALLER_DISCONNECTED: Final = ConnectionResetError
 
 
 @final
 class Generation:
-    """Has one engine generate, and passes its stream on."""
+    """Sends a request to decode engines and relays their streams."""
 
     __slots__ = (
         '_core',
@@ -45,7 +45,7 @@
         call: Call,
         relay: EventRelay,
     ) -> None:
-        """Pass streams on through the relay."""
+        """Relay streams to the caller through ``relay``."""
         self._core = core
         self._sender = sender
         self._call = call
@@ -63,7 +63,10 @@
         *,
         resumable: bool,
     ) -> Generated:
-        """Send once; go on from the handle, and after the last event."""
+        """Send once, using the KV cache handle if given; resume a begun stream.
+
+        ``resumable`` means that another engine may take over the stream.
+        """
         self._grant: Grant = grant
         order = self._make_order(plan, handle)
         ledger = self._core.placement.ledger
@@ -123,7 +126,7 @@
         response: aiohttp.ClientResponse,
         resumable: bool,
     ) -> Generated:
-        """Pass a stream on, or return an answer that is no stream."""
+        """Relay a stream, or return an error answer whole."""
         call = self._call
         engine = plan.generator
         if response.status not in SUCCESS_STATUSES:
@@ -135,9 +138,10 @@
                 call.deadline,
             )
         if not read_answer(response.status, response.headers).signed:
-            # Events without a signature are no engine's answer.
+            # Engines sign their answers, so this one comes from something else
+            # at the address.
             self._sender.record_outcome(engine, good=False)
-            return Failure(Broken('the stream bears no signature'))
+            return Failure(Broken('the stream has no signature'))
         try:
             timing = await self._relay.pump(
                 response,
@@ -152,10 +156,10 @@
         return Success(StreamEnded(timing, timing.find_step_s(event_tokens)))
 
     def _handle_first_event(self) -> None:
-        """Take the read out of the engine's open work once it is done.
+        """Remove the prefill from the engine's open work at the first event.
 
-        Left there until the stream's end, it looked to others like a prompt
-        that they would have to wait for.
+        Kept there until the end of the stream, it would count as a prompt
+        that other requests have to wait for.
         """
         self._count_usage()
         placement = self._core.placement
@@ -167,7 +171,7 @@
             placement.handover.note(handover_s, now)
 
     def _count_usage(self) -> None:
-        """Count the request once, however many engines go on with it."""
+        """Count the request in its workspace's usage, once for all attempts."""
         workspace = self._call.workspace
         if workspace is not None and not self._counted:
             self._core.meter.note_begun(workspace.name)
