--- a/packages/verbenahall/src/verbenahall/gateway/_reads.py
+++ b/packages/verbenahall/src/verbenahall/gateway/_reads.py
@@ -1,4 +1,4 @@
-"""Prompts that are read on one engine for another one to go on from."""
+"""Prefills on one engine whose KV cache another engine takes over."""
 
 import dataclasses
 from http import HTTPStatus
@@ -21,34 +21,34 @@
 from verbenahall.requests import Broken, Outcome
 from verbenahall.roster import Entry
 
-#: A read is given up, and tried at another engine, after this many times the
-#: expected wait and this time more, in seconds. Reads run nothing, so they
-#: may be repeated for every kind of request.
+#: A prefill times out after the expected wait times this factor, plus this
+#: margin in seconds, and is retried at another engine. It doesn't execute the
+#: request, so it may be repeated even for a request that may run only once.
 _TIMEOUT_FACTOR: Final = 4.0
 _TIMEOUT_MARGIN_S: Final = 1.0
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class KvHandle:
-    """KV cache of a prompt that lies at an engine until taken or freed."""
+    """KV cache of a prompt, held by an engine until fetched or freed."""
 
     engine: Entry
     name: str
 
     @property
     def source(self) -> str:
-        """How a send names this KV cache."""
+        """The name of this KV cache in the headers of a send."""
         return name_handle(self.engine.address, self.name)
 
 
 @final
 class PrefillCalls:
-    """Has prompts read, and frees what nobody takes."""
+    """Sends prefills to engines and frees unused handles."""
 
     __slots__ = ('_core', '_sender')
 
     def __init__(self, core: Core, sender: Sender) -> None:
-        """Read through the process's sender."""
+        """Send through ``sender``."""
         self._core = core
         self._sender = sender
 
@@ -58,7 +58,7 @@
         plan: Plan,
         prefill_engine: Entry,
     ) -> Result[KvHandle, Outcome]:
-        """Have the prompt read; return where its KV cache lies."""
+        """Prefill the prompt; return the handle of its KV cache."""
         now = self._core.now()
         order = SendOrder(
             prefill_engine.name,
@@ -91,8 +91,8 @@
     def free(self, handle: KvHandle) -> None:
         """Free a handle in the background.
 
-        Untaken, it would keep the engine's memory from others for seconds,
-        which shows as refusals for want of memory.
+        An unused handle would occupy the engine's memory for seconds, and the
+        engine would refuse other requests for lack of memory.
         """
         calls = self._core.engines
         self._core.spawn(calls.free(handle.engine, handle.name))
@@ -136,9 +136,9 @@
         case _:
             return result
     if status != HTTPStatus.OK:
-        return Failure(Broken(f'status {status} to a read'))
+        return Failure(Broken(f'the prefill was answered with status {status}'))
     match decode_read_prompt(body):
         case Some(prompt):
             return Success(prompt)
         case _:
-            return Failure(Broken('a read without a handle'))
+            return Failure(Broken('the answer to the prefill has no handle'))
