--- a/packages/verbenahall/src/verbenahall/gateway/_relay.py
+++ b/packages/verbenahall/src/verbenahall/gateway/_relay.py
@@ -1,4 +1,4 @@
-"""The caller's side of a stream, across the engines that generate it."""
+"""Relays the events of a stream to the caller, over several engines."""
 
 import asyncio
 from collections.abc import Callable
@@ -12,25 +12,25 @@
 from verbenahall.gateway._messages import Call, StreamTiming
 from verbenahall.platform import strip_hop_headers
 
-#: A stream that may be resumed and is silent for this many of the pauses
-#: that its callers bear on time is taken up by another engine, and at least
-#: for this long, in seconds: callers leave a stream after two seconds.
+#: A resumable stream without an event for this many times the route's gap
+#: between events, and at least for this time in seconds, is resumed on another
+#: engine: callers disconnect after two seconds without an event.
 _IDLE_GAPS: Final = 5.0
 _MIN_IDLE_S: Final = 1.2
 
 
 @final
 class EventRelay:
-    """Passes whole events on as they come; the headers are the first run's.
+    """Relays complete events; the headers are those of the first engine.
 
-    A stream that ends early must not look complete, so it is broken off by
-    closing the caller's connection inside of a chunk.
+    A stream that ends early must not look complete, so it is aborted: the
+    caller's connection is closed without the final chunk.
     """
 
     __slots__ = ('state', '_request', '_call', '_clock', '_response')
 
     def __init__(self, request: web.Request, call: Call, now: Clock) -> None:
-        """Keep the request; nothing is sent yet."""
+        """Store the arguments; nothing is sent yet."""
         self.state = EventState(call.ask.last_event)
         self._request = request
         self._call = call
@@ -39,7 +39,7 @@
 
     @property
     def begun(self) -> bool:
-        """Whether the caller has a part of the answer."""
+        """Whether part of the answer was sent to the caller."""
         return self._response is not None
 
     async def pump(
@@ -49,9 +49,11 @@
         *,
         resumable: bool,
     ) -> StreamTiming:
-        """Pass a run on to its end; raise when it breaks or falls silent.
+        """Relay an engine's stream to its end; return its timing.
 
-        ``note_first`` is called when the run's first event is there.
+        ``note_first`` is called at the engine's first new event. Raises
+        ``TimeoutError`` when the stream stalls, ``ClientPayloadError`` when it
+        ends inside an event, and other errors when the connection breaks.
         """
         timing = StreamTiming()
         while True:
@@ -66,11 +68,11 @@
                 self._record_timing(timing, step.events)
                 await self._write(response, step.data)
         if self.state.partial:
-            raise ClientPayloadError('the stream ends in an event')
+            raise ClientPayloadError('the stream ended inside an event')
         return timing
 
     async def finish(self) -> web.StreamResponse | None:
-        """End the answer; None when there is none to end."""
+        """End the answer normally; None when nothing was sent yet."""
         if self._response is not None:
             await self._response.write_eof()
         return self._response
@@ -83,7 +85,7 @@
         return self._response
 
     def find_idle_deadline(self, *, resumable: bool) -> float:
-        """Return until when an engine may be silent."""
+        """Return the monotonic time until which to wait for an event."""
         call = self._call
         if not resumable:
             return call.deadline
@@ -121,13 +123,15 @@
         response: web.StreamResponse,
         data: bytes,
     ) -> None:
-        """Write to the caller, but not beyond the request's deadline.
+        """Write to the caller, at most until the request's deadline.
 
-        A caller that has stopped reading would otherwise hold an engine's
-        place for as long as it keeps its connection.
+        Without the bound, a caller that has stopped reading would occupy an
+        engine for as long as it keeps its connection open.
         """
         left_s = self._call.left_s(self._clock())
         try:
             await asyncio.wait_for(response.write(data), left_s)
         except TimeoutError as error:
-            raise ConnectionResetError('the caller reads no more') from error
+            raise ConnectionResetError(
+                'the caller has stopped reading'
+            ) from error
