--- a/packages/verbenahall/src/verbenahall/gateway/_events.py
+++ b/packages/verbenahall/src/verbenahall/gateway/_events.py
@@ -1,4 +1,4 @@
-"""Splits a stream into whole events and keeps each from coming twice."""
+"""Splits a stream into events and drops those that were relayed before."""
 
 import dataclasses
 import re
@@ -6,14 +6,14 @@
 
 from verbenahall.platform import read_event_number
 
-#: A blank line ends an event, with either kind of line end.
+#: A blank line ends an event; lines end with LF or CRLF.
 _EVENT_END: Final = re.compile(rb'\r?\n\r?\n')
 _EVENT_ID: Final = re.compile(rb'^id:[ ]?([^\r\n]*)', re.MULTILINE)
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class NewEvents:
-    """What a piece brought: bytes to pass on, and how many events."""
+    """Events to relay: their bytes and their number."""
 
     data: bytes
     events: int
@@ -21,25 +21,25 @@
 
 @final
 class EventState:
-    """How far a stream has come.
+    """Position in a stream.
 
-    ``last`` is the number of the last event passed on, None before the
-    first; ``partial`` is the beginning of an event that is not whole yet.
+    ``last`` is the number of the last event that was relayed, None before the
+    first; ``partial`` holds the bytes of an event that is not complete yet.
     """
 
     __slots__ = ('last', 'partial')
 
     def __init__(self, last: int | None) -> None:
-        """Go on after event ``last``, which the caller has."""
+        """Start after event ``last``, which the caller has received."""
         self.last = last
         self.partial = b''
 
 
 def feed(state: EventState, piece: bytes) -> NewEvents:
-    """Return the whole events of a stream that are new to the caller.
+    """Return the events that are completed by ``piece`` and not repeated.
 
-    An engine may stop in the middle of an event; passed on, the half event
-    and the resumed run would be joined into one that nobody has made.
+    Incomplete events are held back: if an engine fails inside one, the bytes
+    sent so far would be joined with the stream of the engine that resumes.
     """
     buffer = state.partial + piece
     data: list[bytes] = []
@@ -54,7 +54,7 @@
 
 
 def discard_partial(state: EventState) -> None:
-    """Drop the half event of a run that broke, before another one begins."""
+    """Drop the incomplete event of a broken stream before it is resumed."""
     state.partial = b''
 
 
