--- a/packages/verbenahall/src/verbenahall/gateway/_dispatch.py
+++ b/packages/verbenahall/src/verbenahall/gateway/_dispatch.py
@@ -1,4 +1,4 @@
-"""Gives model requests their engines: a scheduler's, or an own choice."""
+"""Assigns engines to model requests, by a scheduler or locally."""
 
 from typing import final
 
@@ -17,12 +17,12 @@
 
 @final
 class Dispatch:
-    """Asks the scheduler of the engines first, and decides without it."""
+    """Requests engines from a scheduler, or chooses them without one."""
 
     __slots__ = ('_assignments', '_core', '_queues')
 
     def __init__(self, core: Core, assignments: Assignments) -> None:
-        """Ask for assignments; the queue for own choices is empty."""
+        """Request engines through ``assignments``; local queues are empty."""
         self._assignments = assignments
         self._core = core
         self._queues = PrefillQueues(core)
@@ -33,7 +33,10 @@
         wanted: PlacementRequest,
         tried: frozenset[str],
     ) -> Result[Grant, Problem]:
-        """Wait to be admitted; whoever gets a grant must end it."""
+        """Wait for engines; the caller must end the grant that it gets.
+
+        Engines in ``tried`` have failed an attempt at the call before.
+        """
         scheduled = await self._assignments.ask(call, wanted, tried)
         if isinstance(scheduled, Some):
             grant_result = scheduled.unwrap()
