--- a/packages/verbenahall/src/verbenahall/gateway/_prefill_queues.py
+++ b/packages/verbenahall/src/verbenahall/gateway/_prefill_queues.py
@@ -1,4 +1,4 @@
-"""Admits requests to engines; one prefill queue for each model service."""
+"""Local admission of requests, with a prefill queue per model service."""
 
 import asyncio
 from typing import Final, final
@@ -21,8 +21,9 @@
     enqueue,
 )
 
-#: How often waiting requests are looked at beside the ends of own reads, in
-#: seconds: peers' reads end, and what waited too long is told so.
+#: Interval in seconds at which queues are processed, beside at the end of each
+#: local prefill: prefills of peers end as well, and requests that have waited
+#: too long must be refused.
 _POLL_S: Final = 0.02
 
 AdmitResult = Result[Admitted, Problem]
@@ -30,7 +31,7 @@
 
 @final
 class PrefillQueues:
-    """Admits requests whose prompts engines have room for."""
+    """Admits requests when an engine has room for their prompts."""
 
     __slots__ = ('_core', '_queues', '_futures', '_polling')
 
@@ -47,7 +48,10 @@
         wanted: PlacementRequest,
         tried: frozenset[str],
     ) -> AdmitResult:
-        """Wait to be admitted; whoever is must close its work in flight."""
+        """Wait to be admitted.
+
+        The caller must close the reservation in the ledger that it gets.
+        """
         now = self._core.now()
         pending = QueuedRequest(
             call.ask.identity,
@@ -82,13 +86,16 @@
     def note_first(
         self, call: Call, pending: QueuedRequest, sent_at: float
     ) -> None:
-        """Learn from the first event of a request that was admitted."""
+        """Record the time to the first event of an admitted request.
+
+        ``sent_at`` is when it was admitted, in monotonic seconds.
+        """
         now = self._core.now()
         queue = self._queues[call.service.name]
         queue.note_first(pending, now - sent_at, now)
 
     def admit_waiting(self, service: Service) -> None:
-        """Admit those that engines have room for."""
+        """Admit waiting requests that an engine has room for."""
         queue = self._queues.get(service.name)
         if queue is None or not queue.waiting:
             return
@@ -122,7 +129,8 @@
         try:
             outcome = await future
         except asyncio.CancelledError:
-            # The caller went away. Admitted in the same moment, its request
+            # The caller disconnected. If its request was admitted in the same
+            # turn of the event loop, the reservation must be closed, or it
             # would count as a prefill that never ends.
             if future.done() and not future.cancelled():
                 self._release(future.result())
@@ -152,7 +160,7 @@
         if future is not None and not future.done():
             future.set_result(outcome)
         else:
-            # The caller has left between two looks.
+            # The caller has disconnected since the queue was processed.
             self._release(outcome)
 
     def _log_queued(
