--- a/packages/verbenahall/src/verbenahall/gateway/_grants.py
+++ b/packages/verbenahall/src/verbenahall/gateway/_grants.py
@@ -1,4 +1,4 @@
-"""What an admitted request may use, and how its use is told."""
+"""Grants: the engines of an admitted request and reports of their use."""
 
 from typing import Protocol, final
 
@@ -9,7 +9,7 @@
 
 
 class Grant(Protocol):
-    """The engines of one request, and who is told how it goes there."""
+    """The engines of one request; reports its progress to their assigner."""
 
     @property
     def plan(self) -> Plan:
@@ -17,28 +17,36 @@
 
     @property
     def holds_decode(self) -> bool:
-        """Whether a place at the decode engine is kept for the request."""
+        """Whether a place at the decode engine is reserved."""
 
     def start(self) -> None:
-        """Note that the request is sent now."""
+        """Report that the request is sent now."""
 
     def note_prefill(self, seconds: float) -> None:
-        """Note that the prompt was prefilled."""
+        """Report that the prefill took ``seconds``."""
 
     def note_first(self, handover_s: float) -> None:
-        """Note the first event, so long after a handover if there was one."""
+        """Report the first event.
+
+        ``handover_s`` is the time from the send of the KV cache handle to the
+        decode engine until now, 0 for a send without a handle.
+        """
 
     def end(self, *, step_s: float = 0, refused: str = '') -> None:
-        """Note that nothing is open any more; again changes nothing."""
+        """Report that the request uses no engine any more; idempotent.
+
+        ``step_s`` is the time between two tokens, 0 if unknown, and
+        ``refused`` the name of the engine that refused the request, if any.
+        """
 
 
 @final
 class LocalGrant:
-    """A place that this instance's own queue has given."""
+    """Engines that were assigned by a local queue."""
 
     __slots__ = ('_admitted', '_call', '_core', '_granted_at', '_queues')
 
-    #: The engine that goes on is chosen anew once the prompt was read.
+    #: The decode engine is chosen again after the prefill.
     holds_decode = False
 
     def __init__(
@@ -48,7 +56,7 @@
         call: Call,
         admitted: Admitted,
     ) -> None:
-        """Tell the queue of this process."""
+        """Report to ``queues``."""
         self._core = core
         self._queues = queues
         self._call = call
@@ -61,7 +69,7 @@
         return self._admitted.plan
 
     def start(self) -> None:
-        """Take the reservation back: the send counts from now."""
+        """Close the reservation: from now on the send itself is counted."""
         self._core.placement.ledger.close(self._admitted.flight)
 
     def note_prefill(self, seconds: float) -> None:
@@ -69,7 +77,7 @@
         self._queues.admit_waiting(self._call.service)
 
     def note_first(self, handover_s: float) -> None:
-        """Let the queue learn how long first events take."""
+        """Record the time to the first event in the queue."""
         self._queues.note_first(
             self._call,
             self._admitted.pending,
@@ -84,24 +92,27 @@
 
 @final
 class UnqueuedGrant:
-    """A request that goes on without waiting: its prompt was read before."""
+    """Engines of a request that does not wait in a queue.
+
+    Nothing is reserved for it, and its progress is not reported.
+    """
 
     __slots__ = ('plan',)
 
     holds_decode = False
 
     def __init__(self, plan: Plan) -> None:
-        """Go where the plan says."""
+        """Use the engines of the plan."""
         self.plan = plan
 
     def start(self) -> None:
-        """Nothing was kept for it."""
+        """Do nothing: nothing is reserved."""
 
     def note_prefill(self, seconds: float) -> None:
-        """Nobody waits for it."""
+        """Do nothing: no queue depends on it."""
 
     def note_first(self, handover_s: float) -> None:
-        """Nobody learns from it."""
+        """Do nothing: no queue measures it."""
 
     def end(self, *, step_s: float = 0, refused: str = '') -> None:
-        """Nothing was kept for it."""
+        """Do nothing: nothing is reserved."""
