--- a/packages/verbenahall/src/verbenahall/gateway/_answers.py
+++ b/packages/verbenahall/src/verbenahall/gateway/_answers.py
@@ -1,4 +1,4 @@
-"""The answers that callers of the platform get for problems."""
+"""HTTP responses to callers: for problems and for endpoints' answers."""
 
 import dataclasses
 from http import HTTPStatus
@@ -12,15 +12,15 @@
 from verbenahall.gateway._messages import Answered
 from verbenahall.platform import REQUEST_ID
 
-#: Digits of Retry-After behind the point: hundredths of a second.
+#: Decimals of Retry-After in seconds.
 _RETRY_AFTER_DECIMALS: Final = 2
 
 
 def build_problem_response(problem: Problem, request: str) -> web.Response:
-    """Build the final answer for a problem.
+    """Build the response for a problem.
 
-    What surely has not run is answered so that the caller may come back;
-    what may have run is never said to be refused.
+    If the request has certainly not run, its status allows a retry. If it may
+    have run, the status never says that it was refused.
     """
     public = _choose_public_kind(problem)
     response = answer_problem(public)
@@ -28,8 +28,8 @@
         response.headers[REQUEST_ID] = request
     retry_after = public.answer.retry_after_s
     if retry_after is not None and public.answer.ran is Ran.NO:
-        # Fractions are allowed here, and callers that wait a whole second
-        # more than they must have less time left.
+        # Callers accept fractions of a second; rounding up to a whole second
+        # would cost them time that they need for the retry.
         response.headers['Retry-After'] = str(
             round(retry_after, _RETRY_AFTER_DECIMALS)
         )
@@ -40,7 +40,7 @@
 
 
 def build_answer_response(answered: Answered) -> web.Response:
-    """Return an endpoint's answer unchanged."""
+    """Build the response for an endpoint's answer, unchanged."""
     return web.Response(
         status=answered.status,
         reason=answered.reason or None,
@@ -50,6 +50,7 @@
 
 
 def _choose_public_kind(problem: Problem) -> Problem:
+    """Change the kind if its status contradicts whether the request ran."""
     answer = problem.answer
     if (
         answer.ran is Ran.NO
