--- a/packages/verbenahall/src/verbenahall/gateway/_messages.py
+++ b/packages/verbenahall/src/verbenahall/gateway/_messages.py
@@ -1,4 +1,4 @@
-"""One caller's request and what its sends brought."""
+"""A caller's request and the answers to its sends."""
 
 import dataclasses
 from collections.abc import Mapping
@@ -11,14 +11,14 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Call:
-    """A caller's request with the route that it takes.
+    """A caller's request and its route.
 
     ``received`` is when its head was read and ``deadline`` when its final
-    answer is due, in monotonic seconds. ``path`` is the target as it came,
-    and ``version`` the manifest's by which it was routed. ``waited_s`` is for
-    how long the caller has waited in attempts before this one.
-    ``fingerprint`` is the same for each of these attempts. ``workspace`` held
-    the request's API key in that version, None if nobody did.
+    answer is due, in monotonic seconds. ``path`` is the request target as it
+    was received, ``version`` the version of the manifest that routed it.
+    ``waited_s`` is how long the caller has waited in its earlier attempts,
+    which have the same ``fingerprint``. ``workspace`` is the holder of the
+    request's API key in that version, None if none holds it.
     """
 
     ask: Ask
@@ -37,28 +37,28 @@
 
     @property
     def priority(self) -> int:
-        """How urgent the request is, 0 first."""
+        """The workspace's priority, or else the route's; 0 is the highest."""
         own = self.workspace.priority if self.workspace else None
         return self.route.priority if own is None else own
 
     @property
     def due(self) -> float:
-        """When a first event is late, in monotonic seconds."""
+        """When the first event is due, in monotonic seconds."""
         return self.received - self.waited_s + self.route.objective_s
 
     @property
     def leaves(self) -> float:
-        """When the caller leaves without a first event."""
+        """When the caller leaves if no event came, in monotonic seconds."""
         return min(self.deadline, self.received + self.route.patience_s)
 
     def left_s(self, now: float) -> float:
-        """Return how many seconds are left for an answer."""
+        """Return the time until the deadline, in seconds."""
         return self.deadline - now
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Answered:
-    """A whole answer of an endpoint, to be passed on unchanged."""
+    """A complete answer of an endpoint, to be returned unchanged."""
 
     status: int
     reason: str
@@ -68,7 +68,7 @@
 
 @final
 class StreamTiming:
-    """When a stream's events came: to learn from, and to tell in the log."""
+    """Times of a stream's events, for estimates and for the log."""
 
     __slots__ = ('first_at', 'last_at', 'events')
 
@@ -79,7 +79,10 @@
         self.events = 0
 
     def record(self, events: int, now: float) -> float | None:
-        """Note new events; return the pause before them, if it is known."""
+        """Record new events; return the time since the last ones.
+
+        None before the first event.
+        """
         before = self.last_at
         self.last_at = now
         self.events += events
@@ -97,9 +100,9 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class StreamEnded:
-    """A stream that was passed on to its proper end, and its pace.
+    """A stream that was relayed to its normal end, and its timing.
 
-    ``step_s`` is the time between two tokens, 0 if it cannot be told.
+    ``step_s`` is the time between two tokens, 0 if it is unknown.
     """
 
     timing: StreamTiming
