--- a/packages/verbenahall/src/verbenahall/gateway/_engine_calls.py
+++ b/packages/verbenahall/src/verbenahall/gateway/_engine_calls.py
@@ -1,4 +1,4 @@
-"""Calls to engines that no caller asked for: reports, orders, handles."""
+"""Control calls to engines: reports, role orders, freeing of handles."""
 
 import asyncio
 import contextlib
@@ -23,24 +23,24 @@
 )
 from verbenahall.roster import Entry
 
-#: Longest time for one call, in seconds: engines answer these within
-#: milliseconds, and one that does not is looked at again later.
+#: Timeout of one call, in seconds. Engines answer these calls within
+#: milliseconds, and one that does not is polled again later.
 _CALL_S: Final = 1.0
 _NO_HEADERS: Final[Mapping[str, str]] = MappingProxyType({})
 
 
 @final
 class EngineCalls:
-    """Makes the calls; each failure is told and ends as an empty answer."""
+    """Makes the calls; a failure is logged and gives an empty result."""
 
     __slots__ = ('_session',)
 
     def __init__(self, session: aiohttp.ClientSession) -> None:
-        """Call through the process's session."""
+        """Call through ``session``."""
         self._session = session
 
     async def read_report(self, engine: Entry) -> Maybe[EngineReport]:
-        """Ask an engine for its report."""
+        """Fetch an engine's report; Nothing if the call failed."""
         answer = self._call('GET', engine, REPORT)
         try:
             async with answer as response:
@@ -50,7 +50,10 @@
         return Nothing
 
     async def order(self, engine: Entry, order: RoleOrder) -> int | None:
-        """Send an order; its status, or None when its fate is not known."""
+        """Send a role order; return the HTTP status.
+
+        None if the call failed, so that the engine may have the order or not.
+        """
         headers = {
             'Content-Type': 'application/json',
             EXPECT_ENDPOINT: engine.name,
@@ -66,7 +69,7 @@
         return None
 
     async def free(self, engine: Entry, handle: str) -> None:
-        """Free KV cache that nobody will take."""
+        """Free KV cache that will not be fetched."""
         answer = self._call('DELETE', engine, handle_path(handle))
         try:
             async with answer as response:
