--- a/packages/verbenahall/src/verbenahall/gateway/_ingress.py
+++ b/packages/verbenahall/src/verbenahall/gateway/_ingress.py
@@ -1,4 +1,4 @@
-"""Takes callers' requests: route, limits, deadline, then one of the flows."""
+"""Entry point of requests: route, limits, deadline, then a request flow."""
 
 import asyncio
 from typing import Final, final
@@ -27,14 +27,14 @@
 from verbenahall.requests import describe_quarantine
 from verbenahall.shutdown import GracefulStop
 
-#: When callers of a stopping instance may come back, in seconds: at once,
-#: since the balancer sends them to another one.
+#: Retry-After of a stopping instance, in seconds: callers may retry at once,
+#: as the balancer sends them to another instance.
 _STOPPING_RETRY_AFTER_S: Final = 0.05
 
 
 @final
 class Ingress:
-    """Answers every request of a caller exactly once."""
+    """Handles callers' requests; each one is answered exactly once."""
 
     __slots__ = ('_admissions', '_core', '_dispatch', '_sender', '_stop')
 
@@ -45,7 +45,7 @@
         dispatch: Dispatch,
         admissions: Admissions,
     ) -> None:
-        """Route by what the core knows, until the stop."""
+        """Route by the state of ``core``, until ``stop`` ends the process."""
         self._core = core
         self._admissions = admissions
         self._stop = stop
@@ -53,7 +53,7 @@
         self._dispatch = dispatch
 
     async def handle(self, request: web.Request) -> web.StreamResponse:
-        """Answer one request."""
+        """Handle one request."""
         received = self._core.now()
         ask = read_ask(request.headers)
         match await self._accept(request, ask, received):
@@ -124,9 +124,9 @@
         received: float,
     ) -> Result[Call, Problem]:
         if self._stop.finishing:
-            # The process stays for its open requests only. One more, on a
-            # connection that was idle since before the stop, would be cut at
-            # the end of the grace period, in the middle of its stream.
+            # The process only finishes its open requests. A new one can still
+            # arrive on an idle connection from before the stop; its stream
+            # would be cut off at the end of the grace period.
             return Failure(
                 Problem(
                     ErrorKind.NOT_READY,
@@ -187,7 +187,7 @@
         )
 
     def _check_quarantine(self, call: Call) -> Result[Call, Problem]:
-        """Refuse at once what would not be sent later."""
+        """Refuse a quarantined call, which would not be sent anyway."""
         left_s = find_quarantine_s(
             self._core.crash_log,
             call.fingerprint,
