--- a/packages/verbenahall/src/verbenahall/gateway/_admission.py
+++ b/packages/verbenahall/src/verbenahall/gateway/_admission.py
@@ -1,4 +1,4 @@
-"""Which route a request takes, and in whose name it runs."""
+"""Finds the route and the workspace of a request."""
 
 import dataclasses
 from typing import Final, final
@@ -19,13 +19,13 @@
 from verbenahall.gateway._messages import Call
 from verbenahall.platform import Ask
 
-#: When callers may come back before the first manifest is known, in seconds.
+#: Retry-After before the first manifest was read, in seconds.
 _NOT_READY_S: Final = 0.5
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Admission:
-    """The route of a request by one manifest, and in whose name it runs."""
+    """The route and the workspace of a request, by one manifest."""
 
     catalog: Catalog
     route: Route
@@ -34,12 +34,12 @@
 
 @final
 class Admissions:
-    """Admits requests by the newest manifest that is known."""
+    """Admits requests by the newest manifest that was read."""
 
     __slots__ = ('_core', '_lookups')
 
     def __init__(self, core: Core, lookups: KeyLookups) -> None:
-        """Look up unknown keys before they are refused."""
+        """Look unknown keys up in the store before they are refused."""
         self._core = core
         self._lookups = lookups
 
@@ -48,7 +48,7 @@
         request: web.Request,
         ask: Ask,
     ) -> Result[Admission, Problem]:
-        """Return the route and the workspace, or why there is none."""
+        """Return the route and the workspace, or why the request is refused."""
         found = _find_admission(self._core, request, ask)
         if _may_be_stale(self._core, ask, found):
             if await self._lookups.look():
@@ -61,13 +61,13 @@
     request: web.Request,
     ask: Ask,
 ) -> Result[Admission, Problem]:
-    """Find the route of a request, and the workspace that holds its key."""
+    """Find the route of a request and the workspace of its API key."""
     catalog = core.catalog.catalog
     if catalog is None or not core.ready:
         return Failure(
             Problem(
                 ErrorKind.NOT_READY,
-                'the manifest is not known yet',
+                'the manifest was not read yet',
                 retry_after_s=_NOT_READY_S,
             ),
         )
@@ -87,7 +87,7 @@
     ask: Ask,
     found: Result[Admission, Problem],
 ) -> bool:
-    """Whether a key is refused that a newer manifest may hold."""
+    """Whether a newer manifest may hold the key that was refused."""
     if isinstance(found, Success) or not ask.key:
         return False
     refused = found.failure().kind is ErrorKind.UNAUTHORIZED
@@ -98,10 +98,10 @@
     core: Core,
     call: Call,
 ) -> Result[Workspace | None, Problem]:
-    """Return in whose name a call may be sent now, if it still may be.
+    """Return the workspace of a call by the current manifest.
 
-    Its API key may have been taken away, or given to another workspace, since
-    the call was accepted.
+    Since the call was accepted, its API key may have been revoked, which gives
+    a failure, or moved to another workspace.
     """
     catalog = core.catalog.catalog
     if catalog is None or catalog.version == call.version:
@@ -110,6 +110,6 @@
 
 
 def read_host(request: web.Request) -> str:
-    """Return the host that the caller named, without its port."""
+    """Return the host of the Host header in lower case, without its port."""
     host, _, _ = request.headers.get('Host', '').partition(':')
     return host.lower()
