--- a/packages/verbenahall/tests/gateway/test_answers.py
+++ b/packages/verbenahall/tests/gateway/test_answers.py
@@ -1,4 +1,4 @@
-"""Answers on the wire that are not what they seem."""
+"""Malformed, duplicate and truncated answers of endpoints."""
 
 import asyncio
 
@@ -8,7 +8,7 @@
 from .conftest import open_desk, run
 
 
-def answer(identity, body=b'good', *, stamp=True, length=True):
+def build_answer(identity, body=b'good', *, stamp=True, length=True):
     """Build the bytes of an endpoint's answer."""
     lines = [b'HTTP/1.1 200 OK', b'X-Verbenahall-Request-Id: ' + identity]
     if stamp:
@@ -18,8 +18,8 @@
     return b'\r\n'.join([*lines, b'', body])
 
 
-async def list_raw(desk, raw):
-    """List an endpoint of a test's own making as the only plain one."""
+async def register_raw(desk, raw):
+    """Register a raw endpoint as the only one of the plain service."""
     await raw.start()
     raw.name = 'raw'
     raw.role = ''
@@ -28,20 +28,23 @@
     await desk.until(lambda: 'raw' in roster.seats)
 
 
-async def ask_raw(folder, *pieces):
-    """Ask once an endpoint that answers so; return status and body."""
+async def request_raw(folder, *pieces):
+    """Send a request to an endpoint that answers ``pieces``.
+
+    Return status and body.
+    """
     raw = RawEndpoint(pieces)
     async with open_desk(folder) as desk:
-        await list_raw(desk, raw)
+        await register_raw(desk, raw)
         status, _, body = await desk.ask('/proof/1', 'r-1')
     await raw.stop()
     return status, body
 
 
-async def check_second(folder, raw):
-    """Ask twice, a moment apart, for the answers ``one`` and ``two``."""
+async def check_two_requests(folder, raw):
+    """Send two requests and expect the answers ``one`` and ``two``."""
     async with open_desk(folder) as desk:
-        await list_raw(desk, raw)
+        await register_raw(desk, raw)
         assert (await desk.ask('/proof/1', 'r-1'))[2] == b'one'
         await asyncio.sleep(0.1)
         status, _, body = await desk.ask('/proof/1', 'r-2')
@@ -49,29 +52,30 @@
         await raw.stop()
 
 
-def test_second_answer_is_not_given_to_the_next_caller(tmp_path):
-    # An endpoint answers twice. The second answer lies on the kept connection
-    # where the next caller's is expected, who would get somebody else's page.
+def test_duplicate_answer_is_not_given_to_the_next_caller(tmp_path):
+    # An endpoint answers a request twice. Read from the kept-alive connection
+    # as the answer to the next request, the duplicate would give another
+    # caller's page to its caller.
     async def check():
         raw = RawEndpoint(
-            (answer(b'r-1', b'one'), answer(b'r-1', b'one')),
-            (answer(b'r-2', b'two'),),
+            (build_answer(b'r-1', b'one'), build_answer(b'r-1', b'one')),
+            (build_answer(b'r-2', b'two'),),
         )
-        await check_second(tmp_path, raw)
+        await check_two_requests(tmp_path, raw)
 
     run(check())
 
 
-def test_late_second_answer_is_skipped(tmp_path):
-    # The second answer arrives only after the next request was sent on the
-    # connection, just before the answer that belongs to it.
+def test_late_duplicate_answer_is_skipped(tmp_path):
+    # The duplicate arrives after the next request was sent on the connection,
+    # just before that request's own answer.
     async def check():
         raw = RawEndpoint(
-            (answer(b'r-1', b'one'),),
-            (answer(b'r-1', b'one'), answer(b'r-2', b'two')),
+            (build_answer(b'r-1', b'one'),),
+            (build_answer(b'r-1', b'one'), build_answer(b'r-2', b'two')),
         )
         async with open_desk(tmp_path) as desk:
-            await list_raw(desk, raw)
+            await register_raw(desk, raw)
             await desk.ask('/proof/1', 'r-1')
             status, _, body = await desk.ask('/proof/1', 'r-2')
             assert (status, body) == (200, b'two')
@@ -84,57 +88,57 @@
 @pytest.mark.parametrize(
     'pieces',
     [
-        (answer(b'r-1', b'one') + b'<p>stray</p>',),
-        (answer(b'r-1', b'one'), b'<p>stray</p>'),
-        (answer(b'r-1', b'one'), b'HTTP/1.1 200 OK\r\n'),
+        (build_answer(b'r-1', b'one') + b'<p>stray</p>',),
+        (build_answer(b'r-1', b'one'), b'<p>stray</p>'),
+        (build_answer(b'r-1', b'one'), b'HTTP/1.1 200 OK\r\n'),
     ],
 )
 def test_bytes_after_an_answer_belong_to_no_call(tmp_path, pieces):
-    # A faulty endpoint sends more bytes than its answer has, at once or a
-    # little later. Read as the next answer's start, they would spoil it or
-    # be printed in it.
+    # A faulty endpoint sends bytes beyond the end of its answer, at once or a
+    # little later. Read as the start of the next answer, they would corrupt it
+    # or become part of it.
     async def check():
-        raw = RawEndpoint(pieces, (answer(b'r-2', b'two'),))
-        await check_second(tmp_path, raw)
+        raw = RawEndpoint(pieces, (build_answer(b'r-2', b'two'),))
+        await check_two_requests(tmp_path, raw)
 
     run(check())
 
 
-def test_answer_cut_short_is_no_answer(tmp_path):
-    # The endpoint dies in the middle of its answer. Half a page under a good
-    # status would be printed as it is.
-    whole = answer(b'r-1', b'a whole page')
-    status, body = run(ask_raw(tmp_path, whole[:-5], b''))
+def test_truncated_answer_is_an_error(tmp_path):
+    # The endpoint dies in the middle of its answer. With a status of 200 the
+    # caller would take half a page for the whole one.
+    whole = build_answer(b'r-1', b'a whole page')
+    status, body = run(request_raw(tmp_path, whole[:-5], b''))
     assert status in {502, 504}
     assert b'a whole' not in body
 
 
 def test_answer_without_length_ends_with_its_connection(tmp_path):
-    pieces = (answer(b'r-1', b'a page', length=False), b'')
-    assert run(ask_raw(tmp_path, *pieces)) == (200, b'a page')
+    pieces = (build_answer(b'r-1', b'a page', length=False), b'')
+    assert run(request_raw(tmp_path, *pieces)) == (200, b'a page')
 
 
-def test_answer_without_length_that_is_reset_is_not_whole(tmp_path):
-    # An answer without a length ends with its connection, and the connection
-    # is reset half way. Taken for its end, half a page is passed on as whole.
-    pieces = (answer(b'r-1', b'half a', length=False), None)
-    status, _ = run(ask_raw(tmp_path, *pieces))
+def test_reset_answer_without_length_is_an_error(tmp_path):
+    # An answer without a length ends when its connection is closed. A reset
+    # must not count as that, or half a page is relayed as complete.
+    pieces = (build_answer(b'r-1', b'half a', length=False), None)
+    status, _ = run(request_raw(tmp_path, *pieces))
     assert status in {502, 504}
 
 
-def test_bytes_that_are_no_answer_fail_the_call(tmp_path):
-    status, _ = run(ask_raw(tmp_path, b'\x00\x01 not an answer\r\n\r\n'))
+def test_bytes_that_are_not_http_fail_the_call(tmp_path):
+    status, _ = run(request_raw(tmp_path, b'\x00\x01 not an answer\r\n\r\n'))
     assert status in {502, 504}
 
 
-def test_kept_connection_closed_under_a_call_does_not_send_it_again(tmp_path):
-    # An endpoint closes a kept connection as a GET that may run only once
-    # arrives on it. The HTTP library repeats such a call by itself, and the
-    # endpoint has perhaps run it already.
+def test_call_on_a_closed_kept_connection_is_not_sent_again(tmp_path):
+    # An endpoint closes a kept-alive connection when a GET that may run only
+    # once arrives on it. The HTTP library retries such a call by itself,
+    # although the endpoint may have run it already.
     async def check():
-        raw = RawEndpoint((answer(b'r-1', b'one'),), (None,))
+        raw = RawEndpoint((build_answer(b'r-1', b'one'),), (None,))
         async with open_desk(tmp_path) as desk:
-            await list_raw(desk, raw)
+            await register_raw(desk, raw)
             await desk.ask('/proof/1', 'r-1', method='GET')
             status, _, _ = await desk.ask('/proof/1', 'r-2', method='GET')
             assert status in {502, 504}
