--- a/packages/verbenahall/tests/gateway/test_failing_engines.py
+++ b/packages/verbenahall/tests/gateway/test_failing_engines.py
@@ -1,4 +1,4 @@
-"""Engines that fail, and what callers of streams get."""
+"""Failures of engines, and the answers that callers of streams get."""
 
 import asyncio
 import time
@@ -10,8 +10,8 @@
 
 
 def test_broken_stream_is_resumed_at_its_event(tmp_path, numbers):
-    # An engine crashes in the middle of an event. The caller must get the
-    # rest from another one, without a gap, a repetition or half an event.
+    # An engine crashes in the middle of an event. The caller must get the rest
+    # from another engine, without missing, repeated or incomplete events.
     async def check():
         engines = make_engines(generators=2)
         for engine in engines[2:]:
@@ -27,9 +27,9 @@
     run(check())
 
 
-def test_broken_stream_that_cannot_resume_does_not_look_whole(tmp_path):
-    # The route allows no second run. An answer that ends properly would be
-    # taken for the whole blurb and be printed.
+def test_broken_stream_that_cannot_resume_is_aborted(tmp_path):
+    # The route allows no second run. If the answer ended normally, the caller
+    # would take it for complete.
     async def check():
         engines = make_engines(generators=2)
         for engine in engines[2:]:
@@ -42,9 +42,9 @@
     run(check())
 
 
-def test_silent_stream_is_taken_up_by_another_engine(tmp_path, numbers):
-    # An engine goes dark in the middle of a stream. Its caller would leave
-    # after two seconds without an event.
+def test_stalled_stream_is_resumed_on_another_engine(tmp_path, numbers):
+    # An engine stops sending in the middle of a stream. Its caller would
+    # disconnect after two seconds without an event.
     async def check():
         engines = make_engines(generators=2)
         engines[2].faults.stall_after = 2
@@ -60,8 +60,8 @@
 
 
 def test_unrepeatable_stream_runs_once_though_its_answer_is_lost(tmp_path):
-    # The engine takes the request and is never heard of again. It may have
-    # run, so the caller is told so, and at its deadline rather than later.
+    # The engine accepts the request and never answers. The request may have
+    # run, so the answer must not say otherwise, and must come at the deadline.
     async def check():
         engines = make_engines(generators=2)
         for engine in engines[2:]:
@@ -88,9 +88,9 @@
     run(check())
 
 
-def test_refusal_everywhere_is_told_at_once_and_truly(tmp_path):
-    # Every engine is full. The caller is told at once that nothing has run
-    # and when to come back; held to its deadline it could do nothing.
+def test_refusal_by_all_engines_is_reported_at_once(tmp_path):
+    # Every engine is full. The caller must learn at once that nothing has run
+    # and when to retry; at its deadline it would be too late for a retry.
     async def check():
         engines = make_engines()
         engines[2].faults.full = True
@@ -106,29 +106,29 @@
 
 
 def test_engine_that_fell_silent_is_not_said_to_have_run_nothing(tmp_path):
-    # The only engine that generates takes the request and falls silent. That
-    # no other one is left says nothing about it: told that nothing has run,
-    # the caller would have its request run twice.
+    # The only decode engine accepts the request and stops responding. That no
+    # other engine is left doesn't mean that the request has not run: a caller
+    # that is told so would repeat it.
     async def check():
         async with open_desk(tmp_path, make_engines()) as desk:
             desk.site.engines[2].faults.mute = True
-            asked = asyncio.create_task(
+            request = asyncio.create_task(
                 desk.ask(
                     '/summary/1', headers={f'{PREFIX}Deadline-Ms': '2500'}
                 ),
             )
             await asyncio.sleep(0.5)
             desk.site.unlist('generator-0')
-            status, headers, _ = await asked
+            status, headers, _ = await request
             assert status in {502, 504}
             assert 'Retry-After' not in headers
 
     run(check())
 
 
-def test_handles_that_nobody_took_are_freed(tmp_path):
-    # The engine that should go on is full. The prompt's KV cache would keep
-    # the reading engine's memory until it lapses.
+def test_unused_handles_are_freed(tmp_path):
+    # The decode engine is full. Unless it is freed, the KV cache of the prompt
+    # occupies the memory of the prefill engine until it expires.
     async def check():
         engines = make_engines()
         engines[2].faults.full = True
@@ -142,9 +142,10 @@
     run(check())
 
 
-def test_reader_that_falls_silent_is_replaced(tmp_path, numbers):
-    # The engine that reads goes dark. Reading runs nothing, so the prompt is
-    # read elsewhere, also where the request may run only once.
+def test_unresponsive_prefill_engine_is_replaced(tmp_path, numbers):
+    # The prefill engine stops responding. A prefill doesn't execute the
+    # request, so it is repeated on another engine even if the request may run
+    # only once.
     async def check():
         engines = make_engines(readers=2)
         engines[0].faults.mute = True
@@ -162,9 +163,9 @@
     run(check())
 
 
-def test_caller_that_reads_no_more_is_let_go(tmp_path):
-    # A caller stops reading and keeps its connection. Its stream would hold
-    # an engine's place for as long as it likes.
+def test_caller_that_stops_reading_is_disconnected(tmp_path):
+    # A caller stops reading and keeps its connection open. Without a bound its
+    # stream would occupy the engine indefinitely.
     async def check():
         engines = make_engines()
         engines[2].events = 200_000
@@ -186,9 +187,11 @@
     run(check())
 
 
-def test_read_prompt_goes_to_the_next_generator_as_it_is(tmp_path, numbers):
-    # The engine that should generate has crashed since it was listed. Read
-    # again for the next one, the prompt would cost its caller the objective.
+def test_prefilled_prompt_is_reused_by_the_next_decode_engine(
+    tmp_path, numbers
+):
+    # The chosen decode engine has crashed since it was listed. Repeating the
+    # prefill for the next one would make the request miss its objective.
     async def check():
         engines = make_engines(readers=2, generators=2)
         async with open_desk(tmp_path, engines) as desk:
@@ -203,35 +206,34 @@
 
 
 def test_generator_that_leaves_during_the_read_gets_no_work(tmp_path):
-    # A prompt takes two seconds to be read. Meanwhile the engine that was to
-    # generate says that it leaves; sent there all the same, the stream is cut
-    # when the engine exits.
+    # The chosen decode engine starts to drain during a long prefill. A stream
+    # that is sent to it all the same is cut off when the engine exits.
     async def check():
         engines = make_engines(readers=1, generators=2)
         engines[0].faults.slow_read_s = 0.3
         async with open_desk(tmp_path, engines) as desk:
-            asking = asyncio.create_task(desk.ask('/blurb/1'))
+            request = asyncio.create_task(desk.ask('/blurb/1'))
             await desk.until(lambda: desk.decisions('placed'))
             chosen = desk.decisions('placed')[0]['generator']
             leaving = next(one for one in engines if one.name == chosen)
             desk.site.list_endpoint(leaving, state='draining')
-            assert (await asking)[0] == 200
+            assert (await request)[0] == 200
             assert not leaving.runs
 
     run(check())
 
 
-def test_only_generator_that_leaves_during_the_read_gets_no_work(tmp_path):
-    """With no other engine to choose, the old choice must not be kept."""
+def test_only_decode_engine_that_drains_during_prefill_gets_no_work(tmp_path):
+    """A draining engine gets no work even if there is no other engine."""
 
     async def check():
         engines = make_engines(readers=1, generators=1)
         engines[0].faults.slow_read_s = 0.3
         async with open_desk(tmp_path, engines) as desk:
-            asking = asyncio.create_task(desk.ask('/blurb/1'))
+            request = asyncio.create_task(desk.ask('/blurb/1'))
             await desk.until(lambda: desk.decisions('placed'))
             desk.site.list_endpoint(engines[1], state='draining')
-            status, headers, _ = await asking
+            status, headers, _ = await request
             assert status == 503
             assert 'Retry-After' in headers
             assert not engines[1].runs
@@ -240,8 +242,8 @@
 
 
 def test_stream_without_signature_is_not_passed_on(tmp_path):
-    # Something else answers at an engine's address. Its events would reach a
-    # caller as if the engine had made them.
+    # Another program answers at an engine's address. Its events must not be
+    # relayed as those of the engine.
     async def check():
         engines = make_engines()
         engines[2].faults.unsigned = True
