--- a/packages/verbenahall/tests/gateway/test_failing_services.py
+++ b/packages/verbenahall/tests/gateway/test_failing_services.py
@@ -1,9 +1,9 @@
-"""Plain endpoints that fail, and what their callers get."""
+"""Failures of plain endpoints, and the answers that callers get."""
 
 from .conftest import PREFIX, make_plain, open_desk, run
 
 
-def test_failed_answer_of_a_repeatable_call_is_repeated(tmp_path):
+def test_repeatable_call_is_retried_after_an_error_answer(tmp_path):
     async def check():
         plain = make_plain(2)
         plain[0].status = 500
@@ -19,7 +19,7 @@
     run(check())
 
 
-def test_failed_answer_of_an_unrepeatable_call_is_passed_on(tmp_path):
+def test_error_answer_of_an_unrepeatable_call_is_relayed(tmp_path):
     async def check():
         plain = make_plain(2)
         for endpoint in plain:
@@ -33,9 +33,10 @@
     run(check())
 
 
-def test_unrepeatable_call_to_a_silent_endpoint_runs_once(tmp_path):
-    # The endpoint runs the call and its answer is lost. Sent again, the club
-    # would be billed twice; said not to have run, its secretary would.
+def test_unrepeatable_call_to_an_unresponsive_endpoint_runs_once(tmp_path):
+    # The endpoint runs the call and its answer is lost. It must neither be
+    # sent again nor be reported as not run, as the caller would then repeat
+    # it: either way the customer is billed twice.
     async def check():
         plain = make_plain(2)
         for endpoint in plain:
@@ -51,9 +52,9 @@
 
 
 def test_slow_answer_of_the_only_endpoint_is_waited_for(tmp_path):
-    # A service has one endpoint left, and its answer takes longer than half of
-    # the time. Given up for a second try that no endpoint is there for, the
-    # answer would come and find nobody.
+    # A service has one endpoint left, and its answer takes more than half of
+    # the time. The call must not be abandoned after half of it, as there is no
+    # other endpoint for a second attempt.
     async def check():
         async with open_desk(tmp_path, plain=make_plain(1)) as desk:
             desk.site.plain[0].delay_s = 2
@@ -63,7 +64,7 @@
     run(check())
 
 
-def test_repeatable_call_leaves_a_silent_endpoint_in_time(tmp_path):
+def test_repeatable_call_is_retried_if_an_endpoint_does_not_respond(tmp_path):
     async def check():
         plain = make_plain(2)
         plain[0].mute = True
@@ -82,8 +83,8 @@
 
 
 def test_answer_without_signature_is_not_passed_on(tmp_path):
-    # Something else answers at the endpoint's address. Its page would reach
-    # a caller as if the service had made it.
+    # Another program answers at the endpoint's address. Its page must not be
+    # returned as that of the service.
     async def check():
         plain = make_plain(1)
         plain[0].signs = False
@@ -95,9 +96,9 @@
     run(check())
 
 
-def test_unreachable_endpoint_is_left_for_the_next(tmp_path):
-    # A machine has lost power; its entry is still listed. Nothing was sent,
-    # so also a call that may run only once goes to another endpoint.
+def test_call_to_an_unreachable_endpoint_goes_to_the_next(tmp_path):
+    # A machine has lost power and is still listed. Nothing was sent to it, so
+    # even a call that may run only once goes to another endpoint.
     async def check():
         plain = make_plain(2)
         async with open_desk(tmp_path, plain=plain) as desk:
@@ -109,9 +110,10 @@
     run(check())
 
 
-def test_endpoint_that_is_back_is_found_by_a_probe(tmp_path):
-    # A machine was cut off and is back. Avoided for longer it would leave
-    # the others with its share; tried by requests, they would wait for it.
+def test_recovered_endpoint_is_detected_by_a_probe(tmp_path):
+    # A machine was unreachable and has recovered. If it were avoided longer,
+    # the others would carry its load; if requests were used to test it, they
+    # would have to wait for a connection that may fail.
     async def check():
         plain = make_plain(2)
         async with open_desk(tmp_path, plain=plain) as desk:
