--- a/packages/verbenahall/tests/gateway/test_path.py
+++ b/packages/verbenahall/tests/gateway/test_path.py
@@ -1,4 +1,4 @@
-"""The whole path: routes, headers, answers, streams, and who leaves."""
+"""The request path: routes, headers, answers, streams, disconnects."""
 
 import asyncio
 
@@ -17,7 +17,7 @@
 }
 
 
-def test_plain_answer_is_passed_on_unchanged(tmp_path):
+def test_plain_answer_is_returned_unchanged(tmp_path):
     async def check():
         async with open_desk(tmp_path, plain=make_plain(1)) as desk:
             target = '/archive/a%2Fb?page=2&x=%20'
@@ -48,9 +48,9 @@
     run(check())
 
 
-def test_headers_of_the_system_are_not_the_callers_to_set(tmp_path):
-    # A caller sends headers by which the system names endpoints and moves
-    # KV cache. Passed on, it would go on from another caller's prompt.
+def test_internal_headers_of_callers_are_dropped(tmp_path):
+    # A caller sends internal headers, which select endpoints and KV cache.
+    # Forwarded, they would let it continue another caller's prompt.
     async def check():
         async with open_desk(tmp_path, make_engines()) as desk:
             status, _, _ = await desk.ask('/blurb/1', headers=FORGED)
@@ -74,7 +74,7 @@
     run(check())
 
 
-def test_stream_is_read_on_one_engine_and_generated_on_another(
+def test_stream_is_prefilled_and_decoded_on_different_engines(
     tmp_path,
     numbers,
 ):
@@ -91,9 +91,9 @@
     run(check())
 
 
-def test_requests_with_a_shared_part_gather_on_one_reader(tmp_path):
-    # Requests about one archive share most of their prompt. Spread evenly,
-    # every reading engine would read the archive again.
+def test_requests_with_a_shared_prefix_use_one_prefill_engine(tmp_path):
+    # The requests share most of their prompt. Spread evenly, they would have
+    # every prefill engine compute the shared prefix again.
     async def check():
         async with open_desk(tmp_path, make_engines(readers=4)) as desk:
             for number in range(6):
@@ -108,9 +108,9 @@
     run(check())
 
 
-def test_leaving_caller_ends_the_run(tmp_path):
-    # A caller closes its connection in the middle of a stream. An engine that
-    # goes on generates for nobody, and others wait for its place.
+def test_disconnected_caller_ends_the_run(tmp_path):
+    # A caller closes its connection in the middle of a stream. The engine must
+    # stop decoding, so that other requests can use its capacity.
     async def check():
         engines = make_engines()
         engines[2].faults.stall_after = 2
@@ -122,9 +122,9 @@
     run(check())
 
 
-def test_leaving_caller_frees_its_handle(tmp_path):
-    # The caller leaves after its prompt was read and before an engine took
-    # it over. Kept, the KV cache would hold memory for seconds.
+def test_handle_of_a_disconnected_caller_is_freed(tmp_path):
+    # The caller disconnects after the prefill and before a decode engine has
+    # fetched the KV cache, which would otherwise occupy memory for seconds.
     async def check():
         engines = make_engines()
         engines[2].faults.mute = True
@@ -137,9 +137,9 @@
     run(check())
 
 
-def test_no_manifest_is_not_ready(tmp_path):
-    # An instance starts before the first manifest. A 404 would tell callers
-    # that their path does not exist; they are told to come back.
+def test_requests_before_the_first_manifest_get_503(tmp_path):
+    # An instance starts before the first manifest. A 404 would mean that the
+    # path does not exist; callers must retry instead.
     async def check():
         async with open_desk(tmp_path, plain=make_plain(1)) as desk:
             desk.gateway.core.catalog.catalog = None
@@ -175,9 +175,9 @@
     run(check())
 
 
-def test_given_up_call_to_a_plain_service_is_logged_with_its_cause(tmp_path):
-    # A page endpoint falls silent, and a clerk complains. Without a line on
-    # why the call was given up, its id leads to a bare 504.
+def test_failed_call_to_a_plain_service_is_logged_with_its_cause(tmp_path):
+    # An endpoint doesn't respond. Without a log line on why the call failed,
+    # its id would lead to nothing but a 504.
     async def check():
         plain = make_plain(1)
         plain[0].mute = True
@@ -191,9 +191,9 @@
     run(check())
 
 
-def test_time_to_the_first_event_is_counted_from_the_send(tmp_path):
-    # A stream begins late, and an engineer looks whether the engine was the
-    # cause. Counted from the answer's head, every engine looks instant.
+def test_time_to_the_first_event_is_measured_from_the_send(tmp_path):
+    # The log line must show whether an engine delayed the start of a stream.
+    # Measured from the head of the answer, every engine would look instant.
     async def check():
         engines = make_engines()
         engines[2].faults.slow_head_s = 0.2
