--- a/packages/verbenahall/tests/gateway/test_keys.py
+++ b/packages/verbenahall/tests/gateway/test_keys.py
@@ -1,4 +1,4 @@
-"""API keys on the whole path: who may ask, and what endpoints are told."""
+"""API keys on the request path: authentication, headers to endpoints."""
 
 import asyncio
 
@@ -11,8 +11,8 @@
 
 KEY = f'{PREFIX}Key'
 WORKSPACE = f'{PREFIX}Tenant'
-#: A key of each workspace, and one that no manifest ever held.
-CLUB, COUNCIL, STRANGE = 'club-key-1', 'council-key-1', 'no-such-key'
+#: A key of each workspace, and one that is in no manifest.
+CLUB, COUNCIL, UNKNOWN = 'club-key-1', 'council-key-1', 'no-such-key'
 TENANTS = (
     {'name': 'club', 'apiKeys': [CLUB]},
     {'name': 'council', 'apiKeys': [COUNCIL], 'priority': 0},
@@ -20,12 +20,12 @@
 
 
 def open_keyed_desk(folder, engines=(), plain=()):
-    """Run a gateway whose manifest asks for keys from its first version."""
+    """Run a gateway whose manifest requires keys from its first version."""
     return open_desk(folder, engines, plain, manifest={'tenants': TENANTS})
 
 
 def test_endpoints_get_the_workspace_and_never_the_key(tmp_path):
-    """A key that is passed on can be used by whoever runs the endpoint."""
+    """A forwarded key could be misused by the operator of the endpoint."""
 
     async def check():
         desk_of = open_keyed_desk(tmp_path, make_engines(), make_plain(1))
@@ -51,13 +51,13 @@
     [
         {},
         {KEY: ''},
-        {KEY: STRANGE},
+        {KEY: UNKNOWN},
         {KEY: f'{CLUB},{COUNCIL}'},
         {WORKSPACE: 'club'},
     ],
 )
 def test_request_without_a_known_key_does_not_run(tmp_path, headers):
-    """A caller names a workspace, or guesses a key."""
+    """A caller sends no key, an unknown one, or only a workspace header."""
 
     async def check():
         async with open_keyed_desk(tmp_path, plain=make_plain(1)) as desk:
@@ -76,7 +76,7 @@
             )
             desk.site.publish([open_route])
             await desk.until_in_force()
-            headers = {KEY: STRANGE, WORKSPACE: 'club'}
+            headers = {KEY: UNKNOWN, WORKSPACE: 'club'}
             status, _, _ = await desk.ask('/open/1', headers=headers)
             assert status == 200
             sent = desk.site.plain[0].runs[0]
@@ -86,8 +86,8 @@
     run(check())
 
 
-def test_revoked_key_is_refused_and_the_others_go_on(tmp_path):
-    """A key is taken away while its caller keeps its connection open."""
+def test_revoked_key_is_refused_and_others_stay_valid(tmp_path):
+    """A key is revoked while its caller keeps its connection open."""
 
     async def check():
         async with open_keyed_desk(tmp_path, plain=make_plain(1)) as desk:
@@ -102,48 +102,48 @@
     run(check())
 
 
-class HeldSends:
-    """Holds every send until a test lets it go."""
+class BlockingLimiter:
+    """Rate limiter that blocks every send until ``released`` is set."""
 
     def __init__(self):
-        self.let_go = asyncio.Event()
+        self.released = asyncio.Event()
 
     async def acquire(self, endpoint, left_s):
-        await self.let_go.wait()
+        await self.released.wait()
 
     def note_answer(self, endpoint, facts, sent_at):
-        """Learn nothing."""
+        """Ignore the answer."""
 
 
-def test_key_that_goes_while_its_request_waits_is_not_sent_on(tmp_path):
-    """A key is taken away between the choice of an endpoint and the send."""
+def test_request_whose_key_is_revoked_while_it_waits_is_not_sent(tmp_path):
+    """A key is revoked between the choice of an endpoint and the send."""
 
     async def check():
         async with open_keyed_desk(tmp_path, plain=make_plain(1)) as desk:
-            held = HeldSends()
-            desk.gateway.core.limiter = held
-            asked = asyncio.create_task(
+            blocking = BlockingLimiter()
+            desk.gateway.core.limiter = blocking
+            request = asyncio.create_task(
                 desk.ask('/proof/1', headers={KEY: CLUB}),
             )
             await desk.until(lambda: desk.decisions('accepted'))
             desk.site.publish(tenants=TENANTS[1:])
             await desk.until_in_force()
-            held.let_go.set()
-            status, _, _ = await asked
+            blocking.released.set()
+            status, _, _ = await request
             assert status == 401
             assert not desk.site.plain[0].runs
 
     run(check())
 
 
-def test_key_that_moves_is_sent_under_its_new_workspace(tmp_path):
-    """A key is given to another workspace while a request waits."""
+def test_moved_key_is_sent_under_its_new_workspace(tmp_path):
+    """A key is moved to another workspace while a request waits."""
 
     async def check():
         async with open_keyed_desk(tmp_path, plain=make_plain(1)) as desk:
-            held = HeldSends()
-            desk.gateway.core.limiter = held
-            asked = asyncio.create_task(
+            blocking = BlockingLimiter()
+            desk.gateway.core.limiter = blocking
+            request = asyncio.create_task(
                 desk.ask('/proof/1', headers={KEY: CLUB}),
             )
             await desk.until(lambda: desk.decisions('accepted'))
@@ -151,15 +151,15 @@
                 tenants=[{'name': 'council', 'apiKeys': [CLUB]}],
             )
             await desk.until_in_force()
-            held.let_go.set()
-            assert (await asked)[0] == 200
+            blocking.released.set()
+            assert (await request)[0] == 200
             assert desk.site.plain[0].runs[0][WORKSPACE] == 'council'
 
     run(check())
 
 
-def test_key_newer_than_the_manifest_known_is_looked_up(tmp_path):
-    """A key is used at an instance that has not read of it yet."""
+def test_key_newer_than_the_local_manifest_is_looked_up(tmp_path):
+    """A key is used at an instance whose manifest doesn't have it yet."""
 
     async def check():
         async with open_keyed_desk(tmp_path, plain=make_plain(1)) as desk:
@@ -174,8 +174,8 @@
     run(check())
 
 
-def test_guessed_keys_buy_no_call_to_the_store_each(tmp_path):
-    """A caller tries keys at random; the store is shared by all instances."""
+def test_guessed_keys_do_not_each_cost_a_store_call(tmp_path):
+    """Random keys must not load the store, which all instances share."""
 
     async def check():
         async with open_keyed_desk(tmp_path, plain=make_plain(1)) as desk:
@@ -192,14 +192,14 @@
 
 
 def test_no_key_is_written_to_the_log(tmp_path):
-    """A log that holds keys gives them to everybody who reads it."""
+    """Readers of the log must not get keys from it."""
 
     async def check():
         async with open_keyed_desk(tmp_path, plain=make_plain(1)) as desk:
             await desk.ask('/proof/1', headers={KEY: CLUB})
-            await desk.ask('/proof/1', headers={KEY: STRANGE})
+            await desk.ask('/proof/1', headers={KEY: UNKNOWN})
             lines = str(list(journal.recent))
             assert CLUB not in lines
-            assert STRANGE not in lines
+            assert UNKNOWN not in lines
 
     run(check())
