--- a/packages/verbenahall/src/verbenahall/gateway/_attempts.py
+++ b/packages/verbenahall/src/verbenahall/gateway/_attempts.py
@@ -1,4 +1,4 @@
-"""The attempts at one call: what they brought, and what may follow."""
+"""Counts the attempts at one call and decides on retries."""
 
 from typing import Any, final
 
@@ -7,7 +7,7 @@
 
 from verbenahall import journal, metrics
 from verbenahall.errors import ErrorKind, Problem, Ran
-from verbenahall.gateway._answers import answer_with
+from verbenahall.gateway._answers import build_problem_response
 from verbenahall.gateway._core import Core
 from verbenahall.gateway._messages import Call
 from verbenahall.requests import (
@@ -23,18 +23,18 @@
 
 @final
 class Attempts:
-    """Counts the attempts at a call, and decides on further ones.
+    """Counts the attempts at a call and decides on retries.
 
-    ``begun`` counts all of them, ``runs`` those that may have run, and
-    ``tried`` names the endpoints that failed one. The pause before a retry is
-    not kept: the next attempt goes to another endpoint, and callers of the
-    platform leave within two seconds.
+    ``begun`` counts all attempts, ``runs`` those that may have run, and
+    ``tried`` holds the names of the endpoints that failed one. The pause of a
+    ``Retry`` is ignored: the next attempt goes to another endpoint, and
+    callers disconnect after two seconds without an answer.
     """
 
     __slots__ = ('begun', 'runs', 'tried', '_core', '_call', '_budget')
 
     def __init__(self, core: Core, call: Call) -> None:
-        """Start before the first one."""
+        """Start without attempts."""
         self.begun = 0
         self.runs = 0
         self.tried: set[str] = set()
@@ -44,30 +44,31 @@
 
     @property
     def may_run_again(self) -> bool:
-        """Whether the route allows one more run after the next one."""
+        """Whether the route allows another run after the next one."""
         return self.runs + 1 < self._call.route.max_attempts
 
-    def note(self, endpoint: str, result: Result[Any, Outcome]) -> None:
-        """Note how a send of the request itself ended."""
+    def record(self, endpoint: str, result: Result[Any, Outcome]) -> None:
+        """Record the result of a send that may have run the request."""
         if isinstance(result, Failure):
             self.tried.add(endpoint)
             self.runs += may_have_run(result.failure())
         else:
             self.runs += 1
 
-    def go_on(
+    def handle_failure(
         self,
         outcome: Outcome,
         *,
         delivered: bool = False,
         resends: int = 1,
-        **told: Any,
+        **log_fields: Any,
     ) -> Problem | None:
-        """Decide what follows a failure; None for another attempt.
+        """Return the problem that ends the call; None for another attempt.
 
-        ``told`` is for the log: which endpoints failed, and how far it came.
+        ``resends`` is how many sends another attempt takes. ``log_fields``
+        are further fields of the log line, such as the endpoints that failed.
         """
-        facts = self._describe(delivered, resends)
+        facts = self._make_retry_context(delivered, resends)
         step = decide_next(
             outcome,
             facts,
@@ -75,32 +76,34 @@
             self._core.random,
             self._core.now(),
         )
-        again = isinstance(step, Retry)
-        self._tell_failure(name_outcome(outcome), str(outcome), again, told)
-        return None if again else conclude(outcome, facts)
+        retrying = isinstance(step, Retry)
+        self._log_failure(
+            name_outcome(outcome), str(outcome), retrying, log_fields
+        )
+        return None if retrying else conclude(outcome, facts)
 
-    def improve(self, endpoint: str, status: int) -> bool:
-        """Take a further attempt for a failure that an endpoint answered."""
-        again = self._budget.spend()
+    def retry_failed_answer(self, endpoint: str, status: int) -> bool:
+        """Spend retry budget on an error answer; False if none is left."""
+        retrying = self._budget.spend()
         detail = f'status {status}'
-        told = {'endpoint': endpoint}
-        self._tell_failure('failed_answer', detail, again, told)
-        return again
+        log_fields = {'endpoint': endpoint}
+        self._log_failure('failed_answer', detail, retrying, log_fields)
+        return retrying
 
-    def give_up(
+    def abandon(
         self,
         problem: Problem,
         *,
-        answered: bool = False,
+        delivered: bool = False,
     ) -> web.Response:
-        """Tell why nothing more is tried; return the answer for it.
+        """Log why the call is given up; return the response for it.
 
-        ``answered`` tells that the caller has a part of an answer already.
+        ``delivered`` means that the caller has part of an answer already.
         """
         call = self._call
         if self.runs and problem.answer.ran is Ran.NO:
-            # What ended the last attempt knows nothing of the earlier ones: a
-            # caller that is told so would have the request run once more.
+            # The problem describes only the last attempt. An earlier one may
+            # have run, and told otherwise the caller would repeat the request.
             problem = Problem(ErrorKind.OUTCOME_UNKNOWN, problem.message)
         journal.write_decision(
             'given_up',
@@ -111,12 +114,12 @@
             reason=problem.message,
             attempts=self.begun,
             runs=self.runs,
-            begun=answered,
+            begun=delivered,
             took_s=journal.round_seconds(self._core.now() - call.received),
         )
-        return answer_with(problem, call.ask.identity)
+        return build_problem_response(problem, call.ask.identity)
 
-    def _describe(self, delivered: bool, resends: int) -> Facts:
+    def _make_retry_context(self, delivered: bool, resends: int) -> Facts:
         call = self._call
         return Facts(
             repeatable=call.route.repeatable,
@@ -130,12 +133,12 @@
             resends=resends,
         )
 
-    def _tell_failure(
+    def _log_failure(
         self,
         outcome: str,
         detail: str,
-        again: bool,
-        told: dict[str, Any],
+        retrying: bool,
+        log_fields: dict[str, Any],
     ) -> None:
         journal.write_decision(
             'attempt_failed',
@@ -144,8 +147,8 @@
             detail=detail,
             attempts=self.begun,
             runs=self.runs,
-            next='repeat' if again else 'give_up',
-            **told,
+            next='repeat' if retrying else 'give_up',
+            **log_fields,
         )
-        if again:
+        if retrying:
             metrics.RETRIES.add(outcome)
--- a/packages/verbenahall/src/verbenahall/gateway/_engine_calls.py
+++ b/packages/verbenahall/src/verbenahall/gateway/_engine_calls.py
@@ -1,4 +1,4 @@
-"""Calls to engines that no caller asked for: reports, orders, handles."""
+"""Control calls to engines: reports, role orders, freeing of handles."""
 
 import asyncio
 import contextlib
@@ -23,34 +23,37 @@
 )
 from verbenahall.roster import Entry
 
-#: Longest time for one call, in seconds: engines answer these within
-#: milliseconds, and one that does not is looked at again later.
+#: Timeout of one call, in seconds. Engines answer these calls within
+#: milliseconds, and one that does not is polled again later.
 _CALL_S: Final = 1.0
 _NO_HEADERS: Final[Mapping[str, str]] = MappingProxyType({})
 
 
 @final
 class EngineCalls:
-    """Makes the calls; each failure is told and ends as an empty answer."""
+    """Makes the calls; a failure is logged and gives an empty result."""
 
     __slots__ = ('_session',)
 
     def __init__(self, session: aiohttp.ClientSession) -> None:
-        """Call through the process's session."""
+        """Call through ``session``."""
         self._session = session
 
     async def read_report(self, engine: Entry) -> Maybe[EngineReport]:
-        """Ask an engine for its report."""
+        """Fetch an engine's report; Nothing if the call failed."""
         answer = self._call('GET', engine, REPORT)
         try:
             async with answer as response:
                 return decode_report(await response.read())
         except CALL_FAILURES as error:
-            _tell('report_failed', engine, error)
+            _log_failure('report_failed', engine, error)
         return Nothing
 
     async def order(self, engine: Entry, order: RoleOrder) -> int | None:
-        """Send an order; its status, or None when its fate is not known."""
+        """Send a role order; return the HTTP status.
+
+        None if the call failed, so that the engine may have the order or not.
+        """
         headers = {
             'Content-Type': 'application/json',
             EXPECT_ENDPOINT: engine.name,
@@ -62,17 +65,17 @@
                 await response.read()
                 return response.status
         except CALL_FAILURES as error:
-            _tell('order_unanswered', engine, error)
+            _log_failure('order_unanswered', engine, error)
         return None
 
     async def free(self, engine: Entry, handle: str) -> None:
-        """Free KV cache that nobody will take."""
+        """Free KV cache that will not be fetched."""
         answer = self._call('DELETE', engine, handle_path(handle))
         try:
             async with answer as response:
                 await response.read()
         except CALL_FAILURES as error:
-            _tell('handle_not_freed', engine, error)
+            _log_failure('handle_not_freed', engine, error)
 
     @contextlib.asynccontextmanager
     async def _call(
@@ -94,5 +97,5 @@
                 yield response
 
 
-def _tell(event: str, engine: Entry, error: BaseException) -> None:
+def _log_failure(event: str, engine: Entry, error: BaseException) -> None:
     journal.write_decision(event, endpoint=engine.name, reason=repr(error))
--- a/packages/verbenahall/src/verbenahall/gateway/_events.py
+++ b/packages/verbenahall/src/verbenahall/gateway/_events.py
@@ -1,4 +1,4 @@
-"""Splits a stream into whole events and keeps each from coming twice."""
+"""Splits a stream into events and drops those that were relayed before."""
 
 import dataclasses
 import re
@@ -6,61 +6,61 @@
 
 from verbenahall.platform import read_event_number
 
-#: A blank line ends an event, with either kind of line end.
-_END: Final = re.compile(rb'\r?\n\r?\n')
-_NUMBER: Final = re.compile(rb'^id:[ ]?([^\r\n]*)', re.MULTILINE)
+#: A blank line ends an event; lines end with LF or CRLF.
+_EVENT_END: Final = re.compile(rb'\r?\n\r?\n')
+_EVENT_ID: Final = re.compile(rb'^id:[ ]?([^\r\n]*)', re.MULTILINE)
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class EventStep:
-    """What a piece brought: bytes to pass on, and how many events."""
+class NewEvents:
+    """Events to relay: their bytes and their number."""
 
-    passed: bytes
+    data: bytes
     events: int
 
 
 @final
 class EventState:
-    """How far a stream has come.
+    """Position in a stream.
 
-    ``last`` is the number of the last event passed on, None before the
-    first; ``tail`` is the beginning of an event that is not whole yet.
+    ``last`` is the number of the last event that was relayed, None before the
+    first; ``partial`` holds the bytes of an event that is not complete yet.
     """
 
-    __slots__ = ('last', 'tail')
+    __slots__ = ('last', 'partial')
 
     def __init__(self, last: int | None) -> None:
-        """Go on after event ``last``, which the caller has."""
+        """Start after event ``last``, which the caller has received."""
         self.last = last
-        self.tail = b''
+        self.partial = b''
 
 
-def feed(state: EventState, piece: bytes) -> EventStep:
-    """Return the whole events of a stream that are new to the caller.
+def feed(state: EventState, piece: bytes) -> NewEvents:
+    """Return the events that are completed by ``piece`` and not repeated.
 
-    An engine may stop in the middle of an event; passed on, the half event
-    and the resumed run would be joined into one that nobody has made.
+    Incomplete events are held back: if an engine fails inside one, the bytes
+    sent so far would be joined with the stream of the engine that resumes.
     """
-    pieces = state.tail + piece
-    passed: list[bytes] = []
+    buffer = state.partial + piece
+    data: list[bytes] = []
     start = 0
-    for end in _END.finditer(pieces):
-        event = pieces[start : end.end()]
+    for end in _EVENT_END.finditer(buffer):
+        event = buffer[start : end.end()]
         start = end.end()
         if _is_new(state, event):
-            passed.append(event)
-    state.tail = pieces[start:]
-    return EventStep(b''.join(passed), len(passed))
+            data.append(event)
+    state.partial = buffer[start:]
+    return NewEvents(b''.join(data), len(data))
 
 
-def restart(state: EventState) -> None:
-    """Drop the half event of a run that broke, before another one begins."""
-    state.tail = b''
+def discard_partial(state: EventState) -> None:
+    """Drop the incomplete event of a broken stream before it is resumed."""
+    state.partial = b''
 
 
 def _is_new(state: EventState, event: bytes) -> bool:
-    found = _NUMBER.search(event)
-    number = read_event_number(found.group(1).decode()) if found else None
+    id_line = _EVENT_ID.search(event)
+    number = read_event_number(id_line.group(1).decode()) if id_line else None
     if number is None:
         return True
     if state.last is not None and number <= state.last:
--- a/packages/verbenahall/src/verbenahall/gateway/_ingress.py
+++ b/packages/verbenahall/src/verbenahall/gateway/_ingress.py
@@ -1,4 +1,4 @@
-"""Takes callers' requests: route, limits, deadline, then one of the flows."""
+"""Entry point of requests: route, limits, deadline, then a request flow."""
 
 import asyncio
 from typing import Final, final
@@ -14,7 +14,7 @@
     Admissions,
     read_host,
 )
-from verbenahall.gateway._answers import answer_with
+from verbenahall.gateway._answers import build_problem_response
 from verbenahall.gateway._core import Core
 from verbenahall.gateway._dispatch import Dispatch
 from verbenahall.gateway._limits import read_within
@@ -27,14 +27,14 @@
 from verbenahall.requests import describe_quarantine
 from verbenahall.shutdown import GracefulStop
 
-#: When callers of a stopping instance may come back, in seconds: at once,
-#: since the balancer sends them to another one.
-_ELSEWHERE_S: Final = 0.05
+#: Retry-After of a stopping instance, in seconds: callers may retry at once,
+#: as the balancer sends them to another instance.
+_STOPPING_RETRY_AFTER_S: Final = 0.05
 
 
 @final
 class Ingress:
-    """Answers every request of a caller exactly once."""
+    """Handles callers' requests; each one is answered exactly once."""
 
     __slots__ = ('_admissions', '_core', '_dispatch', '_sender', '_stop')
 
@@ -45,7 +45,7 @@
         dispatch: Dispatch,
         admissions: Admissions,
     ) -> None:
-        """Route by what the core knows, until the stop."""
+        """Route by the state of ``core``, until ``stop`` ends the process."""
         self._core = core
         self._admissions = admissions
         self._stop = stop
@@ -53,13 +53,13 @@
         self._dispatch = dispatch
 
     async def handle(self, request: web.Request) -> web.StreamResponse:
-        """Answer one request."""
+        """Handle one request."""
         received = self._core.now()
         ask = read_ask(request.headers)
         match await self._accept(request, ask, received):
             case Failure(problem):
-                self._tell_refusal(request, ask, problem)
-                return answer_with(problem, ask.identity)
+                self._log_refused(request, ask, problem)
+                return build_problem_response(problem, ask.identity)
             case Success(call):
                 return await self._run(request, call)
         raise AssertionError('a result is a success or a failure')
@@ -69,14 +69,14 @@
         request: web.Request,
         call: Call,
     ) -> web.StreamResponse:
-        self._tell_accepted(call)
+        self._log_accepted(call)
         self._core.budget_of(call.service.name).earn()
         try:
             response = await self._start_flow(request, call)
         except (ConnectionError, asyncio.CancelledError):
-            self._tell_answered(call, 'caller_gone')
+            self._log_answered(call, 'caller_gone')
             raise
-        self._tell_answered(call, str(response.status))
+        self._log_answered(call, str(response.status))
         return response
 
     async def _start_flow(
@@ -89,7 +89,7 @@
             return await flow.run(self._dispatch)
         return await PlainFlow(self._core, self._sender, call).run()
 
-    def _tell_accepted(self, call: Call) -> None:
+    def _log_accepted(self, call: Call) -> None:
         belief_s = self._core.find_age(call.received)
         metrics.BELIEF_AGE_SECONDS.observe(belief_s)
         journal.write_decision(
@@ -108,7 +108,7 @@
             output=call.ask.work.output_tokens,
         )
 
-    def _tell_answered(self, call: Call, outcome: str) -> None:
+    def _log_answered(self, call: Call, outcome: str) -> None:
         journal.write_decision(
             'answered',
             request=call.ask.identity,
@@ -124,14 +124,14 @@
         received: float,
     ) -> Result[Call, Problem]:
         if self._stop.finishing:
-            # The process stays for its open requests only. One more, on a
-            # connection that was idle since before the stop, would be cut at
-            # the end of the grace period, in the middle of its stream.
+            # The process only finishes its open requests. A new one can still
+            # arrive on an idle connection from before the stop; its stream
+            # would be cut off at the end of the grace period.
             return Failure(
                 Problem(
                     ErrorKind.NOT_READY,
                     'the instance is stopping',
-                    retry_after_s=_ELSEWHERE_S,
+                    retry_after_s=_STOPPING_RETRY_AFTER_S,
                 ),
             )
         await self._core.freshness[OPERATOR_TOPIC].wait_usable()
@@ -187,7 +187,7 @@
         )
 
     def _check_quarantine(self, call: Call) -> Result[Call, Problem]:
-        """Refuse at once what would not be sent later."""
+        """Refuse a quarantined call, which would not be sent anyway."""
         left_s = find_quarantine_s(
             self._core.crash_log,
             call.fingerprint,
@@ -197,7 +197,7 @@
             return Failure(describe_quarantine(left_s))
         return Success(call)
 
-    def _tell_refusal(
+    def _log_refused(
         self,
         request: web.Request,
         ask: Ask,
--- a/packages/verbenahall/src/verbenahall/gateway/_plain.py
+++ b/packages/verbenahall/src/verbenahall/gateway/_plain.py
@@ -1,4 +1,4 @@
-"""Calls to plain services: whole answers, repeated only where allowed."""
+"""Calls to plain services: unstreamed answers, with retries if allowed."""
 
 from collections.abc import Sequence
 from http import HTTPStatus
@@ -9,7 +9,7 @@
 
 from verbenahall import metrics
 from verbenahall.errors import ErrorKind, Problem, Ran
-from verbenahall.gateway._answers import pass_on
+from verbenahall.gateway._answers import build_answer_response
 from verbenahall.gateway._attempts import Attempts
 from verbenahall.gateway._core import Core
 from verbenahall.gateway._messages import Answered, Call
@@ -18,22 +18,23 @@
 from verbenahall.requests import Outcome
 from verbenahall.roster import Entry
 
-#: A further attempt needs this share of the objective at least: less time
-#: would hardly bring an answer.
-_LEAST_LEFT: Final = 0.25
-#: Load that an endpoint of another data centre is thought to have more, in
-#: places: a call there takes some milliseconds longer.
+#: Least share of the objective that must be left to retry an error answer:
+#: an attempt with less time would rarely be answered.
+_MIN_LEFT_SHARE: Final = 0.25
+#: Load added to an endpoint in another data centre, in open calls: a call
+#: there takes some milliseconds longer.
 _REMOTE_LOAD: Final = 0.5
-#: Load that an endpoint is thought to have more that fails every request.
+#: Load added to an endpoint that fails every request, in open calls; less in
+#: proportion for a lower share of failures.
 _FAILING_LOAD: Final = 8.0
-#: Share of the time left that a first attempt of a repeatable call gets, so
-#: that a silent endpoint leaves time for another one.
-_FIRST_SHARE: Final = 0.5
+#: Share of the remaining time for an attempt of a repeatable call that can be
+#: retried, so that an endpoint that doesn't respond leaves time for another.
+_FIRST_ATTEMPT_SHARE: Final = 0.5
 
 
 @final
 class PlainFlow:
-    """One call to a plain service, from its choice of endpoint to its end."""
+    """Handles one call to a plain service, with its retries."""
 
     __slots__ = (
         '_core',
@@ -45,7 +46,7 @@
     )
 
     def __init__(self, core: Core, sender: Sender, call: Call) -> None:
-        """Prepare; nothing is sent before ``run``."""
+        """Store the arguments; nothing is sent before ``run``."""
         self._core = core
         self._sender = sender
         self._call = call
@@ -54,7 +55,7 @@
         self._counted = False
 
     async def run(self) -> web.StreamResponse:
-        """Send until an answer is final; return it."""
+        """Make attempts until an answer is final; return it."""
         try:
             return await self._run()
         finally:
@@ -64,17 +65,17 @@
         final_answer: web.StreamResponse | None = None
         while final_answer is None:
             now = self._core.now()
-            fresh = self._list_fresh(now)
-            endpoint = choose_plain(self._core, fresh, now)
+            untried = self._list_untried(now)
+            endpoint = choose_endpoint(self._core, untried, now)
             if endpoint is None:
-                return self._give_up(self._describe_none_left())
-            others = len(fresh) > 1
+                return self._abandon(self._make_no_endpoint_problem())
+            others = len(untried) > 1
             result = await self._send(endpoint, others=others)
-            final_answer = self._judge(endpoint, result)
+            final_answer = self._handle_result(endpoint, result)
         return final_answer
 
-    def _list_fresh(self, now: float) -> Sequence[Entry]:
-        """Return the endpoints that got this call not yet."""
+    def _list_untried(self, now: float) -> Sequence[Entry]:
+        """Return the live endpoints that have not failed this call."""
         live = self._core.roster.live(self._call.service.name, now)
         tried = self._attempts.tried
         return [one for one in live if one.name not in tried]
@@ -85,29 +86,32 @@
         *,
         others: bool,
     ) -> Result[Answered, Outcome]:
-        """Send; keep time for another endpoint if there are ``others``."""
+        """Send once; with ``others``, leave time for another endpoint."""
         call = self._call
         self._attempts.begun += 1
         now = self._core.now()
         until = call.deadline
         may_repeat = call.route.repeatable and self._attempts.may_run_again
         if others and may_repeat:
-            until = now + call.left_s(now) * _FIRST_SHARE
+            until = now + call.left_s(now) * _FIRST_ATTEMPT_SHARE
         order = SendOrder(endpoint.name, call.left_s(now))
         result = await self._sender.exchange(call, endpoint, order, until)
-        self._attempts.note(endpoint.name, result)
+        self._attempts.record(endpoint.name, result)
         if self._attempts.runs == 1:
-            self._count(self._core.now() - now)
+            self._count_usage(self._core.now() - now)
         return result
 
-    def _count(self, ago_s: float) -> None:
-        """Count the request once it has, or may have, begun to run."""
+    def _count_usage(self, ago_s: float) -> None:
+        """Count the request in its workspace's usage, once for all attempts.
+
+        ``ago_s`` is how long ago it was sent, in seconds.
+        """
         workspace = self._call.workspace
         if workspace is not None and not self._counted:
             self._core.meter.note_begun(workspace.name, ago_s)
         self._counted = True
 
-    def _judge(
+    def _handle_result(
         self,
         endpoint: Entry,
         result: Result[Answered, Outcome],
@@ -115,17 +119,19 @@
         """Return the final answer; None for another attempt."""
         match result:
             case Success(answered):
-                if not self._may_improve(endpoint, answered):
-                    return pass_on(answered)
+                if not self._may_retry_answer(endpoint, answered):
+                    return build_answer_response(answered)
                 self._fallback = answered
             case Failure(outcome):
-                problem = self._attempts.go_on(outcome, endpoint=endpoint.name)
+                problem = self._attempts.handle_failure(
+                    outcome, endpoint=endpoint.name
+                )
                 if problem is not None:
-                    return self._give_up(problem)
+                    return self._abandon(problem)
         return None
 
-    def _may_improve(self, endpoint: Entry, answered: Answered) -> bool:
-        """Whether another endpoint may do better than this answer."""
+    def _may_retry_answer(self, endpoint: Entry, answered: Answered) -> bool:
+        """Decide whether to retry an error answer at another endpoint."""
         call = self._call
         failed = answered.status >= HTTPStatus.INTERNAL_SERVER_ERROR
         if not failed or not call.route.repeatable:
@@ -133,18 +139,20 @@
         if self._attempts.runs >= call.route.max_attempts:
             return False
         left_s = call.left_s(self._core.now())
-        if left_s < call.route.objective_s * _LEAST_LEFT:
+        if left_s < call.route.objective_s * _MIN_LEFT_SHARE:
             return False
         self._attempts.tried.add(endpoint.name)
-        return self._attempts.improve(endpoint.name, answered.status)
+        return self._attempts.retry_failed_answer(
+            endpoint.name, answered.status
+        )
 
-    def _give_up(self, problem: Problem) -> web.StreamResponse:
-        """Answer with an endpoint's own failure rather than with ours."""
+    def _abandon(self, problem: Problem) -> web.StreamResponse:
+        """Return an endpoint's error answer if there is one, else our own."""
         if self._fallback is not None:
-            return pass_on(self._fallback)
-        return self._attempts.give_up(problem)
+            return build_answer_response(self._fallback)
+        return self._attempts.abandon(problem)
 
-    def _describe_none_left(self) -> Problem:
+    def _make_no_endpoint_problem(self) -> Problem:
         return Problem(
             ErrorKind.NO_ENDPOINT,
             'no endpoint of the service is left to try',
@@ -153,23 +161,26 @@
         )
 
 
-def choose_plain(
+def choose_endpoint(
     core: Core,
     endpoints: Sequence[Entry],
     now: float,
 ) -> Entry | None:
-    """Choose the endpoint with the least load, near ones first."""
+    """Choose the endpoint with the least load, local ones preferred.
+
+    Endpoints that are avoided for now are used only if there is no other.
+    """
     usable = [
         one for one in endpoints if not core.standings.paused(one.name, now)
     ]
     return min(
         usable or endpoints,
-        key=lambda one: (_weigh(core, one, now), core.random.random()),
+        key=lambda one: (_estimate_load(core, one, now), core.random.random()),
         default=None,
     )
 
 
-def _weigh(core: Core, endpoint: Entry, now: float) -> float:
+def _estimate_load(core: Core, endpoint: Entry, now: float) -> float:
     standing = core.standings.of(endpoint.name)
     failing = core.standings.failing(endpoint.name, now)
     load = standing.open + failing * _FAILING_LOAD
--- a/packages/verbenahall/src/verbenahall/gateway/_relay.py
+++ b/packages/verbenahall/src/verbenahall/gateway/_relay.py
@@ -1,4 +1,4 @@
-"""The caller's side of a stream, across the engines that generate it."""
+"""Relays the events of a stream to the caller, over several engines."""
 
 import asyncio
 from collections.abc import Callable
@@ -9,28 +9,28 @@
 from verbenahall import metrics
 from verbenahall.clock import Clock
 from verbenahall.gateway._events import EventState, feed
-from verbenahall.gateway._messages import Call, Pace
+from verbenahall.gateway._messages import Call, StreamTiming
 from verbenahall.platform import strip_hop_headers
 
-#: A stream that may be resumed and is silent for this many of the pauses
-#: that its callers bear on time is taken up by another engine, and at least
-#: for this long, in seconds: callers leave a stream after two seconds.
-_SILENT_GAPS: Final = 5.0
-_SILENT_S: Final = 1.2
+#: A resumable stream without an event for this many times the route's gap
+#: between events, and at least for this time in seconds, is resumed on another
+#: engine: callers disconnect after two seconds without an event.
+_IDLE_GAPS: Final = 5.0
+_MIN_IDLE_S: Final = 1.2
 
 
 @final
 class EventRelay:
-    """Passes whole events on as they come; the headers are the first run's.
+    """Relays complete events; the headers are those of the first engine.
 
-    A stream that ends early must not look complete, so it is broken off by
-    closing the caller's connection inside of a chunk.
+    A stream that ends early must not look complete, so it is aborted: the
+    caller's connection is closed without the final chunk.
     """
 
     __slots__ = ('state', '_request', '_call', '_clock', '_response')
 
     def __init__(self, request: web.Request, call: Call, now: Clock) -> None:
-        """Keep the request; nothing is sent yet."""
+        """Store the arguments; nothing is sent yet."""
         self.state = EventState(call.ask.last_event)
         self._request = request
         self._call = call
@@ -39,7 +39,7 @@
 
     @property
     def begun(self) -> bool:
-        """Whether the caller has a part of the answer."""
+        """Whether part of the answer was sent to the caller."""
         return self._response is not None
 
     async def pump(
@@ -48,54 +48,56 @@
         note_first: Callable[[], None],
         *,
         resumable: bool,
-    ) -> Pace:
-        """Pass a run on to its end; raise when it breaks or falls silent.
+    ) -> StreamTiming:
+        """Relay an engine's stream to its end; return its timing.
 
-        ``note_first`` is called when the run's first event is there.
+        ``note_first`` is called at the engine's first new event. Raises
+        ``TimeoutError`` when the stream stalls, ``ClientPayloadError`` when it
+        ends inside an event, and other errors when the connection breaks.
         """
-        pace = Pace()
+        timing = StreamTiming()
         while True:
-            async with asyncio.timeout(self._find_patience(resumable)):
+            async with asyncio.timeout(self._find_idle_timeout(resumable)):
                 piece = await response.content.readany()
             if not piece:
                 break
             step = feed(self.state, piece)
             if step.events:
-                if not pace.events:
+                if not timing.events:
                     note_first()
-                self._time(pace, step.events)
-                await self._write(response, step.passed)
-        if self.state.tail:
-            raise ClientPayloadError('the stream ends in an event')
-        return pace
+                self._record_timing(timing, step.events)
+                await self._write(response, step.data)
+        if self.state.partial:
+            raise ClientPayloadError('the stream ended inside an event')
+        return timing
 
     async def finish(self) -> web.StreamResponse | None:
-        """End the answer; None when there is none to end."""
+        """End the answer normally; None when nothing was sent yet."""
         if self._response is not None:
             await self._response.write_eof()
         return self._response
 
-    def break_off(self) -> web.StreamResponse | None:
+    def abort_stream(self) -> web.StreamResponse | None:
         """Close the caller's connection; None when nothing was sent yet."""
         transport = self._request.transport
         if self._response is not None and transport is not None:
             transport.abort()
         return self._response
 
-    def silent_until(self, *, resumable: bool) -> float:
-        """Return until when an engine may be silent."""
+    def find_idle_deadline(self, *, resumable: bool) -> float:
+        """Return the monotonic time until which to wait for an event."""
         call = self._call
         if not resumable:
             return call.deadline
-        silent_s = max(_SILENT_S, call.route.gap_s * _SILENT_GAPS)
-        return min(call.deadline, self._clock() + silent_s)
+        idle_s = max(_MIN_IDLE_S, call.route.gap_s * _IDLE_GAPS)
+        return min(call.deadline, self._clock() + idle_s)
 
-    def _find_patience(self, resumable: bool) -> float:
-        return self.silent_until(resumable=resumable) - self._clock()
+    def _find_idle_timeout(self, resumable: bool) -> float:
+        return self.find_idle_deadline(resumable=resumable) - self._clock()
 
-    def _time(self, pace: Pace, events: int) -> None:
+    def _record_timing(self, timing: StreamTiming, events: int) -> None:
         now = self._clock()
-        pause = pace.note(events, now)
+        pause = timing.record(events, now)
         if pause is None and self._response is None:
             metrics.FIRST_TOKEN_SECONDS.observe(now - self._call.received)
         elif pause is not None:
@@ -104,7 +106,7 @@
     async def _write(
         self,
         response: ClientResponse,
-        passed: bytes,
+        data: bytes,
     ) -> None:
         if self._response is None:
             self._response = web.StreamResponse(
@@ -114,20 +116,22 @@
             )
             self._response.enable_chunked_encoding()
             await self._response.prepare(self._request)
-        await self._hand_over(self._response, passed)
+        await self._write_before_deadline(self._response, data)
 
-    async def _hand_over(
+    async def _write_before_deadline(
         self,
         response: web.StreamResponse,
-        passed: bytes,
+        data: bytes,
     ) -> None:
-        """Write to the caller, but not beyond the request's deadline.
+        """Write to the caller, at most until the request's deadline.
 
-        A caller that has stopped reading would otherwise hold an engine's
-        place for as long as it keeps its connection.
+        Without the bound, a caller that has stopped reading would occupy an
+        engine for as long as it keeps its connection open.
         """
         left_s = self._call.left_s(self._clock())
         try:
-            await asyncio.wait_for(response.write(passed), left_s)
+            await asyncio.wait_for(response.write(data), left_s)
         except TimeoutError as error:
-            raise ConnectionResetError('the caller reads no more') from error
+            raise ConnectionResetError(
+                'the caller has stopped reading'
+            ) from error
--- a/packages/verbenahall/src/verbenahall/gateway/_streams.py
+++ b/packages/verbenahall/src/verbenahall/gateway/_streams.py
@@ -1,4 +1,4 @@
-"""Model requests: the prompt read on one engine, generated on another."""
+"""Model requests: prefill on one engine, decode on another."""
 
 from typing import Final, final
 
@@ -7,15 +7,15 @@
 
 from verbenahall import journal, metrics
 from verbenahall.errors import ErrorKind, Problem
-from verbenahall.gateway._answers import pass_on
+from verbenahall.gateway._answers import build_answer_response
 from verbenahall.gateway._attempts import Attempts
 from verbenahall.gateway._core import Core
 from verbenahall.gateway._dispatch import Dispatch
-from verbenahall.gateway._events import restart
+from verbenahall.gateway._events import discard_partial
 from verbenahall.gateway._generation import Generated, Generation
-from verbenahall.gateway._grants import Grant, NoGrant
+from verbenahall.gateway._grants import Grant, UnqueuedGrant
 from verbenahall.gateway._messages import Answered, Call, StreamEnded
-from verbenahall.gateway._reads import Handle, PromptReads
+from verbenahall.gateway._reads import KvHandle, PrefillCalls
 from verbenahall.gateway._relay import EventRelay
 from verbenahall.gateway._sender import Sender
 from verbenahall.placement import PlacementRequest, Plan, place
@@ -31,22 +31,23 @@
 )
 from verbenahall.roster import Entry
 
-#: After so many refusals the handle may be what is refused.
-_DOUBTED: Final = 2
+#: Refusals by decode engines after which the KV cache handle is dropped: the
+#: fault may lie with the engine that holds it rather than with theirs.
+_MAX_HANDLE_REFUSALS: Final = 2
 
 
 @final
 class StreamFlow:
-    """One model request, from its placement to the end of its stream."""
+    """Handles one model request from placement to the end of its stream."""
 
     __slots__ = (
         '_core',
         '_call',
         '_relay',
-        '_reads',
+        '_prefills',
         '_generation',
         '_attempts',
-        '_handle',
+        '_kv_handle',
         '_grant',
         '_refusals',
     )
@@ -58,52 +59,54 @@
         call: Call,
         request: web.Request,
     ) -> None:
-        """Prepare; nothing is sent before ``run``."""
+        """Store the arguments; nothing is sent before ``run``."""
         self._core = core
         self._call = call
         self._relay = EventRelay(request, call, core.now)
-        self._reads = PromptReads(core, sender)
+        self._prefills = PrefillCalls(core, sender)
         self._generation = Generation(core, sender, call, self._relay)
         self._attempts = Attempts(core, call)
-        self._handle: Handle | None = None
+        self._kv_handle: KvHandle | None = None
         self._grant: Grant | None = None
         self._refusals = 0
 
     async def run(self, dispatch: Dispatch) -> web.StreamResponse:
-        """Send until the stream has ended or is given up."""
+        """Make attempts until the stream ends or the request is given up."""
         try:
             return await self._run(dispatch)
         finally:
-            self._give_back()
+            self._release()
             metrics.ATTEMPTS.add(str(self._attempts.begun))
 
     async def _run(self, dispatch: Dispatch) -> web.StreamResponse:
         final_answer: web.StreamResponse | None = None
         while final_answer is None:
-            match await self._await_turn(dispatch):
+            match await self._await_admission(dispatch):
                 case Success(grant):
                     self._grant = grant
-                    self._tell_plan(grant.plan)
-                    result = await self._follow(grant)
-                    final_answer = await self._judge(grant.plan, result)
+                    self._log_placement(grant.plan)
+                    result = await self._execute_plan(grant)
+                    final_answer = await self._handle_result(grant.plan, result)
                 case Failure(problem):
-                    return self._give_up(problem)
+                    return self._abandon(problem)
         return final_answer
 
-    async def _await_turn(self, dispatch: Dispatch) -> Result[Grant, Problem]:
-        """Wait for the prompt's turn to be read, unless it was read.
+    async def _await_admission(
+        self, dispatch: Dispatch
+    ) -> Result[Grant, Problem]:
+        """Wait in the prefill queue, unless the prompt was prefilled before.
 
-        A request that may have run, or that has a part of its answer, goes on
-        at once: it is not to be told that it has not run, and its caller
-        already waits for the next event.
+        A request that may have run, or part of whose answer was delivered,
+        isn't queued: a refusal by the queue would state that the request has
+        not run, and its caller already waits for the next event.
         """
-        if self._handle or self._attempts.runs or self._relay.begun:
-            return self._place().map(NoGrant)
+        if self._kv_handle or self._attempts.runs or self._relay.begun:
+            return self._place().map(UnqueuedGrant)
         wanted = PlacementRequest(self._call.ask.work, self._call.route.gap_s)
         tried = frozenset(self._attempts.tried)
-        return await dispatch.take(self._call, wanted, tried)
+        return await dispatch.admit(self._call, wanted, tried)
 
-    async def _judge(
+    async def _handle_result(
         self,
         plan: Plan,
         result: Generated,
@@ -111,9 +114,9 @@
         """Return the final answer; None for another attempt."""
         match result:
             case Failure(outcome):
-                return self._go_on(plan, outcome)
+                return self._handle_failure(plan, outcome)
             case Success(done):
-                self._handle = None
+                self._kv_handle = None
                 return await self._finish(done)
         raise AssertionError('a result is a success or a failure')
 
@@ -123,48 +126,50 @@
         now = core.now()
         usable = core.list_usable(call.service.name, now)
         tried = self._attempts.tried
-        fresh = [one for one in usable if one.name not in tried]
-        read_by = self._handle.engine if self._handle else None
+        untried = [one for one in usable if one.name not in tried]
+        prefilled_by = self._kv_handle.engine if self._kv_handle else None
         return place(
             core.placement,
-            PlacementRequest(call.ask.work, call.route.gap_s, read_by),
-            fresh or usable,
+            PlacementRequest(call.ask.work, call.route.gap_s, prefilled_by),
+            untried or usable,
             call.service.engine,
             now,
         )
 
-    async def _follow(self, grant: Grant) -> Generated:
-        """Carry a plan out; a handle that nobody took is kept."""
+    async def _execute_plan(self, grant: Grant) -> Generated:
+        """Prefill and decode by the plan; keep the handle if it is unused."""
         self._attempts.begun += 1
         grant.start()
         plan = grant.plan
-        if plan.reader is not None and self._handle is None:
+        if plan.reader is not None and self._kv_handle is None:
             started = self._core.now()
-            read = await self._reads.read(self._call, plan, plan.reader)
-            match read:
+            prefilled = await self._prefills.prefill(
+                self._call, plan, plan.reader
+            )
+            match prefilled:
                 case Failure(outcome):
                     self._attempts.tried.add(plan.reader.name)
-                    _end(grant, plan.reader, outcome)
-                    return Failure(_name_unread(outcome))
+                    _end_grant(grant, plan.reader, outcome)
+                    return Failure(_classify_prefill_failure(outcome))
                 case Success(handle):
-                    self._handle = handle
+                    self._kv_handle = handle
             grant.note_prefill(self._core.now() - started)
-            plan = self._renew(grant)
+            plan = self._update_plan(grant)
         return await self._generate(plan, grant)
 
     async def _generate(self, plan: Plan, grant: Grant) -> Generated:
         route = self._call.route
         result = await self._generation.run(
             plan,
-            self._handle,
+            self._kv_handle,
             grant,
             resumable=route.resumable and self._attempts.may_run_again,
         )
-        self._attempts.note(plan.generator.name, result)
+        self._attempts.record(plan.generator.name, result)
         match result:
             case Failure(outcome):
-                _end(grant, plan.generator, outcome)
-                if not self._may_keep(outcome):
+                _end_grant(grant, plan.generator, outcome)
+                if not self._can_keep_handle(outcome):
                     self._drop_handle()
             case Success(StreamEnded(step_s=step_s)):
                 grant.end(step_s=step_s)
@@ -172,34 +177,37 @@
                 grant.end()
         return result
 
-    def _may_keep(self, outcome: Outcome) -> bool:
-        """Whether the KV cache still lies where it was.
+    def _can_keep_handle(self, outcome: Outcome) -> bool:
+        """Whether the handle can be used for the next decode engine.
 
-        Reading the prompt again for another engine costs the time of a whole
-        read. An engine that refuses has mostly no room; only when a second
-        one refuses, too, the handle itself is doubted.
+        Without it the whole prompt is prefilled again. An engine that refuses
+        is usually full, so one refusal doesn't invalidate the handle. After a
+        second one the handle is taken to be unusable.
         """
         match outcome:
             case NeverWritten() | Limited():
                 return True
             case Refused():
                 self._refusals += 1
-                doubted = self._refusals >= _DOUBTED
-                if doubted and self._handle is not None:
-                    # Two engines could not fetch it: the one that holds it
-                    # moves KV cache too slowly, or not at all.
-                    reader = self._handle.engine.name
-                    self._core.standings.note_refusal(reader, self._core.now())
-                return not doubted
+                suspect = self._refusals >= _MAX_HANDLE_REFUSALS
+                if suspect and self._kv_handle is not None:
+                    # Two engines could not fetch the KV cache: the engine that
+                    # holds it transfers it too slowly or not at all.
+                    prefill_engine = self._kv_handle.engine.name
+                    self._core.standings.note_refusal(
+                        prefill_engine, self._core.now()
+                    )
+                return not suspect
             case _:
                 return False
 
-    def _renew(self, grant: Grant) -> Plan:
-        """Choose the generator anew once the prompt was read.
+    def _update_plan(self, grant: Grant) -> Plan:
+        """Choose the decode engine again after the prefill.
 
-        A read may take seconds. An engine that has said meanwhile that it
-        leaves may get no more work, and the least busy one may have changed.
-        One that a scheduler keeps a place at is only left if it has left.
+        A prefill may take seconds. Meanwhile the chosen engine may have
+        started to drain, so that it must get no more work, and another one
+        may have become the least busy. An engine at which a scheduler has
+        reserved a place is kept as long as it is usable.
         """
         plan = grant.plan
         if grant.holds_decode:
@@ -209,56 +217,60 @@
                 return plan
         return self._place().value_or(plan)
 
-    def _give_back(self) -> None:
-        """Free what is still held at engines."""
+    def _release(self) -> None:
+        """Free the handle and end the grant."""
         self._drop_handle()
         if self._grant is not None:
             self._grant.end()
 
     def _drop_handle(self) -> None:
-        """Free the handle, if there is one that nobody has taken."""
-        if self._handle is not None:
-            self._reads.free(self._handle)
-            self._handle = None
+        """Free the handle if there is an unused one."""
+        if self._kv_handle is not None:
+            self._prefills.free(self._kv_handle)
+            self._kv_handle = None
 
-    def _go_on(
+    def _handle_failure(
         self,
         plan: Plan,
         outcome: Outcome,
     ) -> web.StreamResponse | None:
-        """Decide what follows a failure; None for another attempt."""
-        # Without a handle the prompt is read and generated anew; a failed
-        # read alone is one send.
-        unread = isinstance(outcome, Unprepared)
-        problem = self._attempts.go_on(
+        """Return the final answer after a failure; None for another attempt."""
+        # The next attempt takes one send if only prefill or only decode is
+        # repeated, and two if both are.
+        prefill_failed = isinstance(outcome, Unprepared)
+        problem = self._attempts.handle_failure(
             outcome,
             delivered=self._relay.begun,
-            resends=1 if self._handle or unread else 2,
+            resends=1 if self._kv_handle or prefill_failed else 2,
             reader=plan.reader.name if plan.reader else None,
             generator=plan.generator.name,
             last_event=self._relay.state.last,
         )
         if problem is not None:
-            return self._give_up(problem)
-        restart(self._relay.state)
+            return self._abandon(problem)
+        discard_partial(self._relay.state)
         return None
 
     async def _finish(self, done: object) -> web.StreamResponse:
         if isinstance(done, Answered):
-            return pass_on(done)
+            return build_answer_response(done)
         response = await self._relay.finish()
         if response is None:
-            # Complete and empty: nothing was left to resume.
+            # The stream ended properly without an event, so nothing can be
+            # resumed.
             message = 'the stream had no events'
-            return self._give_up(Problem(ErrorKind.ANSWER_TRUNCATED, message))
+            return self._abandon(Problem(ErrorKind.ANSWER_TRUNCATED, message))
         return response
 
-    def _give_up(self, problem: Problem) -> web.StreamResponse:
-        """Answer at once, or break a stream so that it does not look whole."""
-        answer = self._attempts.give_up(problem, answered=self._relay.begun)
-        return self._relay.break_off() or answer
+    def _abandon(self, problem: Problem) -> web.StreamResponse:
+        """Return an error response, or abort the stream if it has begun.
 
-    def _tell_plan(self, plan: Plan) -> None:
+        Ended normally, the stream would look complete to the caller.
+        """
+        answer = self._attempts.abandon(problem, delivered=self._relay.begun)
+        return self._relay.abort_stream() or answer
+
+    def _log_placement(self, plan: Plan) -> None:
         journal.write_decision(
             'placed',
             request=self._call.ask.identity,
@@ -271,22 +283,22 @@
         )
 
 
-def _end(grant: Grant, engine: Entry, outcome: Outcome) -> None:
-    """Give the engines back after a failure at one of them.
+def _end_grant(grant: Grant, engine: Entry, outcome: Outcome) -> None:
+    """End a grant after a failure at one of its engines.
 
-    That it took no work is told: it may be changing its role, and others
-    would be sent there next.
+    A refusal is reported with it: the engine may be changing its role, and
+    the scheduler would assign the next requests to it.
     """
     refused = isinstance(outcome, Refused | NeverWritten | Limited)
     grant.end(refused=engine.name if refused else '')
 
 
-def _name_unread(outcome: Outcome) -> Outcome:
-    """Name how a read failed as an outcome of the request itself.
+def _classify_prefill_failure(outcome: Outcome) -> Outcome:
+    """Return the outcome of an attempt whose prefill failed.
 
-    A read runs nothing, so the request may go on elsewhere whatever became
-    of it, also where it may run only once.
+    A prefill doesn't execute the request, so any failure of it allows another
+    attempt, even for a request that may run only once.
     """
     if isinstance(outcome, TimedOut | Quarantined | Limited | Unauthorized):
         return outcome
-    return Unprepared(f'the prompt was not read: {outcome}')
+    return Unprepared(f'the prefill failed: {outcome}')
