--- a/packages/verbenahall/src/verbenahall/gateway/_assignments.py
+++ b/packages/verbenahall/src/verbenahall/gateway/_assignments.py
@@ -17,7 +17,7 @@
 from verbenahall.gateway._messages import Call
 from verbenahall.gateway._scheduled_grants import (
     ScheduledGrant,
-    SchedulerContact,
+    AssignmentChannel,
     Send,
 )
 from verbenahall.placement import PlacementRequest, Plan, Totals
@@ -71,7 +71,7 @@
     )
 
     def __init__(self, core: Core, send: Send) -> None:
-        """Ask by ``send``; answers come to ``hear``."""
+        """Ask by ``send``; answers come to ``receive``."""
         self._core = core
         self._groups = SchedulerHealth(_GROUP_S)
         self._health = SchedulerHealth()
@@ -80,7 +80,7 @@
         self._numbers = itertools.count()
         self._send = send
 
-    def hear(self, message: Queued | Answer, scheduler: str) -> None:
+    def receive(self, message: Queued | Answer, scheduler: str) -> None:
         """Take an answer from the scheduler at an address."""
         inbox = self._inboxes.get(message.key)
         if inbox is not None:
@@ -245,7 +245,7 @@
             (prefill or decode).name,
             Totals(reading=assignment.missing),
         )
-        contact = SchedulerContact(self._send, address, assignment.key)
+        contact = AssignmentChannel(self._send, address, assignment.key)
         return Some(Success(ScheduledGrant(self._core, plan, flight, contact)))
 
 
--- a/packages/verbenahall/src/verbenahall/gateway/_followers.py
+++ b/packages/verbenahall/src/verbenahall/gateway/_followers.py
@@ -15,10 +15,10 @@
 from returns.result import Failure, Success
 
 from verbenahall import journal
-from verbenahall.gateway._contact import Received, StoreContact
+from verbenahall.gateway._store_reachability import Received, StoreReachability
 from verbenahall.gateway._core import Core
 from verbenahall.gateway._standby import Standby
-from verbenahall.peers import News
+from verbenahall.peers import TopicUpdate
 from verbenahall.platform import (
     ANSWER_S,
     Batch,
@@ -57,15 +57,16 @@
 class Subject:
     """A topic, and what its records do.
 
-    Single changes go to ``take`` and whole reads to ``take_all``. After a
-    change the topic is left alone for ``rest_s``, so that the changes that
+    Single changes go to ``apply_record`` and whole reads to ``apply_all``.
+    After a
+    change the topic is left alone for ``pause_s``, so that the changes that
     mostly follow cost one call together.
     """
 
     topic: str
-    take: Callable[[KeyedRecord, Received], None]
-    take_all: Callable[[Mapping[str, bytes], Received], None]
-    rest_s: float
+    apply_record: Callable[[KeyedRecord, Received], None]
+    apply_all: Callable[[Mapping[str, bytes], Received], None]
+    pause_s: float
 
 
 @final
@@ -96,15 +97,15 @@
         self,
         core: Core,
         subject: Subject,
-        spread: Callable[[News], None],
+        broadcast: Callable[[TopicUpdate], None],
     ) -> None:
-        """Prepare; what is read from the store goes to ``spread``, too."""
+        """Prepare; what is read from the store goes to ``broadcast``, too."""
         self.subject = subject
         self.position: int | None = None
         self._core = core
-        self._contact = StoreContact(core, subject.topic)
+        self._contact = StoreReachability(core, subject.topic)
         self._freshness = core.freshness[subject.topic]
-        self._spread = spread
+        self._spread = broadcast
         self._standby = Standby(core.book, subject.topic)
         self._rests = False
         self._soon = True
@@ -124,27 +125,27 @@
             await asyncio.sleep(pause * jitter)
             pause = min(pause * 2, _LONGEST_PAUSE_S)
 
-    def is_watching(self) -> bool:
+    def is_polling_store(self) -> bool:
         """Tell whether the topic is followed at the store itself."""
         now = self._core.now()
-        if self.position is None or self._standby.is_relieved(now):
+        if self.position is None or self._standby.is_covered_by_peers(now):
             return False
-        return self._contact.is_fresh(now)
+        return self._contact.is_reachable(now)
 
-    def hear(self, news: News) -> None:
+    def receive_update(self, news: TopicUpdate) -> None:
         """Take a peer's news, or note that there is more than is known."""
-        self._standby.hear(news.end)
-        if news.cut:
+        self._standby.record_end(news.end)
+        if news.after_outage:
             note_cut_off(self._core.roster, self._core.now())
         if self.position is not None and news.start <= self.position:
             self._advance(news.records, news.start, 'peer')
         if self.position is not None and news.end > self.position:
             self._wake.set()
 
-    def adopt_confirmed(self) -> None:
+    def apply_peer_confirmations(self) -> None:
         """Take what the peers say of the store's answers to them."""
         if self.position is not None:
-            at = self._standby.find_confirmed(self.position)
+            at = self._standby.find_confirmed_at(self.position)
             self._freshness.note_confirmed(at)
 
     async def refresh(self) -> bool:
@@ -156,11 +157,11 @@
     def _may_stand_by(self) -> bool:
         """Whether the peers' news are as good as calls of its own."""
         now = self._core.now()
-        if self.position is None or not self._standby.is_relieved(now):
+        if self.position is None or not self._standby.is_covered_by_peers(now):
             return False
         if not self._standby.may_wait(self.position, now):
             return False
-        self.adopt_confirmed()
+        self.apply_peer_confirmations()
         return now - self._contact.answered_at < _UNCHECKED_S
 
     async def _step(self) -> bool:
@@ -171,24 +172,24 @@
         answered = await self._poll(self.position, wait_s, ANSWER_S)
         if self._rests:
             self._rests = False
-            rest_s = self.subject.rest_s
+            pause_s = self.subject.pause_s
             now = self._core.now()
-            await asyncio.sleep(self._freshness.limit_wait(rest_s, now))
+            await asyncio.sleep(self._freshness.limit_wait(pause_s, now))
         return answered
 
     async def _read_all(self) -> bool:
         sent_at = self._core.now()
         match await self._core.store.read_newest(self.subject.topic):
             case Success(newest):
-                self._contact.note_answer()
+                self._contact.record_answer()
                 self._soon = True
                 self.position = newest.end
-                received = self._contact.describe('store')
-                self.subject.take_all(newest.items, received)
+                received = self._contact.describe_source('store')
+                self.subject.apply_all(newest.items, received)
                 self._freshness.note_confirmed(sent_at)
                 return True
             case Failure(away):
-                self._contact.note_silence(away.reason)
+                self._contact.record_failure(away.reason)
         return False
 
     async def _poll(
@@ -202,13 +203,13 @@
         store = self._core.store
         match await store.read(topic, offset, wait_s, answer_s):
             case Success(batch):
-                self._contact.note_answer()
+                self._contact.record_answer()
                 self._soon = bool(batch.records) or not offset
                 waited_s = 0 if batch.records else wait_s
                 self._take(batch, offset, sent_at + waited_s)
                 return True
             case Failure(Deleted()):
-                self._contact.note_answer()
+                self._contact.record_answer()
                 # What was missed is gone; only a whole read tells what is.
                 journal.write_decision('history_lost', topic=topic)
                 self.position = None
@@ -216,7 +217,7 @@
             case Failure(away):
                 took_s = self._core.now() - sent_at
                 if took_s < wait_s + answer_s + _STALL_S:
-                    self._contact.note_silence(away.reason)
+                    self._contact.record_failure(away.reason)
         return False
 
     def _take(self, batch: Batch, offset: int, read_at: float) -> None:
@@ -233,10 +234,12 @@
             self._freshness.note_confirmed(min(now, read_at))
         if not fresh or known is None:
             return
-        if not self._standby.is_relieved(now):
-            cut = self._contact.was_lost(now)
+        if not self._standby.is_covered_by_peers(now):
+            after_outage = self._contact.has_failed_lately(now)
             end = offset + len(records)
-            news = News(self.subject.topic, known, fresh, end, cut)
+            news = TopicUpdate(
+                self.subject.topic, known, fresh, end, after_outage
+            )
             self._spread(news)
             self._rests = True
 
@@ -252,8 +255,8 @@
         fresh = records[self.position - offset :]
         self.position += len(fresh)
         if fresh:
-            self._standby.note_progress()
-        received = self._contact.describe(source)
+            self._standby.record_progress()
+        received = self._contact.describe_source(source)
         for record in fresh:
             _apply(self.subject, record, received)
         return fresh
@@ -269,7 +272,7 @@
             reason=str(error),
         )
         return
-    subject.take(keyed, received)
+    subject.apply_record(keyed, received)
 
 
 async def _wait_for(wake: asyncio.Event) -> None:
--- a/packages/verbenahall/src/verbenahall/gateway/_following.py
+++ b/packages/verbenahall/src/verbenahall/gateway/_following.py
@@ -10,9 +10,9 @@
 from verbenahall import journal
 from verbenahall.catalog import adopt
 from verbenahall.gateway._core import Core
-from verbenahall.gateway._contact import Received
+from verbenahall.gateway._store_reachability import Received
 from verbenahall.gateway._followers import Follower, Subject
-from verbenahall.peers import News, PeerExchange
+from verbenahall.peers import TopicUpdate, PeerExchange
 from verbenahall.platform import (
     ENDPOINTS_TOPIC,
     MANIFEST_KEY,
@@ -34,7 +34,7 @@
 
 
 @final
-class Following:
+class RecordHandlers:
     """What the store's records change in the process's state."""
 
     __slots__ = ('_core',)
@@ -43,9 +43,11 @@
         """Change the core's catalog and roster."""
         self._core = core
 
-    def followers(self, spread: Callable[[News], None]) -> list[Follower]:
-        """Return what is followed; news for the peers go to ``spread``."""
-        rest_s = self._core.settings.bounds.leaving_s * _REST_SHARE
+    def followers(
+        self, broadcast: Callable[[TopicUpdate], None]
+    ) -> list[Follower]:
+        """Return what is followed; news for the peers go to ``broadcast``."""
+        pause_s = self._core.settings.bounds.leaving_s * _REST_SHARE
         subjects = (
             Subject(
                 OPERATOR_TOPIC,
@@ -57,10 +59,12 @@
                 ENDPOINTS_TOPIC,
                 self._take_entry,
                 self._take_entries,
-                rest_s,
+                pause_s,
             ),
         )
-        return [Follower(self._core, subject, spread) for subject in subjects]
+        return [
+            Follower(self._core, subject, broadcast) for subject in subjects
+        ]
 
     def _take_manifest(self, record: KeyedRecord, received: Received) -> None:
         if record.key != MANIFEST_KEY or not record.content:
@@ -158,10 +162,10 @@
 
 def follow_store(core: Core, exchange: PeerExchange) -> list[Follower]:
     """Follow the store together with the peers of an exchange."""
-    followers = Following(core).followers(exchange.spread)
+    followers = RecordHandlers(core).followers(exchange.broadcast)
     exchange.followed = functools.partial(_list_followed, followers)
-    exchange.ages = functools.partial(_list_ages, core)
-    exchange.hear_news = functools.partial(_give_news, followers)
+    exchange.list_ages = functools.partial(_list_ages, core)
+    exchange.on_update = functools.partial(_give_news, followers)
     return followers
 
 
@@ -169,7 +173,7 @@
     return {
         one.subject.topic: one.position
         for one in followers
-        if one.is_watching()
+        if one.is_polling_store()
     }
 
 
@@ -183,10 +187,10 @@
     }
 
 
-def _give_news(followers: Sequence[Follower], news: News) -> None:
+def _give_news(followers: Sequence[Follower], news: TopicUpdate) -> None:
     for follower in followers:
         if follower.subject.topic == news.topic:
-            follower.hear(news)
+            follower.receive_update(news)
 
 
 def _tell_unreadable(endpoint: str) -> None:
--- a/packages/verbenahall/src/verbenahall/gateway/_freshness.py
+++ b/packages/verbenahall/src/verbenahall/gateway/_freshness.py
@@ -32,12 +32,12 @@
     ``usable_s`` is how old it may be when it is used.
     """
 
-    __slots__ = ('confirmed_at', 'lost_at', 'usable_s', '_changed')
+    __slots__ = ('confirmed_at', 'failed_at', 'usable_s', '_changed')
 
     def __init__(self, usable_s: float) -> None:
         """Start without an answer of the store."""
         self.confirmed_at = _NEVER
-        self.lost_at = _NEVER
+        self.failed_at = _NEVER
         self.usable_s = usable_s
         self._changed = asyncio.Event()
 
@@ -52,9 +52,9 @@
         return self.confirmed_at > _NEVER
 
     @property
-    def is_lost(self) -> bool:
+    def has_failed(self) -> bool:
         """Whether a call has failed since the store last confirmed."""
-        return self.lost_at > self.confirmed_at
+        return self.failed_at > self.confirmed_at
 
     def find_age(self, now: float) -> float:
         """Return the age, infinite before the first answer."""
@@ -77,7 +77,7 @@
 
     def note_lost(self, now: float) -> None:
         """Note that the store did not answer this instance."""
-        self.lost_at = now
+        self.failed_at = now
         self._wake()
 
     async def wait_usable(self) -> None:
@@ -95,7 +95,7 @@
 
     def _may_use(self) -> bool:
         is_young = self.find_age(clock.monotonic()) <= self.usable_s
-        return is_young or self.is_lost or not self.is_known
+        return is_young or self.has_failed or not self.is_known
 
     def _wake(self) -> None:
         self._changed.set()
--- a/packages/verbenahall/src/verbenahall/gateway/_peers.py
+++ b/packages/verbenahall/src/verbenahall/gateway/_peers.py
@@ -57,7 +57,7 @@
             await asyncio.sleep(_PAUSE_S)
         while not await self._read_others():
             await asyncio.sleep(_PAUSE_S)
-        self.exchange.introduce()
+        self.exchange.announce()
 
     def _greet(self, name: str, card: bytes) -> None:
         match wire.decode(card):
--- a/packages/verbenahall/src/verbenahall/gateway/_scheduled_grants.py
+++ b/packages/verbenahall/src/verbenahall/gateway/_scheduled_grants.py
@@ -18,7 +18,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class SchedulerContact:
+class AssignmentChannel:
     """How the scheduler of one assignment is told of it."""
 
     send: Send
@@ -47,7 +47,7 @@
         core: Core,
         plan: Plan,
         flight: InFlight,
-        contact: SchedulerContact,
+        contact: AssignmentChannel,
     ) -> None:
         """Tell the scheduler how it goes."""
         self.plan = plan
--- a/packages/verbenahall/src/verbenahall/gateway/_scheduler.py
+++ b/packages/verbenahall/src/verbenahall/gateway/_scheduler.py
@@ -237,9 +237,9 @@
         self._exchange = exchange
         self.assignments = Assignments(core, self.send)
         self.scheduler = Scheduler(core, self.send)
-        exchange.hear_other = self.hear
+        exchange.hear_other = self.receive_datagram
 
-    def hear(self, datagram: bytes, sender: str) -> bool:
+    def receive_datagram(self, datagram: bytes, sender: str) -> bool:
         """Take a datagram; False when it is of another kind."""
         match decode(datagram):
             case Some(message):
@@ -263,4 +263,4 @@
             case Prefilled() | FirstEvent() | Released():
                 self.scheduler.note(message)
             case Queued() | Assignment() | Rejection() | Declined():
-                self.assignments.hear(message, sender)
+                self.assignments.receive(message, sender)
--- a/packages/verbenahall/src/verbenahall/gateway/_standby.py
+++ b/packages/verbenahall/src/verbenahall/gateway/_standby.py
@@ -4,9 +4,9 @@
 
 from verbenahall.peers import (
     PeerBook,
-    find_confirmed,
-    find_furthest,
-    is_relieved,
+    find_confirmed_at,
+    find_latest_offset,
+    is_covered_by_peers,
 )
 
 #: How long news of records may be later than the word that there are such, in
@@ -28,21 +28,21 @@
         self._missing_since: float | None = None
         self._topic = topic
 
-    def hear(self, end: int) -> None:
+    def record_end(self, end: int) -> None:
         """Note how far the topic goes."""
         self._furthest = max(self._furthest, end)
 
-    def is_relieved(self, now: float) -> bool:
+    def is_covered_by_peers(self, now: float) -> bool:
         """Whether enough peers follow the topic at the store."""
-        return is_relieved(self._book, self._topic, now)
+        return is_covered_by_peers(self._book, self._topic, now)
 
-    def find_confirmed(self, position: int) -> float:
+    def find_confirmed_at(self, position: int) -> float:
         """Return when the store held nothing after a position, as told."""
-        return find_confirmed(self._book, self._topic, position)
+        return find_confirmed_at(self._book, self._topic, position)
 
     def may_wait(self, position: int, now: float) -> bool:
         """Whether nothing is missing, or it may still be on its way here."""
-        told = find_furthest(self._book, self._topic, now)
+        told = find_latest_offset(self._book, self._topic, now)
         if max(told, self._furthest) <= position:
             self._missing_since = None
             return True
@@ -50,6 +50,6 @@
             self._missing_since = now
         return now - self._missing_since < _NEWS_LATE_S
 
-    def note_progress(self) -> None:
+    def record_progress(self) -> None:
         """Note that some of what was missing has come."""
         self._missing_since = None
--- a/packages/verbenahall/src/verbenahall/gateway/_contact.py
+++ b/packages/verbenahall/src/verbenahall/gateway/_store_reachability.py
@@ -26,7 +26,7 @@
 
 
 @final
-class StoreContact:
+class StoreReachability:
     """What the calls for one topic tell of the store."""
 
     __slots__ = ('answered_at', '_away', '_core', '_freshness', '_topic')
@@ -39,37 +39,37 @@
         self._freshness = core.freshness[topic]
         self._topic = topic
 
-    def is_fresh(self, now: float) -> bool:
+    def is_reachable(self, now: float) -> bool:
         """Tell whether the store has answered lately."""
         return now - self.answered_at < _IN_TOUCH_S
 
-    def was_lost(self, now: float) -> bool:
+    def has_failed_lately(self, now: float) -> bool:
         """Tell whether own calls have failed within the time of a lapse.
 
         What peers tell of their calls does not count: two followers that
         pass it on would tell each other so for ever.
         """
-        return now - self._freshness.lost_at < RETURN_S
+        return now - self._freshness.failed_at < RETURN_S
 
-    def describe(self, source: str) -> Received:
+    def describe_source(self, source: str) -> Received:
         """Describe records that come now, as far as their age is known."""
         known = self._freshness
         age_s = known.find_age(self._core.now())
-        was_lost = known.is_lost or age_s >= known.usable_s
+        has_failed_lately = known.has_failed or age_s >= known.usable_s
         return Received(
             source,
             age_s,
-            None if was_lost else known.confirmed_at,
+            None if has_failed_lately else known.confirmed_at,
         )
 
-    def note_answer(self) -> None:
+    def record_answer(self) -> None:
         """Note that the store answered."""
         self.answered_at = self._core.now()
         if self._away:
             self._away = False
             journal.write_decision('store_regained', topic=self._topic)
 
-    def note_silence(self, reason: str) -> None:
+    def record_failure(self, reason: str) -> None:
         """Note that it did not, and tell the first time of several."""
         self.answered_at = -float('inf')
         now = self._core.now()
--- a/packages/verbenahall/src/verbenahall/peers/__init__.py
+++ b/packages/verbenahall/src/verbenahall/peers/__init__.py
@@ -1,16 +1,16 @@
 """What instances tell each other about the work that they have open."""
 
 from verbenahall.peers._messages import (
-    News,
-    Word,
+    TopicUpdate,
+    Heartbeat,
     decode_message,
-    encode_news,
-    encode_word,
-    split_news,
+    encode_update,
+    encode_heartbeat,
+    split_update,
 )
 from verbenahall.peers._shell import PeerExchange
 from verbenahall.peers._state import (
-    Confirmed,
+    ConfirmedOffset,
     Peer,
     PeerBook,
     choose_due,
@@ -22,33 +22,33 @@
     tell_whom,
 )
 from verbenahall.peers._ranks import find_rank, list_first
-from verbenahall.peers._watchers import (
-    find_confirmed,
-    find_furthest,
-    is_relieved,
+from verbenahall.peers._topic_followers import (
+    find_confirmed_at,
+    find_latest_offset,
+    is_covered_by_peers,
 )
 
 __all__ = (
-    'Confirmed',
-    'News',
+    'ConfirmedOffset',
+    'TopicUpdate',
     'Peer',
     'PeerBook',
     'PeerExchange',
-    'Word',
+    'Heartbeat',
     'choose_due',
     'decode_message',
-    'encode_news',
-    'encode_word',
-    'find_confirmed',
-    'find_furthest',
+    'encode_update',
+    'encode_heartbeat',
+    'find_confirmed_at',
+    'find_latest_offset',
     'find_heard',
     'find_missing',
     'find_rank',
     'greet',
     'hear',
-    'is_relieved',
+    'is_covered_by_peers',
     'list_first',
     'is_sampled',
-    'split_news',
+    'split_update',
     'tell_whom',
 )
--- a/packages/verbenahall/src/verbenahall/peers/_arrivals.py
+++ b/packages/verbenahall/src/verbenahall/peers/_arrivals.py
@@ -4,8 +4,8 @@
 from typing import Final, final
 
 from verbenahall import journal
-from verbenahall.peers._messages import Word
-from verbenahall.peers._state import Confirmed
+from verbenahall.peers._messages import Heartbeat
+from verbenahall.peers._state import ConfirmedOffset
 
 #: A tick that comes later than this is told in the log, in seconds.
 _STALL_S: Final = 0.25
@@ -28,7 +28,7 @@
         self._received_after = -float('inf')
         self._ticked_at = -float('inf')
 
-    def note_tick(self, now: float) -> None:
+    def record_tick(self, now: float) -> None:
         """Note a tick, and write a line if it comes late."""
         late_s = now - self._ticked_at - self._every_s
         if _STALL_S < late_s < float('inf'):
@@ -37,10 +37,12 @@
         self._received_after = self._ticked_at
         self._ticked_at = now
 
-    def date(self, word: Word) -> Mapping[str, Confirmed]:
+    def find_confirmations(
+        self, word: Heartbeat
+    ) -> Mapping[str, ConfirmedOffset]:
         """Return when the store confirmed what a peer has read."""
         return {
-            topic: Confirmed(
+            topic: ConfirmedOffset(
                 word.followed[topic],
                 self._received_after - age_s,
             )
--- a/packages/verbenahall/src/verbenahall/peers/_messages.py
+++ b/packages/verbenahall/src/verbenahall/peers/_messages.py
@@ -30,7 +30,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Word:
+class Heartbeat:
     """Open work by engine, as the instance ``author`` sends it.
 
     ``number`` grows with each word of one start of the author, so that a
@@ -54,11 +54,12 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class News:
+class TopicUpdate:
     """Records of a topic that the author has just read from the store.
 
     ``records`` begin at the offset ``start``; they are left out when they are
-    too long for a datagram, and ``end`` says how far the topic goes. ``cut``
+    too long for a datagram, and ``end`` says how far the topic goes.
+    ``after_outage``
     tells that the author's own calls have failed lately, so that entries may
     be gone by an outage of the store.
     """
@@ -67,10 +68,10 @@
     start: int
     records: Sequence[bytes]
     end: int
-    cut: bool = False
+    after_outage: bool = False
 
 
-def encode_word(word: Word) -> bytes:
+def encode_heartbeat(word: Heartbeat) -> bytes:
     """Encode a word; short names, since it is sent many times a second."""
     return wire.encode(
         {
@@ -93,7 +94,7 @@
     )
 
 
-def encode_news(news: News) -> bytes:
+def encode_update(news: TopicUpdate) -> bytes:
     """Encode news; records are bytes of any kind."""
     return wire.encode(
         {
@@ -101,21 +102,23 @@
             'start': news.start,
             'records': _pack(news.records),
             'end': news.end,
-            'cut': news.cut,
+            'cut': news.after_outage,
         },
     )
 
 
-def split_news(news: News) -> Sequence[News]:
+def split_update(news: TopicUpdate) -> Sequence[TopicUpdate]:
     """Split news into parts that each fit a datagram.
 
     Parts are numbered as the whole is, so one that gets lost is missed when
     the next one comes. A record too long for any makes an empty part, whose
     ``end`` tells that there is more to be read.
     """
-    parts: list[News] = []
+    parts: list[TopicUpdate] = []
     for offset, record in enumerate(news.records, news.start):
-        part = News(news.topic, offset, (record,), offset + 1, news.cut)
+        part = TopicUpdate(
+            news.topic, offset, (record,), offset + 1, news.after_outage
+        )
         joined = _join(parts[-1], part) if parts else part
         if parts and _fits(joined):
             parts[-1] = joined
@@ -127,20 +130,20 @@
     ]
 
 
-def _join(first: News, second: News) -> News:
+def _join(first: TopicUpdate, second: TopicUpdate) -> TopicUpdate:
     records = (*first.records, *second.records)
     return dataclasses.replace(first, records=records, end=second.end)
 
 
-def _fits(news: News) -> bool:
+def _fits(news: TopicUpdate) -> bool:
     return len(_pack(news.records)) <= _NEWS_BYTES
 
 
-def _may_be_sent(news: News) -> bool:
+def _may_be_sent(news: TopicUpdate) -> bool:
     return len(_pack(news.records)) <= _RECORD_BYTES
 
 
-def decode_message(datagram: bytes) -> Maybe[Word | News]:
+def decode_message(datagram: bytes) -> Maybe[Heartbeat | TopicUpdate]:
     """Decode a datagram; Nothing when it is neither."""
     match wire.decode_table(datagram):
         case Success({'topic': _} as table):
@@ -151,17 +154,17 @@
             return Nothing
 
 
-def _decode_news(table: dict[str, Any]) -> Maybe[News]:
+def _decode_news(table: dict[str, Any]) -> Maybe[TopicUpdate]:
     match table:
         case {
             'topic': str(topic),
             'start': int(start),
             'records': str(packed),
             'end': int(end),
-            'cut': bool(cut),
+            'cut': bool(after_outage),
         }:
             return _unpack(packed).map(
-                lambda read: News(topic, start, read, end, cut),
+                lambda read: TopicUpdate(topic, start, read, end, after_outage),
             )
         case _:
             return Nothing
@@ -210,7 +213,7 @@
     return records
 
 
-def _decode_word(table: dict[str, Any]) -> Maybe[Word]:
+def _decode_word(table: dict[str, Any]) -> Maybe[Heartbeat]:
     match table:
         case {
             'from': str(author),
@@ -222,7 +225,7 @@
             'followed': dict(followed),
             'cores': int() | float() as cores,
         }:
-            word = Word(
+            word = Heartbeat(
                 author,
                 number,
                 loads,
@@ -236,11 +239,11 @@
 
 
 def _type_members(
-    word: Word,
+    word: Heartbeat,
     changing: list[Any],
     speed: list[Any],
     ages: Any,
-) -> Maybe[Word]:
+) -> Maybe[Heartbeat]:
     """Check what the containers hold; a word is believed whole or not."""
     offsets = word.followed.values()
     if not all(isinstance(engine, str) for engine in changing):
--- a/packages/verbenahall/src/verbenahall/peers/_shell.py
+++ b/packages/verbenahall/src/verbenahall/peers/_shell.py
@@ -11,12 +11,12 @@
 from verbenahall import clock, journal
 from verbenahall.peers._arrivals import ArrivalClock
 from verbenahall.peers._messages import (
-    News,
-    Word,
+    TopicUpdate,
+    Heartbeat,
     decode_message,
-    encode_news,
-    encode_word,
-    split_news,
+    encode_update,
+    encode_heartbeat,
+    split_update,
 )
 from verbenahall.peers._state import (
     PeerBook,
@@ -50,12 +50,12 @@
         Engines that a peer says are changing go to ``hear_changing``;
         ``changing`` tells those that this instance has ordered itself,
         ``followed`` what it follows at the store and ``ages`` for how long the
-        store has not confirmed it; news of the store go to ``hear_news``.
+        store has not confirmed it; news of the store go to ``on_update``.
         """
         self.changing: Callable[[], Sequence[str]] = tuple
         self.followed: Callable[[], Mapping[str, int]] = dict
-        self.ages: Callable[[], Mapping[str, float]] = dict
-        self.hear_news: Callable[[News], object] = bool
+        self.list_ages: Callable[[], Mapping[str, float]] = dict
+        self.on_update: Callable[[TopicUpdate], object] = bool
         #: Takes datagrams of other kinds with their senders' addresses; False
         #: leaves one to the exchange.
         self.hear_other: Callable[[bytes, str], bool] = _hear_nothing
@@ -76,10 +76,10 @@
         if self.hear_other(data, f'{addr[0]}:{addr[1]}'):
             return
         match decode_message(data):
-            case Some(Word() as word):
+            case Some(Heartbeat() as word):
                 self._hear(word, addr)
-            case Some(News() as news):
-                self.hear_news(news)
+            case Some(TopicUpdate() as news):
+                self.on_update(news)
             case _:
                 journal.write_decision('word_unreadable', peer=addr[0])
 
@@ -95,22 +95,22 @@
         """Tell the peers until cancelled."""
         while True:
             now = clock.monotonic()
-            self._arrivals.note_tick(now)
+            self._arrivals.record_tick(now)
             self._tell(now)
             await asyncio.sleep(_TICK_S)
 
-    def spread(self, news: News) -> None:
+    def broadcast(self, news: TopicUpdate) -> None:
         """Pass on what was read from the store, in as many parts as needed."""
-        parts = split_news(news)
+        parts = split_update(news)
         if len(parts) > _MOST_DATAGRAMS:
             parts = (dataclasses.replace(news, records=()),)
         told = tell_whom(self._book)
         for part in parts:
-            datagram = encode_news(part)
+            datagram = encode_update(part)
             for peer in told:
                 self.send(datagram, peer.address)
 
-    def introduce(self) -> None:
+    def announce(self) -> None:
         """Tell the peers once that are not told regularly.
 
         Instances of other data centres learn this one's address by it only,
@@ -118,7 +118,7 @@
         from it, so it tells of no topic that it follows.
         """
         told = tell_whom(self._book)
-        datagram = encode_word(self._make_word({}, {}))
+        datagram = encode_heartbeat(self._make_word({}, {}))
         for peer in self._book.peers.values():
             if peer not in told:
                 self.send(datagram, peer.address)
@@ -134,7 +134,7 @@
         if self._transport is not None:
             self._transport.close()
 
-    def _hear(self, word: Word, source: tuple[str, int]) -> None:
+    def _hear(self, word: Heartbeat, source: tuple[str, int]) -> None:
         now = clock.monotonic()
         host, port = source
         greet(
@@ -145,7 +145,7 @@
             word.cores,
         )
         known = (word.author, word.number, now, word.followed)
-        if hear(self._book, *known, self._arrivals.date(word)):
+        if hear(self._book, *known, self._arrivals.find_confirmations(word)):
             self._ledger.hear(word.author, word.loads, now)
             self._speed.adopt(word.speed or (0,))
             for engine in word.changing:
@@ -157,8 +157,8 @@
         due = tuple(choose_due(self._book, now))
         if not due:
             return
-        word = self._make_word(self.followed(), self.ages())
-        datagram = encode_word(word)
+        word = self._make_word(self.followed(), self.list_ages())
+        datagram = encode_heartbeat(word)
         for address in due:
             self.send(datagram, address)
 
@@ -166,8 +166,8 @@
         self,
         followed: Mapping[str, int],
         ages: Mapping[str, float],
-    ) -> Word:
-        return Word(
+    ) -> Heartbeat:
+        return Heartbeat(
             self._book.name,
             next(self._numbers),
             self._ledger.own(),
--- a/packages/verbenahall/src/verbenahall/peers/_state.py
+++ b/packages/verbenahall/src/verbenahall/peers/_state.py
@@ -26,12 +26,12 @@
 _SILENT_AFTER_S: Final = 1.5
 _LATELY_S: Final = 30.0
 #: Peers that are remembered.
-_MOST_PEERS: Final = 2048
+_MAX_PEERS: Final = 2048
 _NOTHING: Final[Mapping[str, int]] = MappingProxyType({})
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Confirmed:
+class ConfirmedOffset:
     """What a peer has read of a topic, and when the store confirmed it.
 
     ``offset`` is that of the next record, and ``at`` the monotonic time of
@@ -59,7 +59,7 @@
 
     def __init__(self, address: str, data_centre: str) -> None:
         self.address = address
-        self.confirmed: Mapping[str, Confirmed] = {}
+        self.confirmed: Mapping[str, ConfirmedOffset] = {}
         self.cores: float = 1
         self.data_centre = data_centre
         self.followed = _NOTHING
@@ -101,7 +101,7 @@
     if name == book.name:
         return
     peer = book.peers.get(name)
-    if peer is None and len(book.peers) >= _MOST_PEERS:
+    if peer is None and len(book.peers) >= _MAX_PEERS:
         return
     # A replaced machine has the name at another address and counts anew.
     if peer is None or peer.address != address:
@@ -116,7 +116,7 @@
     number: int,
     now: float,
     followed: Mapping[str, int] = _NOTHING,
-    confirmed: Mapping[str, Confirmed] | None = None,
+    confirmed: Mapping[str, ConfirmedOffset] | None = None,
 ) -> bool:
     """Note a peer's word; False when a newer one was heard before."""
     peer = book.peers.get(name)
--- a/packages/verbenahall/src/verbenahall/peers/_watchers.py
+++ b/packages/verbenahall/src/verbenahall/peers/_topic_followers.py
@@ -22,7 +22,7 @@
 _HEARD_S: Final = 1.2
 
 
-def is_relieved(book: PeerBook, topic: str, now: float) -> bool:
+def is_covered_by_peers(book: PeerBook, topic: str, now: float) -> bool:
     """Tell whether enough peers that stand before this one follow a topic."""
     watchers = [name for name, _ in _find_watchers(book, topic, now)]
     if len(watchers) < _WATCHERS:
@@ -31,13 +31,13 @@
     return ranked.index(book.name) >= _WATCHERS
 
 
-def find_furthest(book: PeerBook, topic: str, now: float) -> int:
+def find_latest_offset(book: PeerBook, topic: str, now: float) -> int:
     """Return how far a topic goes by what the peers tell, 0 if none does."""
     offsets = (offset for _, offset in _find_watchers(book, topic, now))
     return max(offsets, default=0)
 
 
-def find_confirmed(book: PeerBook, topic: str, position: int) -> float:
+def find_confirmed_at(book: PeerBook, topic: str, position: int) -> float:
     """Return when the store last confirmed that nothing follows a position.
 
     Minus infinity if no peer tells so. What is told of an earlier place holds
--- a/packages/verbenahall/tests/gateway/test_news.py
+++ b/packages/verbenahall/tests/gateway/test_news.py
@@ -100,7 +100,7 @@
     async def check():
         async with open_desks(tmp_path) as desks:
             for desk in desks:
-                desk.gateway.finder.exchange.hear_news = bool
+                desk.gateway.finder.exchange.on_update = bool
             desks[0].site.publish()
             await wait_version(desks, 2, 1.5)
 
@@ -154,9 +154,9 @@
 def delay_news(desk, seconds):
     """Have what an instance hears of the store come later than the words."""
     exchange = desk.gateway.finder.exchange
-    hear = exchange.hear_news
+    hear = exchange.on_update
     loop = asyncio.get_running_loop()
-    exchange.hear_news = lambda news: loop.call_later(seconds, hear, news)
+    exchange.on_update = lambda news: loop.call_later(seconds, hear, news)
 
 
 def test_news_that_come_after_the_word_are_waited_for(tmp_path):
--- a/packages/verbenahall/tests/peers/test_arrivals.py
+++ b/packages/verbenahall/tests/peers/test_arrivals.py
@@ -4,12 +4,12 @@
 
 from verbenahall import journal
 from verbenahall.peers import (
-    Confirmed,
+    ConfirmedOffset,
     PeerBook,
-    Word,
+    Heartbeat,
     decode_message,
-    encode_word,
-    find_confirmed,
+    encode_heartbeat,
+    find_confirmed_at,
     greet,
     hear,
 )
@@ -20,7 +20,7 @@
 
 def make_word(age_s=0.5):
     """Return a follower's word."""
-    return Word('front-2', 1, {}, followed={TOPIC: 7}, ages={TOPIC: age_s})
+    return Heartbeat('front-2', 1, {}, followed={TOPIC: 7}, ages={TOPIC: age_s})
 
 
 def make_book(confirmed):
@@ -32,42 +32,46 @@
 
 
 def test_ages_survive_the_wire():
-    assert decode_message(encode_word(make_word())) == Some(make_word())
+    assert decode_message(encode_heartbeat(make_word())) == Some(make_word())
 
 
 def test_word_with_an_odd_age_is_none():
     """A peer of another version writes what is no age."""
-    datagram = encode_word(make_word())
+    datagram = encode_heartbeat(make_word())
     assert decode_message(datagram.replace(b'0.5', b'"x"')) is Nothing
     assert decode_message(datagram.replace(b'0.5', b'null')) is Nothing
 
 
 def test_word_of_an_earlier_version_confirms_nothing():
     """A release replaces instances one by one; the old ones tell no age."""
-    word = Word('front-2', 1, {}, followed={TOPIC: 7})
-    assert not ArrivalClock(0.1).date(word)
+    word = Heartbeat('front-2', 1, {}, followed={TOPIC: 7})
+    assert not ArrivalClock(0.1).find_confirmations(word)
 
 
 def test_age_counts_from_the_store_and_not_from_the_hearing():
     """A heartbeat in time would otherwise make an old list look new."""
     clock = ArrivalClock(0.1)
     for tick in (9.9, 10.0):
-        clock.note_tick(tick)
-    assert clock.date(make_word(0.5)) == {TOPIC: Confirmed(7, 9.4)}
+        clock.record_tick(tick)
+    assert clock.find_confirmations(make_word(0.5)) == {
+        TOPIC: ConfirmedOffset(7, 9.4)
+    }
 
 
 def test_word_that_waited_for_a_stalled_process_is_old():
     """A frozen process reads, once it goes on, what came long before."""
     clock = ArrivalClock(0.1)
     for tick in (9.9, 10.0, 15.0):
-        clock.note_tick(tick)
-    assert clock.date(make_word(0.5)) == {TOPIC: Confirmed(7, 9.5)}
+        clock.record_tick(tick)
+    assert clock.find_confirmations(make_word(0.5)) == {
+        TOPIC: ConfirmedOffset(7, 9.5)
+    }
     assert journal.recent[-1]['event'] == 'stalled'
 
 
 def test_place_that_is_not_reached_is_not_confirmed():
     """News of a change got lost: what the peer knows is not known here."""
-    book = make_book(Confirmed(7, 9))
-    assert find_confirmed(book, TOPIC, 6) == -float('inf')
-    assert find_confirmed(book, TOPIC, 7) == 9
-    assert find_confirmed(book, TOPIC, 8) == 9
+    book = make_book(ConfirmedOffset(7, 9))
+    assert find_confirmed_at(book, TOPIC, 6) == -float('inf')
+    assert find_confirmed_at(book, TOPIC, 7) == 9
+    assert find_confirmed_at(book, TOPIC, 8) == 9
--- a/packages/verbenahall/tests/peers/test_peers.py
+++ b/packages/verbenahall/tests/peers/test_peers.py
@@ -5,10 +5,10 @@
 
 from verbenahall.peers import (
     PeerBook,
-    Word,
+    Heartbeat,
     choose_due,
     decode_message,
-    encode_word,
+    encode_heartbeat,
     greet,
     hear,
 )
@@ -17,13 +17,13 @@
 
 
 def test_word_survives_the_wire():
-    word = Word(
+    word = Heartbeat(
         'front-1',
         7,
         {'engine-1': Totals(5, 600, 2)},
         followed={'keyed.op': 4},
     )
-    assert decode_message(encode_word(word)) == Some(word)
+    assert decode_message(encode_heartbeat(word)) == Some(word)
 
 
 @pytest.mark.parametrize(
@@ -68,7 +68,7 @@
     # As many peers as are remembered are known, and the machine of one is
     # replaced. Told at its old address, it would never hear this instance
     # again.
-    monkeypatch.setattr(state, '_MOST_PEERS', 1)
+    monkeypatch.setattr(state, '_MAX_PEERS', 1)
     book = PeerBook('front-1')
     greet(book, 'front-2', '10.0.0.2:7380')
     greet(book, 'front-3', '10.0.0.3:7380')
--- a/packages/verbenahall/tests/peers/test_watchers.py
+++ b/packages/verbenahall/tests/peers/test_watchers.py
@@ -9,15 +9,15 @@
 from returns.maybe import Nothing, Some
 
 from verbenahall.peers import (
-    News,
+    TopicUpdate,
     PeerBook,
     decode_message,
-    encode_news,
-    find_furthest,
+    encode_update,
+    find_latest_offset,
     greet,
     hear,
-    is_relieved,
-    split_news,
+    is_covered_by_peers,
+    split_update,
 )
 from verbenahall.routing import rank_by_rendezvous
 
@@ -43,7 +43,7 @@
 
 def test_third_instance_is_relieved_by_the_two_before_it():
     book = make_book(NAMES[2], follow(*NAMES[:2]))
-    assert is_relieved(book, TOPIC, 10)
+    assert is_covered_by_peers(book, TOPIC, 10)
 
 
 def test_first_two_instances_follow_whoever_else_does():
@@ -51,7 +51,7 @@
     # follow the store, and a setting would take hold nowhere.
     for place in (0, 1):
         others = [name for name in NAMES if name != NAMES[place]]
-        assert not is_relieved(
+        assert not is_covered_by_peers(
             make_book(NAMES[place], follow(*others)), TOPIC, 10
         )
 
@@ -61,38 +61,38 @@
     # instance would serve an old manifest for as long as it is away.
     book = make_book(NAMES[2], follow(*NAMES[:2]))
     hear(book, NAMES[0], 2, 11, {TOPIC: 7})
-    assert not is_relieved(book, TOPIC, 11.5)
+    assert not is_covered_by_peers(book, TOPIC, 11.5)
 
 
 def test_watcher_that_the_store_refuses_is_made_up_for():
     # The store answers some machines and not others. A watcher that it does
     # not answer is heard as well as ever, and learns of no change.
     words = {**follow(NAMES[0]), NAMES[1]: {}}
-    assert not is_relieved(make_book(NAMES[2], words), TOPIC, 10)
+    assert not is_covered_by_peers(make_book(NAMES[2], words), TOPIC, 10)
 
 
 def test_topics_are_followed_apart():
     words = {name: {'keyed.op': 3} for name in NAMES[:2]}
-    assert not is_relieved(make_book(NAMES[2], words), TOPIC, 10)
+    assert not is_covered_by_peers(make_book(NAMES[2], words), TOPIC, 10)
 
 
 def test_furthest_is_told_by_those_in_touch():
     words = {NAMES[0]: {TOPIC: 7}, NAMES[1]: {TOPIC: 9}, NAMES[3]: {}}
     book = make_book(NAMES[2], words)
-    assert find_furthest(book, TOPIC, 10) == 9
-    assert find_furthest(book, TOPIC, 12) == 0
+    assert find_latest_offset(book, TOPIC, 10) == 9
+    assert find_latest_offset(book, TOPIC, 12) == 0
 
 
 def test_news_survive_the_wire():
-    news = News(TOPIC, 4, [b'\x03i-1{}', b'\xff'], 6, cut=True)
-    assert decode_message(encode_news(news)) == Some(news)
+    news = TopicUpdate(TOPIC, 4, [b'\x03i-1{}', b'\xff'], 6, after_outage=True)
+    assert decode_message(encode_update(news)) == Some(news)
 
 
 def test_news_are_split_to_fit_datagrams():
     source = random.Random(2)
     records = [source.randbytes(300) for _ in range(8)]
-    parts = split_news(News(TOPIC, 5, records, 13))
-    assert all(len(encode_news(part)) < 1400 for part in parts)
+    parts = split_update(TopicUpdate(TOPIC, 5, records, 13))
+    assert all(len(encode_update(part)) < 1400 for part in parts)
     assert [one for part in parts for one in part.records] == records
     starts = [part.start for part in parts]
     assert starts == [5, *(part.end for part in parts[:-1])]
@@ -100,7 +100,7 @@
 
 
 def test_record_that_fits_no_datagram_is_told_by_its_end():
-    parts = split_news(News(TOPIC, 5, [b'a', LONG, b'c'], 8))
+    parts = split_update(TopicUpdate(TOPIC, 5, [b'a', LONG, b'c'], 8))
     assert [list(part.records) for part in parts] == [[b'a'], [], [b'c']]
     assert [part.end for part in parts] == [6, 7, 8]
 
@@ -112,7 +112,7 @@
     read it from the store.
     """
     manifest = random.Random(3).randbytes(4000)
-    parts = split_news(News(TOPIC, 5, [b'a', manifest, b'c'], 8))
+    parts = split_update(TopicUpdate(TOPIC, 5, [b'a', manifest, b'c'], 8))
     assert [one for part in parts for one in part.records] == [
         b'a',
         manifest,
@@ -179,7 +179,7 @@
     filled the link, got lost, and every peer read them from the store.
     """
     records = [make_entry(number) for number in range(40)]
-    parts = split_news(News(TOPIC, 0, records, 40))
+    parts = split_update(TopicUpdate(TOPIC, 0, records, 40))
 
     assert len(parts) <= 3
     assert [one for part in parts for one in part.records] == records
