--- a/packages/verbenahall/src/verbenahall/peers/__init__.py
+++ b/packages/verbenahall/src/verbenahall/peers/__init__.py
@@ -1,11 +1,11 @@
-"""What instances tell each other about the work that they have open."""
+"""Heartbeats and store updates that instances send to each other."""
 
 from verbenahall.peers._messages import (
-    TopicUpdate,
     Heartbeat,
+    TopicUpdate,
     decode_message,
-    encode_update,
     encode_heartbeat,
+    encode_update,
     split_update,
 )
 from verbenahall.peers._shell import PeerExchange
@@ -30,18 +30,18 @@
 
 __all__ = (
     'ConfirmedOffset',
-    'TopicUpdate',
+    'Heartbeat',
     'Peer',
     'PeerBook',
     'PeerExchange',
-    'Heartbeat',
+    'TopicUpdate',
     'choose_due',
     'decode_message',
-    'encode_update',
     'encode_heartbeat',
+    'encode_update',
     'find_confirmed_at',
-    'find_latest_offset',
     'find_heard',
+    'find_latest_offset',
     'find_missing',
     'find_rank',
     'greet',
