--- a/packages/verbenahall/src/verbenahall/peers/_messages.py
+++ b/packages/verbenahall/src/verbenahall/peers/_messages.py
@@ -1,4 +1,4 @@
-"""The datagrams between instances: their open work, and news of the store."""
+"""Datagrams between instances: heartbeats and updates of store topics."""
 
 import base64
 import dataclasses
@@ -12,34 +12,35 @@
 from verbenahall import wire
 from verbenahall.placement import Totals
 
-#: Bytes of the records in a datagram of news, as encoded. A datagram longer
-#: than 1,400 bytes is cut in pieces on the way, and lost with any of them.
-_NEWS_BYTES: Final = 1200
-#: Bytes of a single record, as encoded, that is sent in pieces all the same: a
-#: manifest. Left to the store, each of its changes cost a call for each
-#: instance.
+#: Bytes of the encoded records in an update, at most. A datagram longer than
+#: 1,400 bytes is fragmented by the network, and lost with any fragment.
+_UPDATE_BYTES: Final = 1200
+#: Bytes of a single encoded record that is sent although it is fragmented,
+#: such as a manifest. If it were not sent, each change would cost the store a
+#: call for each instance.
 _RECORD_BYTES: Final = 8000
-#: Digits of an age: milliseconds.
-_AGE_DIGITS: Final = 3
-#: Level of compression: the fastest, as bytes are few.
-_LEVEL: Final = 1
-#: Bytes of a record's length before it.
+#: Decimal places of an age in seconds: milliseconds.
+_AGE_DECIMALS: Final = 3
+#: Level of compression: the fastest, as the payloads are short.
+_COMPRESSION_LEVEL: Final = 1
+#: Bytes of the length that precedes each record.
 _LENGTH_BYTES: Final = 4
-#: Bytes that a datagram of news may unpack to.
-_MOST_UNPACKED: Final = 262_144
+#: Bytes that the records of one update may decompress to.
+_MAX_UNPACKED_BYTES: Final = 262_144
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Heartbeat:
-    """Open work by engine, as the instance ``author`` sends it.
-
-    ``number`` grows with each word of one start of the author, so that a
-    datagram that was overtaken does not undo a newer one. ``changing`` names
-    engines that the author has ordered to change and that take no work, and
-    ``speed`` is what it has learned about reading. ``followed`` tells up to
-    which record the author has read each topic that it follows at the store,
-    ``ages`` for how many seconds the store has not confirmed that there is no
-    newer one, and ``cores`` how much of the processor the author may use.
+    """State of the instance ``author``, sent to its peers at short intervals.
+
+    ``number`` increases with each heartbeat and starts again when the author
+    is restarted, so that a delayed datagram doesn't overwrite a newer one.
+    ``loads`` is the author's open work by engine, ``changing`` the engines
+    that it has ordered to change their role and that take no work, and
+    ``speed`` its measurements of prefill speed. ``followed`` is the next
+    offset of each topic that the author follows at the store, ``ages`` the
+    seconds since the store last confirmed that it holds nothing newer, and
+    ``cores`` how many processor cores the author may use.
     """
 
     author: str
@@ -55,13 +56,13 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class TopicUpdate:
-    """Records of a topic that the author has just read from the store.
+    """Records of a topic that a peer has just read from the store.
 
-    ``records`` begin at the offset ``start``; they are left out when they are
-    too long for a datagram, and ``end`` says how far the topic goes.
-    ``after_outage``
-    tells that the author's own calls have failed lately, so that entries may
-    be gone by an outage of the store.
+    ``records`` begin at the offset ``start``, and ``end`` is the offset after
+    the last one. Records that are too long for a datagram are left out, but
+    counted in ``end``. ``after_outage`` is set if calls of the sender to the
+    store have failed lately, so that missing entries may be due to the
+    outage.
     """
 
     topic: str
@@ -71,53 +72,58 @@
     after_outage: bool = False
 
 
-def encode_heartbeat(word: Heartbeat) -> bytes:
-    """Encode a word; short names, since it is sent many times a second."""
+def encode_heartbeat(heartbeat: Heartbeat) -> bytes:
+    """Encode a heartbeat, with short keys as it is sent many times a second."""
     return wire.encode(
         {
-            'from': word.author,
-            'n': word.number,
+            'from': heartbeat.author,
+            'n': heartbeat.number,
             'load': {
                 engine: (totals.reading, totals.context, totals.streams)
-                for engine, totals in word.loads.items()
+                for engine, totals in heartbeat.loads.items()
             },
-            'changing': word.changing,
-            'speed': word.speed,
-            'dc': word.data_centre,
-            'followed': dict(word.followed),
-            'cores': word.cores,
+            'changing': heartbeat.changing,
+            'speed': heartbeat.speed,
+            'dc': heartbeat.data_centre,
+            'followed': dict(heartbeat.followed),
+            'cores': heartbeat.cores,
             'ages': {
-                topic: round(age_s, _AGE_DIGITS)
-                for topic, age_s in word.ages.items()
+                topic: round(age_s, _AGE_DECIMALS)
+                for topic, age_s in heartbeat.ages.items()
             },
         },
     )
 
 
-def encode_update(news: TopicUpdate) -> bytes:
-    """Encode news; records are bytes of any kind."""
+def encode_update(update: TopicUpdate) -> bytes:
+    """Encode an update, whose records may hold any bytes."""
     return wire.encode(
         {
-            'topic': news.topic,
-            'start': news.start,
-            'records': _pack(news.records),
-            'end': news.end,
-            'cut': news.after_outage,
+            'topic': update.topic,
+            'start': update.start,
+            'records': _pack(update.records),
+            'end': update.end,
+            'cut': update.after_outage,
         },
     )
 
 
-def split_update(news: TopicUpdate) -> Sequence[TopicUpdate]:
-    """Split news into parts that each fit a datagram.
+def split_update(update: TopicUpdate) -> Sequence[TopicUpdate]:
+    """Split an update into parts that each fit into a datagram.
 
-    Parts are numbered as the whole is, so one that gets lost is missed when
-    the next one comes. A record too long for any makes an empty part, whose
-    ``end`` tells that there is more to be read.
+    Each part has the offsets of its own records, so the receiver notices a
+    lost part when the next one arrives. A record that is too long for any
+    datagram becomes a part without records, whose ``end`` tells the receiver
+    to read it from the store.
     """
     parts: list[TopicUpdate] = []
-    for offset, record in enumerate(news.records, news.start):
+    for offset, record in enumerate(update.records, update.start):
         part = TopicUpdate(
-            news.topic, offset, (record,), offset + 1, news.after_outage
+            update.topic,
+            offset,
+            (record,),
+            offset + 1,
+            update.after_outage,
         )
         joined = _join(parts[-1], part) if parts else part
         if parts and _fits(joined):
@@ -125,7 +131,7 @@
         else:
             parts.append(part)
     return [
-        part if _may_be_sent(part) else dataclasses.replace(part, records=())
+        part if _is_sendable(part) else dataclasses.replace(part, records=())
         for part in parts
     ]
 
@@ -135,26 +141,26 @@
     return dataclasses.replace(first, records=records, end=second.end)
 
 
-def _fits(news: TopicUpdate) -> bool:
-    return len(_pack(news.records)) <= _NEWS_BYTES
+def _fits(update: TopicUpdate) -> bool:
+    return len(_pack(update.records)) <= _UPDATE_BYTES
 
 
-def _may_be_sent(news: TopicUpdate) -> bool:
-    return len(_pack(news.records)) <= _RECORD_BYTES
+def _is_sendable(update: TopicUpdate) -> bool:
+    return len(_pack(update.records)) <= _RECORD_BYTES
 
 
 def decode_message(datagram: bytes) -> Maybe[Heartbeat | TopicUpdate]:
-    """Decode a datagram; Nothing when it is neither."""
+    """Decode a datagram; Nothing if it is neither of the two."""
     match wire.decode_table(datagram):
         case Success({'topic': _} as table):
-            return _decode_news(table)
+            return _decode_update(table)
         case Success(table):
-            return _decode_word(table)
+            return _decode_heartbeat(table)
         case _:
             return Nothing
 
 
-def _decode_news(table: dict[str, Any]) -> Maybe[TopicUpdate]:
+def _decode_update(table: dict[str, Any]) -> Maybe[TopicUpdate]:
     match table:
         case {
             'topic': str(topic),
@@ -164,44 +170,52 @@
             'cut': bool(after_outage),
         }:
             return _unpack(packed).map(
-                lambda read: TopicUpdate(topic, start, read, end, after_outage),
+                lambda records: TopicUpdate(
+                    topic,
+                    start,
+                    records,
+                    end,
+                    after_outage,
+                ),
             )
         case _:
             return Nothing
 
 
 def _pack(records: Sequence[bytes]) -> str:
-    """Pack records: entries of endpoints differ in a few fields only.
+    """Compress records together and encode them as text.
 
-    Each as it is, those of a fleet that starts fill the links for a moment,
-    get lost, and are read from the store by everybody.
+    Entries of endpoints differ in a few fields only and compress well. If
+    they were sent uncompressed, those of a starting fleet would saturate the
+    network, datagrams would get lost, and every instance would read the
+    records from the store.
     """
     framed = bytearray()
     for record in records:
         framed += len(record).to_bytes(_LENGTH_BYTES)
         framed += record
-    packed = zlib.compress(framed, _LEVEL)
+    packed = zlib.compress(framed, _COMPRESSION_LEVEL)
     return base64.b64encode(packed).decode()
 
 
 def _unpack(packed: str) -> Maybe[Sequence[bytes]]:
     try:
-        return Some(_read_frames(_inflate(packed)))
+        return Some(_split_frames(_inflate(packed)))
     except (ValueError, zlib.error):
         return Nothing
 
 
 def _inflate(packed: str) -> bytes:
-    """Unpack a datagram; one that would fill the memory is refused."""
+    """Decompress records; ValueError if they are too long or incomplete."""
     inflater = zlib.decompressobj()
     compressed = base64.b64decode(packed, validate=True)
-    framed = inflater.decompress(compressed, _MOST_UNPACKED)
+    framed = inflater.decompress(compressed, _MAX_UNPACKED_BYTES)
     if inflater.unconsumed_tail or not inflater.eof:
-        raise ValueError('more than a datagram of news may hold, or less')
+        raise ValueError('records are too long or incomplete')
     return framed
 
 
-def _read_frames(framed: bytes) -> Sequence[bytes]:
+def _split_frames(framed: bytes) -> Sequence[bytes]:
     records: list[bytes] = []
     start = 0
     while start < len(framed):
@@ -209,11 +223,11 @@
         start = begin + int.from_bytes(framed[start:begin])
         records.append(framed[begin:start])
     if start > len(framed):
-        raise ValueError('the last record is cut short')
+        raise ValueError('the last record is truncated')
     return records
 
 
-def _decode_word(table: dict[str, Any]) -> Maybe[Heartbeat]:
+def _decode_heartbeat(table: dict[str, Any]) -> Maybe[Heartbeat]:
     match table:
         case {
             'from': str(author),
@@ -225,7 +239,7 @@
             'followed': dict(followed),
             'cores': int() | float() as cores,
         }:
-            word = Heartbeat(
+            heartbeat = Heartbeat(
                 author,
                 number,
                 loads,
@@ -233,19 +247,27 @@
                 followed=followed,
                 cores=cores,
             )
-            return _type_members(word, changing, speed, table.get('ages', {}))
+            return _convert_members(
+                heartbeat,
+                changing,
+                speed,
+                table.get('ages', {}),
+            )
         case _:
             return Nothing
 
 
-def _type_members(
-    word: Heartbeat,
+def _convert_members(
+    heartbeat: Heartbeat,
     changing: list[Any],
     speed: list[Any],
     ages: Any,
 ) -> Maybe[Heartbeat]:
-    """Check what the containers hold; a word is believed whole or not."""
-    offsets = word.followed.values()
+    """Check and convert the members of the containers.
+
+    One invalid member invalidates the whole heartbeat.
+    """
+    offsets = heartbeat.followed.values()
     if not all(isinstance(engine, str) for engine in changing):
         return Nothing
     if not all(isinstance(offset, int) for offset in offsets):
@@ -253,10 +275,10 @@
     try:
         return Some(
             dataclasses.replace(
-                word,
+                heartbeat,
                 loads={
                     engine: Totals(*(int(count) for count in counts))
-                    for engine, counts in word.loads.items()
+                    for engine, counts in heartbeat.loads.items()
                 },
                 changing=tuple(changing),
                 speed=tuple(map(float, speed)),
