--- a/packages/verbenahall/src/verbenahall/peers/_state.py
+++ b/packages/verbenahall/src/verbenahall/peers/_state.py
@@ -1,41 +1,45 @@
-"""Which peers there are, and when each one is told the next time."""
+"""The known peers, and when each one is due for a heartbeat."""
 
 import dataclasses
 from collections.abc import Iterator, Mapping
 from types import MappingProxyType
 from typing import Final, final
 
-#: A peer that was heard within this time is told of every change, one that
-#: was not only now and then, in seconds.
-_HEARD_S: Final = 3.0
-_SILENT_EVERY_S: Final = 2.0
-#: Shortest time between two words to one peer, in seconds: a little under the
-#: tick of 0.1 s, whose rounding would otherwise leave out every second one.
-_LEAST_EVERY_S: Final = 0.09
-#: Words that an instance sends in a second at most. A word costs sender and
-#: receiver some 0.1 ms of processor time each, so this is about 1% of a core.
-_WORDS_A_SECOND: Final = 60
-#: From so many peers on only those of the own data centre are told. They are
-#: a fair sample of all, and telling all takes more processor time than the
-#: requests.
-_MANY_PEERS: Final = 20
-#: A peer that hears nothing doubts the last word after 1.5 s.
-_MOST_EVERY_S: Final = 0.6
-#: A peer that was heard at all lately, but not within the shorter time, has
-#: fallen silent; both in seconds.
-_SILENT_AFTER_S: Final = 1.5
-_LATELY_S: Final = 30.0
-#: Peers that are remembered.
+#: A peer whose last heartbeat is younger than this is live and is sent
+#: heartbeats at the full rate, in seconds.
+_LIVE_S: Final = 3.0
+#: Interval of the heartbeats to a peer that is not live, in seconds.
+_UNRESPONSIVE_INTERVAL_S: Final = 2.0
+#: Shortest interval between two heartbeats to one peer, in seconds. It is a
+#: little under the tick of 0.1 s: otherwise rounding would skip every second
+#: one.
+_MIN_INTERVAL_S: Final = 0.09
+#: Heartbeats that an instance sends per second at most. A heartbeat costs
+#: sender and receiver about 0.1 ms of processor time each, so this is about 1%
+#: of a core.
+_MAX_HEARTBEATS_PER_S: Final = 60
+#: With more peers than this, heartbeats go to those of the local data centre
+#: only. They are a representative sample, and heartbeats to all would take
+#: more processor time than the requests.
+_MAX_PEERS_FOR_ALL: Final = 20
+#: Longest interval between two heartbeats to a live peer, in seconds. A peer
+#: discards the last heartbeat after 1.5 s without a new one.
+_MAX_INTERVAL_S: Final = 0.6
+#: A peer became unresponsive lately if its last heartbeat is older than the
+#: first and younger than the second of these times, in seconds.
+_TIMEOUT_S: Final = 1.5
+_FORGOTTEN_AFTER_S: Final = 30.0
+#: Peers that are kept at most.
 _MAX_PEERS: Final = 2048
-_NOTHING: Final[Mapping[str, int]] = MappingProxyType({})
+_NO_OFFSETS: Final[Mapping[str, int]] = MappingProxyType({})
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class ConfirmedOffset:
-    """What a peer has read of a topic, and when the store confirmed it.
+    """How far a peer has read a topic, and when the store confirmed it.
 
-    ``offset`` is that of the next record, and ``at`` the monotonic time of
-    this instance at which there surely was no newer one.
+    ``offset`` is that of the next record, and ``at`` a time of the local
+    monotonic clock at which the store held no newer record.
     """
 
     offset: int
@@ -44,7 +48,12 @@
 
 @final
 class Peer:
-    """One peer: its address, its processor, when it was heard and told."""
+    """One peer: its address, its cores, and its last heartbeat.
+
+    ``heard_at`` is when its last heartbeat was received, ``last_sent_at`` when
+    the last one was sent to it, and ``number`` the number of the last one
+    received.
+    """
 
     __slots__ = (
         'address',
@@ -53,7 +62,7 @@
         'data_centre',
         'followed',
         'heard_at',
-        'told_at',
+        'last_sent_at',
         'number',
     )
 
@@ -62,17 +71,17 @@
         self.confirmed: Mapping[str, ConfirmedOffset] = {}
         self.cores: float = 1
         self.data_centre = data_centre
-        self.followed = _NOTHING
+        self.followed = _NO_OFFSETS
         self.heard_at = -float('inf')
-        self.told_at = -float('inf')
+        self.last_sent_at = -float('inf')
         self.number = -1
 
 
 @final
 class PeerBook:
-    """The peers by name; the own name is never among them.
+    """The known peers by name, without this instance itself.
 
-    ``cores`` is what this instance may use of the processor.
+    ``cores`` is how many processor cores this instance may use.
     """
 
     __slots__ = ('cores', 'data_centre', 'name', 'peers')
@@ -83,7 +92,7 @@
         data_centre: str = '',
         cores: float = 1,
     ) -> None:
-        """Start without peers, in a data centre."""
+        """Create an empty table for an instance and its data centre."""
         self.cores = cores
         self.name = name
         self.data_centre = data_centre
@@ -97,13 +106,18 @@
     data_centre: str = '',
     cores: float = 1,
 ) -> None:
-    """Take a peer's address, from the store or from its datagram."""
+    """Add a peer, or update its address and cores.
+
+    The address comes from the store or from a heartbeat. A new peer is
+    ignored if the table is full.
+    """
     if name == book.name:
         return
     peer = book.peers.get(name)
     if peer is None and len(book.peers) >= _MAX_PEERS:
         return
-    # A replaced machine has the name at another address and counts anew.
+    # A replacement machine has the same name at another address, and its
+    # heartbeat numbers start again.
     if peer is None or peer.address != address:
         peer = Peer(address, data_centre)
         book.peers[name] = peer
@@ -115,14 +129,17 @@
     name: str,
     number: int,
     now: float,
-    followed: Mapping[str, int] = _NOTHING,
+    followed: Mapping[str, int] = _NO_OFFSETS,
     confirmed: Mapping[str, ConfirmedOffset] | None = None,
 ) -> bool:
-    """Note a peer's word; False when a newer one was heard before."""
+    """Record a peer's heartbeat; return False if it is to be dropped.
+
+    It is dropped if a newer one was received before or the peer is unknown.
+    """
     peer = book.peers.get(name)
     if peer is None:
         return False
-    restarted = now - peer.heard_at > _HEARD_S or number == 0
+    restarted = now - peer.heard_at > _LIVE_S or number == 0
     if number <= peer.number and not restarted:
         return False
     peer.number = number
@@ -133,20 +150,23 @@
 
 
 def choose_due(book: PeerBook, now: float) -> Iterator[str]:
-    """Yield the addresses of the peers that are told now."""
-    told = tell_whom(book)
-    every = max(_LEAST_EVERY_S, len(told) / _WORDS_A_SECOND)
-    every = min(every, _MOST_EVERY_S)
-    for peer in told:
-        heard = now - peer.heard_at < _HEARD_S
-        pause = every if heard else _SILENT_EVERY_S
-        if now - peer.told_at >= pause:
-            peer.told_at = now
+    """Yield the addresses of the peers that are due, and mark them as sent."""
+    recipients = tell_whom(book)
+    interval_s = max(_MIN_INTERVAL_S, len(recipients) / _MAX_HEARTBEATS_PER_S)
+    interval_s = min(interval_s, _MAX_INTERVAL_S)
+    for peer in recipients:
+        is_live = now - peer.heard_at < _LIVE_S
+        pause_s = interval_s if is_live else _UNRESPONSIVE_INTERVAL_S
+        if now - peer.last_sent_at >= pause_s:
+            peer.last_sent_at = now
             yield peer.address
 
 
 def tell_whom(book: PeerBook) -> list[Peer]:
-    """Return the peers that are told: all, or a sample when they are many."""
+    """Return the peers that heartbeats go to.
+
+    In a large fleet these are only the peers of the local data centre.
+    """
     peers = list(book.peers.values())
     if not is_sampled(book):
         return peers
@@ -154,20 +174,20 @@
 
 
 def is_sampled(book: PeerBook) -> bool:
-    """Whether only the peers of the own data centre are told and heard."""
-    return len(book.peers) > _MANY_PEERS
+    """Whether heartbeats are exchanged within the local data centre only."""
+    return len(book.peers) > _MAX_PEERS_FOR_ALL
 
 
 def find_missing(book: PeerBook, now: float) -> bool:
-    """Whether a peer has fallen silent lately."""
+    """Whether heartbeats of a peer that was live lately are missing."""
     return any(
-        _SILENT_AFTER_S < now - peer.heard_at < _LATELY_S
+        _TIMEOUT_S < now - peer.heard_at < _FORGOTTEN_AFTER_S
         for peer in book.peers.values()
     )
 
 
 def find_heard(book: PeerBook, now: float, within_s: float) -> list[str]:
-    """Return the names of the peers that were heard lately."""
+    """Return the names of the peers with a heartbeat within some seconds."""
     return [
         name
         for name, peer in book.peers.items()
@@ -176,6 +196,9 @@
 
 
 def find_scale(book: PeerBook) -> float:
-    """Return how many instances there are for each one that is told."""
-    told = len(tell_whom(book)) + 1
-    return (len(book.peers) + 1) / told
+    """Return the number of instances over the number that exchange heartbeats.
+
+    Load known from heartbeats is multiplied by it to estimate the whole load.
+    """
+    sampled = len(tell_whom(book)) + 1
+    return (len(book.peers) + 1) / sampled
