--- a/packages/verbenahall/src/verbenahall/peers/_shell.py
+++ b/packages/verbenahall/src/verbenahall/peers/_shell.py
@@ -11,11 +11,11 @@
 from verbenahall import clock, journal
 from verbenahall.peers._arrivals import ArrivalClock
 from verbenahall.peers._messages import (
-    TopicUpdate,
     Heartbeat,
+    TopicUpdate,
     decode_message,
-    encode_update,
     encode_heartbeat,
+    encode_update,
     split_update,
 )
 from verbenahall.peers._state import (
@@ -28,41 +28,43 @@
 )
 from verbenahall.placement import PlacementState
 
-#: How often the exchange looks for peers that are due, in seconds.
+#: How often peers that are due for a heartbeat are looked up, in seconds.
 _TICK_S: Final = 0.1
-#: Datagrams for what was read in one go, at most: some thirty entries. What is
-#: longer comes after an outage and is read from the store by everybody.
-_MOST_DATAGRAMS: Final = 10
+#: Datagrams for the records of one read, at most: about thirty entries. More
+#: records follow an outage, and each instance reads them from the store.
+_MAX_DATAGRAMS: Final = 10
 
 
 @final
 class PeerExchange(asyncio.DatagramProtocol):
-    """Tells peers this instance's open work and hears theirs."""
+    """Sends heartbeats and store updates to peers and receives theirs."""
 
     def __init__(
         self,
         book: PeerBook,
         placement: PlacementState,
-        hear_changing: Callable[[str], None],
+        on_engine_changing: Callable[[str], None],
     ) -> None:
-        """Speak for this instance's own open work; hear the others'.
-
-        Engines that a peer says are changing go to ``hear_changing``;
-        ``changing`` tells those that this instance has ordered itself,
-        ``followed`` what it follows at the store and ``ages`` for how long the
-        store has not confirmed it; news of the store go to ``on_update``.
+        """Exchange the open work in the ledger of the placement state.
+
+        ``on_engine_changing`` is called for each engine that a peer reports
+        as changing its role, ``on_update`` for each store update. Three
+        callbacks supply fields of the heartbeats: ``changing`` the engines
+        that this instance has ordered to change, ``followed`` the offsets of
+        the topics that it follows, ``list_ages`` the seconds since the store
+        last confirmed each topic.
         """
         self.changing: Callable[[], Sequence[str]] = tuple
         self.followed: Callable[[], Mapping[str, int]] = dict
         self.list_ages: Callable[[], Mapping[str, float]] = dict
         self.on_update: Callable[[TopicUpdate], object] = bool
-        #: Takes datagrams of other kinds with their senders' addresses; False
-        #: leaves one to the exchange.
-        self.hear_other: Callable[[bytes, str], bool] = _hear_nothing
+        #: Called first with each datagram and its sender's address; returns
+        #: False for one that the exchange is to decode.
+        self.hear_other: Callable[[bytes, str], bool] = _ignore_datagram
         self._book = book
         self._ledger = placement.ledger
         self._speed = placement.read_speed
-        self._hear_changing = hear_changing
+        self._on_engine_changing = on_engine_changing
         self._numbers = itertools.count()
         self._transport: Any = None
         self._arrivals = ArrivalClock(_TICK_S)
@@ -72,14 +74,14 @@
         self._transport = transport
 
     def datagram_received(self, data: bytes, addr: tuple[str, int]) -> None:
-        """Hear one message."""
+        """Decode one datagram and pass it on."""
         if self.hear_other(data, f'{addr[0]}:{addr[1]}'):
             return
         match decode_message(data):
-            case Some(Heartbeat() as word):
-                self._hear(word, addr)
-            case Some(TopicUpdate() as news):
-                self.on_update(news)
+            case Some(Heartbeat() as heartbeat):
+                self._receive_heartbeat(heartbeat, addr)
+            case Some(TopicUpdate() as update):
+                self.on_update(update)
             case _:
                 journal.write_decision('word_unreadable', peer=addr[0])
 
@@ -92,39 +94,44 @@
         )
 
     async def run(self) -> None:
-        """Tell the peers until cancelled."""
+        """Send heartbeats until cancelled."""
         while True:
             now = clock.monotonic()
             self._arrivals.record_tick(now)
-            self._tell(now)
+            self._send_heartbeats(now)
             await asyncio.sleep(_TICK_S)
 
-    def broadcast(self, news: TopicUpdate) -> None:
-        """Pass on what was read from the store, in as many parts as needed."""
-        parts = split_update(news)
-        if len(parts) > _MOST_DATAGRAMS:
-            parts = (dataclasses.replace(news, records=()),)
-        told = tell_whom(self._book)
+    def broadcast(self, update: TopicUpdate) -> None:
+        """Send records read from the store to the peers, split as needed.
+
+        Records that need too many datagrams are left out: the update then
+        only reports up to which offset the topic goes.
+        """
+        parts = split_update(update)
+        if len(parts) > _MAX_DATAGRAMS:
+            parts = (dataclasses.replace(update, records=()),)
+        recipients = tell_whom(self._book)
         for part in parts:
             datagram = encode_update(part)
-            for peer in told:
+            for peer in recipients:
                 self.send(datagram, peer.address)
 
     def announce(self) -> None:
-        """Tell the peers once that are not told regularly.
+        """Send one heartbeat to the peers that get no regular ones.
 
-        Instances of other data centres learn this one's address by it only,
-        and may need it as the scheduler of engines near it. They get no news
-        from it, so it tells of no topic that it follows.
+        Instances of other data centres learn this instance's address only
+        from it, and may need it as the scheduler of engines in its data
+        centre. They get no store updates from this instance, so the heartbeat
+        names no topic as followed.
         """
-        told = tell_whom(self._book)
-        datagram = encode_heartbeat(self._make_word({}, {}))
+        recipients = tell_whom(self._book)
+        datagram = encode_heartbeat(self._make_heartbeat({}, {}))
         for peer in self._book.peers.values():
-            if peer not in told:
+            if peer not in recipients:
                 self.send(datagram, peer.address)
 
     def send(self, datagram: bytes, address: str) -> None:
-        """Send one datagram; lost ones are not noticed."""
+        """Send one datagram, without a check that it arrives."""
         host, _, port = address.rpartition(':')
         if self._transport is not None:
             self._transport.sendto(datagram, (host, int(port)))
@@ -134,35 +141,48 @@
         if self._transport is not None:
             self._transport.close()
 
-    def _hear(self, word: Heartbeat, source: tuple[str, int]) -> None:
+    def _receive_heartbeat(
+        self,
+        heartbeat: Heartbeat,
+        source: tuple[str, int],
+    ) -> None:
         now = clock.monotonic()
         host, port = source
         greet(
             self._book,
-            word.author,
+            heartbeat.author,
             f'{host}:{port}',
-            word.data_centre,
-            word.cores,
+            heartbeat.data_centre,
+            heartbeat.cores,
         )
-        known = (word.author, word.number, now, word.followed)
-        if hear(self._book, *known, self._arrivals.find_confirmations(word)):
-            self._ledger.hear(word.author, word.loads, now)
-            self._speed.adopt(word.speed or (0,))
-            for engine in word.changing:
-                self._hear_changing(engine)
-
-    def _tell(self, now: float) -> None:
+        known = (
+            heartbeat.author,
+            heartbeat.number,
+            now,
+            heartbeat.followed,
+        )
+        if hear(
+            self._book,
+            *known,
+            self._arrivals.find_confirmations(heartbeat),
+        ):
+            self._ledger.hear(heartbeat.author, heartbeat.loads, now)
+            self._speed.adopt(heartbeat.speed or (0,))
+            for engine in heartbeat.changing:
+                self._on_engine_changing(engine)
+
+    def _send_heartbeats(self, now: float) -> None:
         self._ledger.forget_silent(now)
         self._ledger.scale = find_scale(self._book)
         due = tuple(choose_due(self._book, now))
         if not due:
             return
-        word = self._make_word(self.followed(), self.list_ages())
-        datagram = encode_heartbeat(word)
+        heartbeat = self._make_heartbeat(self.followed(), self.list_ages())
+        datagram = encode_heartbeat(heartbeat)
         for address in due:
             self.send(datagram, address)
 
-    def _make_word(
+    def _make_heartbeat(
         self,
         followed: Mapping[str, int],
         ages: Mapping[str, float],
@@ -180,6 +200,6 @@
         )
 
 
-def _hear_nothing(datagram: bytes, address: str) -> bool:
-    """Take no datagram of another kind."""
+def _ignore_datagram(datagram: bytes, address: str) -> bool:
+    """Leave every datagram to the exchange."""
     return False
