--- a/packages/verbenahall/src/verbenahall/peers/_arrivals.py
+++ b/packages/verbenahall/src/verbenahall/peers/_arrivals.py
@@ -1,4 +1,4 @@
-"""When a datagram arrived at the latest, seen from a loop that may stall."""
+"""Lower bound on the arrival time of datagrams, for a loop that may stall."""
 
 from collections.abc import Mapping
 from typing import Final, final
@@ -7,30 +7,30 @@
 from verbenahall.peers._messages import Heartbeat
 from verbenahall.peers._state import ConfirmedOffset
 
-#: A tick that comes later than this is told in the log, in seconds.
+#: Delay of a tick, in seconds, from which a stall is logged.
 _STALL_S: Final = 0.25
 
 
 @final
 class ArrivalClock:
-    """Bounds the time for which a datagram may have waited unread.
+    """Bounds how long a datagram may have waited in the socket's buffer.
 
-    Datagrams wait in the socket's buffer while the process stands still. Each
-    turn of the loop empties the buffer, so one that is read now came after
-    the tick before the last one.
+    Datagrams wait in the buffer while the process is stalled. Each iteration
+    of the event loop empties the buffer, so a datagram that is read now
+    arrived after the tick before the last one.
     """
 
-    __slots__ = ('_every_s', '_received_after', '_ticked_at')
+    __slots__ = ('_interval_s', '_received_after', '_ticked_at')
 
-    def __init__(self, every_s: float) -> None:
-        """Expect a tick every so many seconds."""
-        self._every_s = every_s
+    def __init__(self, interval_s: float) -> None:
+        """Expect one tick per interval."""
+        self._interval_s = interval_s
         self._received_after = -float('inf')
         self._ticked_at = -float('inf')
 
     def record_tick(self, now: float) -> None:
-        """Note a tick, and write a line if it comes late."""
-        late_s = now - self._ticked_at - self._every_s
+        """Record a tick, and log a stall if it is late."""
+        late_s = now - self._ticked_at - self._interval_s
         if _STALL_S < late_s < float('inf'):
             late_s = journal.round_seconds(late_s)
             journal.write_decision('stalled', late_s=late_s)
@@ -38,14 +38,18 @@
         self._ticked_at = now
 
     def find_confirmations(
-        self, word: Heartbeat
+        self,
+        heartbeat: Heartbeat,
     ) -> Mapping[str, ConfirmedOffset]:
-        """Return when the store confirmed what a peer has read."""
+        """Return when the store confirmed the offsets in a heartbeat.
+
+        The times are by the local monotonic clock, and never too late.
+        """
         return {
             topic: ConfirmedOffset(
-                word.followed[topic],
+                heartbeat.followed[topic],
                 self._received_after - age_s,
             )
-            for topic, age_s in word.ages.items()
-            if topic in word.followed
+            for topic, age_s in heartbeat.ages.items()
+            if topic in heartbeat.followed
         }
