--- a/packages/verbenahall/src/verbenahall/peers/_topic_followers.py
+++ b/packages/verbenahall/src/verbenahall/peers/_topic_followers.py
@@ -1,10 +1,11 @@
-"""Which of the instances follow the store for the others.
+"""Which instances follow a topic of the store on behalf of the others.
 
-A change costs the store one call for each instance that follows it. So two of
-those that hear each other follow it, and pass on what they read. Nobody is
-appointed: an instance follows the store unless it hears, from two that stand
-before it, that they are in touch with it. Whoever is silent, frozen, cut off
-or refused by the store is thus made up for within some 1.2 seconds.
+A change costs the store one call for each instance that follows the topic.
+Therefore only two of the instances that receive each other's heartbeats
+follow it, and forward what they read. There is no election: an instance
+follows a topic unless two instances that are ranked before it report in their
+heartbeats that they are in contact with the store. An instance that is dead,
+frozen, cut off or refused by the store is replaced within about 1.2 seconds.
 """
 
 from collections.abc import Iterator
@@ -13,35 +14,37 @@
 from verbenahall.peers._state import PeerBook
 from verbenahall.routing import rank_by_rendezvous
 
-#: Watchers among the instances that hear each other; with one, every kill of
-#: it would leave the others without news for the time below.
-_WATCHERS: Final = 2
-#: A peer that was not heard for this long counts as away, in seconds: twice
-#: the longest pause between two words. A change must be in force two seconds
-#: after the store's word.
-_HEARD_S: Final = 1.2
+#: Followers of a topic among the instances that receive each other's
+#: heartbeats. With one, each of its crashes would leave the others without
+#: updates for ``_LIVE_S``.
+_FOLLOWERS: Final = 2
+#: A peer without a heartbeat for this long no longer counts as a follower, in
+#: seconds: twice the longest interval between two heartbeats. A change must
+#: be in force two seconds after the store has confirmed it.
+_LIVE_S: Final = 1.2
 
 
 def is_covered_by_peers(book: PeerBook, topic: str, now: float) -> bool:
-    """Tell whether enough peers that stand before this one follow a topic."""
-    watchers = [name for name, _ in _find_watchers(book, topic, now)]
-    if len(watchers) < _WATCHERS:
+    """Return whether enough peers ranked before this one follow a topic."""
+    followers = [name for name, _ in _list_followers(book, topic, now)]
+    if len(followers) < _FOLLOWERS:
         return False
-    ranked = rank_by_rendezvous(topic, [*watchers, book.name])
-    return ranked.index(book.name) >= _WATCHERS
+    ranked = rank_by_rendezvous(topic, [*followers, book.name])
+    return ranked.index(book.name) >= _FOLLOWERS
 
 
 def find_latest_offset(book: PeerBook, topic: str, now: float) -> int:
-    """Return how far a topic goes by what the peers tell, 0 if none does."""
-    offsets = (offset for _, offset in _find_watchers(book, topic, now))
+    """Return the highest offset that a live peer has read, 0 if none has."""
+    offsets = (offset for _, offset in _list_followers(book, topic, now))
     return max(offsets, default=0)
 
 
 def find_confirmed_at(book: PeerBook, topic: str, position: int) -> float:
-    """Return when the store last confirmed that nothing follows a position.
+    """Return when the store last confirmed that a position is the newest.
 
-    Minus infinity if no peer tells so. What is told of an earlier place holds
-    for a later one: whoever has read further knows all that was there then.
+    Minus infinity if no peer reports it. A confirmation of an earlier offset
+    also holds for a later position: an instance at the later position has
+    read all that the store held at the time of the confirmation.
     """
     confirmed = (
         peer.confirmed[topic]
@@ -52,15 +55,15 @@
     return max(times, default=-float('inf'))
 
 
-def _find_watchers(
+def _list_followers(
     book: PeerBook,
     topic: str,
     now: float,
 ) -> Iterator[tuple[str, int]]:
-    """Yield who is heard and follows the topic, and how far.
+    """Yield the live peers that follow the topic, with their offsets.
 
-    Whoever sends its words here sends its news here, too.
+    A peer that sends its heartbeats to this instance also sends its updates.
     """
     for name, peer in book.peers.items():
-        if topic in peer.followed and now - peer.heard_at < _HEARD_S:
+        if topic in peer.followed and now - peer.heard_at < _LIVE_S:
             yield name, peer.followed[topic]
