--- a/packages/verbenahall/src/verbenahall/gateway/_following.py
+++ b/packages/verbenahall/src/verbenahall/gateway/_following.py
@@ -1,4 +1,4 @@
-"""What the store's records change in the process's state."""
+"""Handlers that apply records of the store to catalog and roster."""
 
 import functools
 from collections.abc import Callable, Mapping, Sequence
@@ -10,9 +10,9 @@
 from verbenahall import journal
 from verbenahall.catalog import adopt
 from verbenahall.gateway._core import Core
-from verbenahall.gateway._store_reachability import Received
 from verbenahall.gateway._followers import Follower, Subject
-from verbenahall.peers import TopicUpdate, PeerExchange
+from verbenahall.gateway._store_reachability import Received
+from verbenahall.peers import PeerExchange, TopicUpdate
 from verbenahall.platform import (
     ENDPOINTS_TOPIC,
     MANIFEST_KEY,
@@ -23,42 +23,43 @@
 )
 from verbenahall.roster import drop, put, replace
 
-#: After a manifest the next one is read this much later, in seconds; it must
-#: be in force within two.
-_MANIFEST_REST_S: Final = 0.2
-#: After changes among the endpoints the next ones are read later by this
-#: share of the time within which a leaving one may still get work. Engines
-#: are listed and replaced one by one; read at once, each change would be a
-#: call to the store.
-_REST_SHARE: Final = 0.25
+#: Pause between a manifest and the poll for the next one, in seconds. A
+#: manifest must be in force within two seconds.
+_MANIFEST_PAUSE_S: Final = 0.2
+#: Pause between changes of the endpoints and the next poll, as a share of the
+#: time for which a leaving endpoint may still get work. Engines are listed and
+#: replaced one by one; without the pause each change would cost the store a
+#: call.
+_ENDPOINTS_PAUSE_SHARE: Final = 0.25
 
 
 @final
 class RecordHandlers:
-    """What the store's records change in the process's state."""
+    """Applies records of the store to the core's catalog and roster."""
 
     __slots__ = ('_core',)
 
     def __init__(self, core: Core) -> None:
-        """Change the core's catalog and roster."""
+        """Apply records to this core."""
         self._core = core
 
-    def followers(
-        self, broadcast: Callable[[TopicUpdate], None]
+    def make_followers(
+        self,
+        broadcast: Callable[[TopicUpdate], None],
     ) -> list[Follower]:
-        """Return what is followed; news for the peers go to ``broadcast``."""
-        pause_s = self._core.settings.bounds.leaving_s * _REST_SHARE
+        """Return one follower per topic; ``broadcast`` sends to the peers."""
+        pause_s = self._core.settings.bounds.leaving_s * _ENDPOINTS_PAUSE_SHARE
         subjects = (
             Subject(
                 OPERATOR_TOPIC,
-                self._take_manifest,
-                self._take_manifests,
-                _MANIFEST_REST_S,
+                self._apply_manifest,
+                self._apply_manifests,
+                _MANIFEST_PAUSE_S,
             ),
             Subject(
                 ENDPOINTS_TOPIC,
-                self._take_entry,
-                self._take_entries,
+                self._apply_entry,
+                self._apply_entries,
                 pause_s,
             ),
         )
@@ -66,7 +67,7 @@
             Follower(self._core, subject, broadcast) for subject in subjects
         ]
 
-    def _take_manifest(self, record: KeyedRecord, received: Received) -> None:
+    def _apply_manifest(self, record: KeyedRecord, received: Received) -> None:
         if record.key != MANIFEST_KEY or not record.content:
             return
         match decode_manifest(record.content):
@@ -86,17 +87,17 @@
                     reason=problem.message,
                 )
 
-    def _take_manifests(
+    def _apply_manifests(
         self,
         records: Mapping[str, bytes],
         received: Received,
     ) -> None:
         for key, content in records.items():
-            self._take_manifest(KeyedRecord(key, content), received)
+            self._apply_manifest(KeyedRecord(key, content), received)
 
-    def _take_entry(self, record: KeyedRecord, received: Received) -> None:
+    def _apply_entry(self, record: KeyedRecord, received: Received) -> None:
         if not record.content:
-            self._take_removal(record.key, received)
+            self._apply_removal(record.key, received)
             return
         match decode_entry(record.key, record.content):
             case Some(entry):
@@ -115,9 +116,9 @@
                     age_s=journal.round_seconds(received.age_s),
                 )
             case _:
-                _tell_unreadable(record.key)
+                _log_unreadable(record.key)
 
-    def _take_removal(self, name: str, received: Received) -> None:
+    def _apply_removal(self, name: str, received: Received) -> None:
         roster = self._core.roster
         now = self._core.now()
         gone = drop(roster, name, now, received.before)
@@ -131,7 +132,7 @@
             used_for_s=journal.round_seconds(seat.until - now) if seat else 0,
         )
 
-    def _take_entries(
+    def _apply_entries(
         self,
         records: Mapping[str, bytes],
         received: Received,
@@ -143,7 +144,7 @@
                     entries.append(entry)
                 case _:
                     unreadable.append(key)
-                    _tell_unreadable(key)
+                    _log_unreadable(key)
         now = self._core.now()
         replace(
             self._core.roster,
@@ -161,11 +162,11 @@
 
 
 def follow_store(core: Core, exchange: PeerExchange) -> list[Follower]:
-    """Follow the store together with the peers of an exchange."""
-    followers = RecordHandlers(core).followers(exchange.broadcast)
+    """Return followers that share their reads with the peers of an exchange."""
+    followers = RecordHandlers(core).make_followers(exchange.broadcast)
     exchange.followed = functools.partial(_list_followed, followers)
     exchange.list_ages = functools.partial(_list_ages, core)
-    exchange.on_update = functools.partial(_give_news, followers)
+    exchange.on_update = functools.partial(_dispatch_update, followers)
     return followers
 
 
@@ -178,7 +179,7 @@
 
 
 def _list_ages(core: Core) -> Mapping[str, float]:
-    """Return for how long the store has not confirmed each topic."""
+    """Return the seconds since the store last confirmed each topic."""
     now = core.now()
     return {
         topic: freshness.find_age(now)
@@ -187,11 +188,14 @@
     }
 
 
-def _give_news(followers: Sequence[Follower], news: TopicUpdate) -> None:
+def _dispatch_update(
+    followers: Sequence[Follower],
+    update: TopicUpdate,
+) -> None:
     for follower in followers:
-        if follower.subject.topic == news.topic:
-            follower.receive_update(news)
+        if follower.subject.topic == update.topic:
+            follower.receive_update(update)
 
 
-def _tell_unreadable(endpoint: str) -> None:
+def _log_unreadable(endpoint: str) -> None:
     journal.write_decision('endpoint_unreadable', endpoint=endpoint)
