--- a/packages/verbenahall/src/verbenahall/gateway/_freshness.py
+++ b/packages/verbenahall/src/verbenahall/gateway/_freshness.py
@@ -1,7 +1,8 @@
-"""How old what is known of a topic is, and how old it may be when it is used.
+"""Age of the local copy of a topic, and the age up to which it may be used.
 
-The age counts from when the store last held nothing newer, as whoever asked it
-knows: delays of followers, heartbeats and of this process are all part of it.
+The age counts from the last time at which the store is known to have held
+nothing newer, by a call of this instance or of a peer. Delays of followers, of
+heartbeats and of this process are all included.
 """
 
 import asyncio
@@ -10,32 +11,35 @@
 
 from verbenahall import clock
 
-#: Part of the longest age after which an instance asks the store itself. The
-#: rest is time for the answer.
+#: Share of the longest usable age after which an instance reads the store
+#: itself. The remainder is time for the answer.
 _REFRESH_SHARE: Final = 0.8
-#: Part of that again within which followers of the store ask it anew. The rest
-#: is time for their heartbeats.
-_FOLLOW_SHARE: Final = 0.65
-#: Least time between two calls of a follower, in seconds. A store that names
-#: records which it does not hand out would be asked without a pause.
-_LEAST_WAIT_S: Final = 0.05
-#: Longest wait for the store's answer before something old is used, in
-#: seconds. The call itself is given up sooner.
-_HOLD_S: Final = 0.5
+#: Share of the refresh age within which a follower of the store polls again.
+#: The remainder is time for its heartbeats to reach the peers.
+_POLL_SHARE: Final = 0.65
+#: Shortest time between two calls of a follower, in seconds. Without it, a
+#: store that reports records but does not return them would be polled in a
+#: busy loop.
+_MIN_WAIT_S: Final = 0.05
+#: Longest time for which a request is held until outdated data is refreshed,
+#: in seconds. The call to the store times out earlier.
+_MAX_HOLD_S: Final = 0.5
 _NEVER: Final = -float('inf')
 
 
 @final
 class Freshness:
-    """The age of one topic, in monotonic seconds.
+    """The age of the local copy of one topic, by the monotonic clock.
 
-    ``usable_s`` is how old it may be when it is used.
+    ``usable_s`` is the age up to which it may be used, ``confirmed_at`` when
+    the store last held nothing newer, and ``failed_at`` when a call of this
+    instance last failed.
     """
 
     __slots__ = ('confirmed_at', 'failed_at', 'usable_s', '_changed')
 
     def __init__(self, usable_s: float) -> None:
-        """Start without an answer of the store."""
+        """Start without a confirmation by the store."""
         self.confirmed_at = _NEVER
         self.failed_at = _NEVER
         self.usable_s = usable_s
@@ -43,59 +47,59 @@
 
     @property
     def refresh_s(self) -> float:
-        """At which age an instance asks the store whatever its peers do."""
+        """Age at which the instance reads the store itself, in seconds."""
         return self.usable_s * _REFRESH_SHARE
 
     @property
     def is_known(self) -> bool:
-        """Whether the store has ever answered."""
+        """Whether the topic was ever confirmed."""
         return self.confirmed_at > _NEVER
 
     @property
     def has_failed(self) -> bool:
-        """Whether a call has failed since the store last confirmed."""
+        """Whether a call has failed since the last confirmation."""
         return self.failed_at > self.confirmed_at
 
     def find_age(self, now: float) -> float:
-        """Return the age, infinite before the first answer."""
+        """Return the age in seconds, infinite before the first confirmation."""
         return now - self.confirmed_at
 
     def limit_wait(self, wait_s: float, now: float) -> float:
-        """Return for how long a follower of the store may wait at most.
+        """Limit the time for which a follower of the store may wait.
 
-        Those that rely on it hear of the store's answers with a delay, and
-        would ask the store themselves.
+        Peers that rely on the follower receive its confirmations with a
+        delay; after a longer wait they would read the store themselves.
         """
-        longest_s = self.refresh_s * _FOLLOW_SHARE - self.find_age(now)
-        return max(_LEAST_WAIT_S, min(wait_s, longest_s))
+        longest_s = self.refresh_s * _POLL_SHARE - self.find_age(now)
+        return max(_MIN_WAIT_S, min(wait_s, longest_s))
 
     def note_confirmed(self, at: float) -> None:
-        """Note that the store held nothing newer at a time."""
+        """Record that the store held nothing newer at a time."""
         if at > self.confirmed_at:
             self.confirmed_at = at
             self._wake()
 
     def note_lost(self, now: float) -> None:
-        """Note that the store did not answer this instance."""
+        """Record that a call of this instance to the store failed."""
         self.failed_at = now
         self._wake()
 
     async def wait_usable(self) -> None:
-        """Wait until what is known may be used, for a moment at most.
+        """Wait until the local copy may be used, up to ``_MAX_HOLD_S``.
 
-        While the store is out of reach there is nothing to wait for, and
-        requests are served by what is known.
+        While the store is unreachable, it may be used at any age: requests
+        are served by the last known state.
         """
-        if self._may_use():
+        if self._is_usable():
             return
         with contextlib.suppress(TimeoutError):
-            async with asyncio.timeout(_HOLD_S):
-                while not self._may_use():
+            async with asyncio.timeout(_MAX_HOLD_S):
+                while not self._is_usable():
                     await self._changed.wait()
 
-    def _may_use(self) -> bool:
-        is_young = self.find_age(clock.monotonic()) <= self.usable_s
-        return is_young or self.has_failed or not self.is_known
+    def _is_usable(self) -> bool:
+        is_recent = self.find_age(clock.monotonic()) <= self.usable_s
+        return is_recent or self.has_failed or not self.is_known
 
     def _wake(self) -> None:
         self._changed.set()
