--- a/packages/verbenahall/src/verbenahall/gateway/_standby.py
+++ b/packages/verbenahall/src/verbenahall/gateway/_standby.py
@@ -1,4 +1,4 @@
-"""What peers that follow a topic tell of it, to one that relies on them."""
+"""State of a topic by the reports of the peers that follow it."""
 
 from typing import Final, final
 
@@ -9,47 +9,47 @@
     is_covered_by_peers,
 )
 
-#: How long news of records may be later than the word that there are such, in
-#: seconds. Both come by datagram, the word first; without this patience every
-#: instance of a large fleet reads from the store what is on its way to it.
-_NEWS_LATE_S: Final = 0.4
+#: How long the update with new records may arrive after a heartbeat that
+#: reports them, in seconds. Without this delay every instance of a large fleet
+#: would read from the store records that are already on their way to it.
+_MAX_UPDATE_DELAY_S: Final = 0.4
 
 
 @final
 class Standby:
-    """One topic, as the peers tell it."""
+    """One topic, by the heartbeats and updates of the peers."""
 
-    __slots__ = ('_book', '_furthest', '_missing_since', '_topic')
+    __slots__ = ('_book', '_latest_offset', '_missing_since', '_topic')
 
     def __init__(self, book: PeerBook, topic: str) -> None:
-        """Start with nothing heard."""
+        """Start without any report."""
         self._book = book
-        self._furthest = 0
+        self._latest_offset = 0
         self._missing_since: float | None = None
         self._topic = topic
 
     def record_end(self, end: int) -> None:
-        """Note how far the topic goes."""
-        self._furthest = max(self._furthest, end)
+        """Record an offset up to which the topic is known to go."""
+        self._latest_offset = max(self._latest_offset, end)
 
     def is_covered_by_peers(self, now: float) -> bool:
         """Whether enough peers follow the topic at the store."""
         return is_covered_by_peers(self._book, self._topic, now)
 
     def find_confirmed_at(self, position: int) -> float:
-        """Return when the store held nothing after a position, as told."""
+        """Return when a peer last had a position confirmed as the newest."""
         return find_confirmed_at(self._book, self._topic, position)
 
     def may_wait(self, position: int, now: float) -> bool:
-        """Whether nothing is missing, or it may still be on its way here."""
-        told = find_latest_offset(self._book, self._topic, now)
-        if max(told, self._furthest) <= position:
+        """Whether no record is missing, or missing ones may still arrive."""
+        reported = find_latest_offset(self._book, self._topic, now)
+        if max(reported, self._latest_offset) <= position:
             self._missing_since = None
             return True
         if self._missing_since is None:
             self._missing_since = now
-        return now - self._missing_since < _NEWS_LATE_S
+        return now - self._missing_since < _MAX_UPDATE_DELAY_S
 
     def record_progress(self) -> None:
-        """Note that some of what was missing has come."""
+        """Record that missing records have arrived."""
         self._missing_since = None
