--- a/packages/verbenahall/src/verbenahall/gateway/_standing.py
+++ b/packages/verbenahall/src/verbenahall/gateway/_standing.py
@@ -1,49 +1,54 @@
-"""What this process's own sends say about endpoints.
+"""Health of endpoints by the outcomes of this process's own sends.
 
 A health check may pass while requests fail, and a store entry outlives its
-endpoint by seconds, so the outcomes of our own sends decide.
+endpoint by seconds, so endpoints are avoided by the outcomes of sends.
 """
 
 from collections.abc import Collection
 from typing import Final, final
 
-#: Weight of one outcome in the share of failures.
-_LEARNING: Final = 0.2
-#: An endpoint that cannot be reached is avoided for this long at most, in
-#: seconds, or until a probe gets through. Without probes each request that
-#: tried it again waited a whole connect for nothing.
-_PAUSE_S: Final = 5.0
-#: An endpoint that has refused is left alone for this long, in seconds: one
-#: that is full has room again, and one that changes its role is heard of.
+#: Weight of one outcome in the moving average of failures.
+_OUTCOME_WEIGHT: Final = 0.2
+#: An unreachable endpoint is avoided for this long at most, in seconds, or
+#: until a probe succeeds. Without probes, each request that tried it again lost
+#: a whole connect timeout.
+_UNREACHABLE_S: Final = 5.0
+#: An endpoint that has refused a request is avoided for this long, in seconds.
+#: By then a full one has capacity again, and a change of its role has been
+#: reported.
 _REFUSAL_S: Final = 0.5
-#: The share of failures halves in this time without sends, in seconds.
+#: Time without sends in which the failure rate halves, in seconds.
 _HALF_LIFE_S: Final = 5.0
 
 
 @final
 class Standing:
-    """One endpoint's recent outcomes."""
+    """Recent outcomes of the sends to one endpoint.
+
+    ``failing`` is the failure rate at the time ``updated_at``, between 0 and
+    1, and ``open`` the number of sends that are under way.
+    """
 
     __slots__ = (
         'failing',
-        'noted_at',
-        'paused_until',
+        'updated_at',
+        'unreachable_until',
         'refusing_until',
         'open',
     )
 
     def __init__(self) -> None:
-        """Start with nothing against the endpoint."""
+        """Start without failures."""
         self.failing: float = 0
-        self.noted_at: float = 0
-        self.paused_until = -float('inf')
+        self.updated_at: float = 0
+        self.unreachable_until = -float('inf')
         self.refusing_until = -float('inf')
         self.open = 0
 
 
 @final
 class Standings:
-    """Outcomes by the endpoints' names."""
+    """Recent outcomes by endpoint name."""
 
     __slots__ = ('_standings',)
 
@@ -52,30 +57,30 @@
         self._standings: dict[str, Standing] = {}
 
     def of(self, endpoint: str) -> Standing:
-        """Return an endpoint's standing."""
+        """Return an endpoint's record, which is created if it is missing."""
         return self._standings.setdefault(endpoint, Standing())
 
     def knows(self, endpoint: str) -> bool:
-        """Whether anything is kept of an endpoint."""
+        """Whether there is a record of an endpoint."""
         return endpoint in self._standings
 
     def keep_only(self, names: Collection[str]) -> None:
-        """Forget the endpoints that are no longer listed."""
+        """Remove the records of all other endpoints."""
         for name in self._standings.keys() - names:
             self._standings.pop(name)
 
     def note(self, endpoint: str, now: float, *, good: bool) -> None:
-        """Note how a send ended."""
+        """Record the outcome of a send."""
         standing = self.of(endpoint)
         failing = self.failing(endpoint, now)
         target = 0 if good else 1
-        standing.failing = failing + _LEARNING * (target - failing)
-        standing.noted_at = now
+        standing.failing = failing + _OUTCOME_WEIGHT * (target - failing)
+        standing.updated_at = now
 
     def note_unreachable(self, endpoint: str, now: float) -> None:
-        """Avoid an endpoint that took no connection or fell silent."""
+        """Avoid an endpoint that accepts no connection or is unresponsive."""
         self.note(endpoint, now, good=False)
-        self.of(endpoint).paused_until = now + _PAUSE_S
+        self.of(endpoint).unreachable_until = now + _UNREACHABLE_S
 
     def note_refusal(
         self,
@@ -83,36 +88,36 @@
         now: float,
         for_s: float = _REFUSAL_S,
     ) -> None:
-        """Leave an endpoint alone that takes no work for the moment.
+        """Avoid an endpoint that accepts no work at the moment.
 
-        An engine that changes its role refuses everything for seconds while
-        the store still lists its old one.
+        An engine that changes its role refuses all requests for seconds while
+        the store still lists its old role.
         """
         self.of(endpoint).refusing_until = now + for_s
 
     def note_reached(self, endpoint: str) -> None:
-        """Use an endpoint again that took a connection."""
-        self.of(endpoint).paused_until = -float('inf')
+        """Use an endpoint again that accepted a connection."""
+        self.of(endpoint).unreachable_until = -float('inf')
 
     def unreachable(self, now: float) -> list[str]:
-        """Return the endpoints that are avoided now."""
+        """Return the endpoints that are avoided as unreachable."""
         return [
             name
             for name, standing in self._standings.items()
-            if now < standing.paused_until
+            if now < standing.unreachable_until
         ]
 
     def failing(self, endpoint: str, now: float) -> float:
-        """Return the share of failures, fading while nothing is sent."""
+        """Return the failure rate, which decays while nothing is sent."""
         standing = self.of(endpoint)
-        fade = 0.5 ** ((now - standing.noted_at) / _HALF_LIFE_S)
-        return standing.failing * fade
+        decay = 0.5 ** ((now - standing.updated_at) / _HALF_LIFE_S)
+        return standing.failing * decay
 
     def reachable(self, endpoint: str, now: float) -> bool:
-        """Whether an endpoint takes connections, as far as is known."""
-        return now >= self.of(endpoint).paused_until
+        """Whether an endpoint is not marked as unreachable."""
+        return now >= self.of(endpoint).unreachable_until
 
     def paused(self, endpoint: str, now: float) -> bool:
-        """Whether an endpoint is avoided for the moment."""
+        """Whether an endpoint is avoided, as unreachable or refusing."""
         standing = self.of(endpoint)
-        return now < max(standing.paused_until, standing.refusing_until)
+        return now < max(standing.unreachable_until, standing.refusing_until)
