--- a/packages/verbenahall/src/verbenahall/gateway/_core.py
+++ b/packages/verbenahall/src/verbenahall/gateway/_core.py
@@ -1,4 +1,4 @@
-"""What one process knows: catalog, roster, open work, budgets."""
+"""Shared state of one process: catalog, roster, open work, retry budgets."""
 
 import asyncio
 import random
@@ -35,23 +35,24 @@
 from verbenahall.throttling import RateTable
 from verbenahall.usage import TrueClock, UsageMeter
 
-#: Share of the operators' bound on further sends that is used: what counts
-#: is when sends arrive, which slides against when they are decided.
+#: Share of the operators' bound on retries that is used. The bound applies to
+#: the times at which sends arrive, which differ from the times at which they
+#: are decided.
 _BUDGET_SHARE: Final = 0.8
-#: Time from the choice of an endpoint to the arrival of the request there, at
-#: most, in seconds: a new connection, and a turn of the loop.
-_SEND_S: Final = CONNECT_S + 0.1
-#: Least share of a bound for which what is known is used, where the bound is
+#: Longest time from the choice of an endpoint to the arrival of the request
+#: there, in seconds: a new connection, and an iteration of the event loop.
+_MAX_SEND_S: Final = CONNECT_S + 0.1
+#: Smallest share of a bound that is used as the usable age, if the bound is
 #: hardly longer than a send.
-_LEAST_USABLE: Final = 0.7
-#: Instances that are thought to share the budget at least: some may not be
-#: known yet.
-_FEWEST_INSTANCES: Final = 10
-#: Share of the longest time of a route's callers by which one must have less
-#: to be taken for one that comes back. Callers that come for the first time
-#: differ, too, and would count as late on arrival with a small bound; those
-#: that come back are told to wait for up to a third.
-_LEAST_WAITED: Final = 0.25
+_MIN_USABLE_SHARE: Final = 0.7
+#: Smallest number of instances that the retry budget is divided by: some
+#: instances may not be known yet.
+_MIN_INSTANCES: Final = 10
+#: A caller counts as returning if its wait is shorter than the longest wait of
+#: the route's callers by this share of it. First-time callers differ, too, and
+#: with a small share would count as past their objective on arrival. Returning
+#: callers have been told to wait for up to a third of the longest wait.
+_MIN_WAITED_SHARE: Final = 0.25
 
 
 @final
@@ -59,19 +60,19 @@
     """The state that the parts of the process share."""
 
     def __init__(self, settings: ProcessSettings) -> None:
-        """Start knowing nothing but the settings."""
+        """Start with the settings only."""
         self.settings = settings
         self.random = random.Random()
         self.catalog = CatalogState()
-        usable_s = _find_usable(settings.bounds.leaving_s)
+        usable_s = _find_usable_age(settings.bounds.leaving_s)
         self.roster = Roster(
             RosterRules(lapse_s=min(LAPSE_S, usable_s), usable_s=usable_s),
         )
-        #: How old what is known of each topic is.
+        #: Age of the local copy of each topic.
         self.freshness = {
             ENDPOINTS_TOPIC: Freshness(usable_s),
             OPERATOR_TOPIC: Freshness(
-                _find_usable(settings.bounds.manifest_s),
+                _find_usable_age(settings.bounds.manifest_s),
             ),
         }
         self.true_clock = TrueClock(clock.boottime, clock.wall)
@@ -94,7 +95,7 @@
         self.engines = EngineCalls(self.session)
         self.store = StoreClient(self.session, settings.store)
         self.now = clock.monotonic
-        #: The longest time that callers of a route have said to wait.
+        #: The longest wait that callers of each route have stated, in seconds.
         self.patience: dict[str, float] = {}
         self._budgets: dict[str, WindowBudget] = {}
         self._tasks: set[asyncio.Task[None]] = set()
@@ -106,17 +107,17 @@
 
     @property
     def instances(self) -> int:
-        """How many instances are known, this one with them."""
+        """Number of known instances, including this one."""
         return len(self.book.peers) + 1
 
     def find_age(self, now: float) -> float:
-        """Return for how long what the store holds has not been confirmed."""
+        """Return the greatest age of a local copy of a topic, in seconds."""
         return max(one.find_age(now) for one in self.freshness.values())
 
     def list_usable(self, service: str, now: float) -> Sequence[Entry]:
-        """Return the endpoints of a service that are not avoided.
+        """Return the live endpoints of a service that are not avoided.
 
-        When all are, they are returned all the same: one may be back.
+        If all are avoided, all are returned, as one may have recovered.
         """
         live = list(self.roster.live(service, now))
         usable = [
@@ -125,7 +126,7 @@
         return usable or live
 
     def has_other(self, endpoint: Entry, now: float) -> bool:
-        """Whether another endpoint could take what one has no room for."""
+        """Whether another endpoint could take a request that one refuses."""
         return any(
             one.name != endpoint.name
             and one.role is endpoint.role
@@ -134,9 +135,9 @@
         )
 
     def forget_unlisted(self) -> None:
-        """Forget what was learned of endpoints that are gone.
+        """Remove the state kept for endpoints that are no longer listed.
 
-        Each start of an endpoint has a new name, so what is kept by name
+        Each start of an endpoint has a new name, so state that is kept by name
         would grow for as long as the instance runs.
         """
         names = self.roster.seats.keys()
@@ -147,14 +148,14 @@
             self.rates.keep_only({name_start(seat.entry) for seat in seats})
 
     def budget_of(self, service: str) -> WindowBudget:
-        """Return the budget of further sends to a service.
+        """Return the retry budget of a service.
 
-        The operators bound what all instances send together, so each one
-        takes its part of the fixed slack and does not count on others being
-        idle.
+        The operators bound the retries of all instances together, so each
+        instance uses its share of the fixed slack, whether the others use
+        theirs or not.
         """
         bounds = self.settings.bounds
-        instances = max(self.instances, _FEWEST_INSTANCES)
+        instances = max(self.instances, _MIN_INSTANCES)
         slack = bounds.retry_slack * _BUDGET_SHARE / instances
         budget = self._budgets.get(service)
         if budget is None:
@@ -169,18 +170,18 @@
         return budget
 
     def find_waited(self, route: str, wait_s: float) -> float:
-        """Return for how long a caller has waited in earlier attempts.
+        """Estimate how long a caller has waited in earlier attempts.
 
-        Callers of a route wait for about the same time, and one that comes
-        back has much less of it left.
+        Callers of a route wait for about the same time, and a returning caller
+        states a much shorter wait than the longest one seen.
         """
         longest = max(self.patience.get(route, 0), wait_s)
         self.patience[route] = longest
         waited_s = longest - wait_s
-        return waited_s if waited_s > longest * _LEAST_WAITED else 0
+        return waited_s if waited_s > longest * _MIN_WAITED_SHARE else 0
 
     def spawn(self, work: Coroutine[Any, Any, None]) -> None:
-        """Run work that no caller waits for."""
+        """Run a coroutine in the background; no caller waits for it."""
         task = asyncio.create_task(work)
         self._tasks.add(task)
         task.add_done_callback(self._tasks.discard)
@@ -190,6 +191,6 @@
         await self.session.close()
 
 
-def _find_usable(bound_s: float) -> float:
-    """Return how old what is known may be, for a bound on arrivals."""
-    return max(bound_s - _SEND_S, bound_s * _LEAST_USABLE)
+def _find_usable_age(bound_s: float) -> float:
+    """Return the usable age for a bound on the arrival of requests."""
+    return max(bound_s - _MAX_SEND_S, bound_s * _MIN_USABLE_SHARE)
