--- a/packages/verbenahall/src/verbenahall/gateway/_peers.py
+++ b/packages/verbenahall/src/verbenahall/gateway/_peers.py
@@ -1,4 +1,4 @@
-"""Finds the other instances through the store, and starts the exchange."""
+"""Discovers the other instances through the store, and runs the exchange."""
 
 import asyncio
 from typing import Final, final
@@ -15,41 +15,41 @@
     encode_keyed,
 )
 
-#: Pause before the store is tried again, in seconds: peers only better what
-#: an instance knows, so there is no haste.
+#: Pause before a failed call to the store is retried, in seconds. An instance
+#: also works without peers, so a long pause does no harm.
 _PAUSE_S: Final = 3.0
 
 
 @final
 class PeerFinder:
-    """Writes this instance's address and reads the others', once a start.
+    """Writes this instance's address and reads the others', once per start.
 
-    Whoever starts later greets those that are there, so the topic need not
-    be followed: two calls a start in place of a poll for ever.
+    An instance that starts later sends a heartbeat to the existing ones, so
+    the topic need not be followed: two calls per start replace endless polls.
     """
 
     __slots__ = ('_core', 'exchange')
 
     def __init__(self, core: Core) -> None:
-        """Prepare the exchange over the core's open work."""
+        """Create the exchange for the core's open work."""
         self._core = core
         self.exchange = PeerExchange(
             core.book,
             core.placement,
-            self._hear_changing,
+            self._avoid_engine,
         )
 
     async def run(self) -> None:
-        """Join, then tell and hear until cancelled."""
+        """Register, and exchange heartbeats until cancelled."""
         settings = self._core.settings
         await self.exchange.open(settings.ip, settings.peer_port)
         try:
             await asyncio.gather(self.exchange.run(), self._join())
         finally:
-            # A loop that starts again binds the port anew.
+            # The supervisor restarts a failed loop, which binds the port again.
             self.exchange.close()
 
-    def _hear_changing(self, engine: str) -> None:
+    def _avoid_engine(self, engine: str) -> None:
         self._core.standings.note_refusal(engine, self._core.now())
 
     async def _join(self) -> None:
@@ -59,8 +59,8 @@
             await asyncio.sleep(_PAUSE_S)
         self.exchange.announce()
 
-    def _greet(self, name: str, card: bytes) -> None:
-        match wire.decode(card):
+    def _add_peer(self, name: str, content: bytes) -> None:
+        match wire.decode(content):
             case Success([str(address), str(data_centre), cores]) if isinstance(
                 cores,
                 int | float,
@@ -71,18 +71,18 @@
 
     async def _register(self) -> bool:
         settings = self._core.settings
-        card = wire.encode(
+        content = wire.encode(
             [settings.peer_address, settings.data_centre, settings.cores],
         )
-        record = encode_keyed(KeyedRecord(settings.name, card))
+        record = encode_keyed(KeyedRecord(settings.name, content))
         outcome = await self._core.store.append(INSTANCES_TOPIC, [record])
         return isinstance(outcome, Appended)
 
     async def _read_others(self) -> bool:
         match await self._core.store.read_newest(INSTANCES_TOPIC):
             case Success(newest):
-                for name, card in newest.items.items():
-                    self._greet(name, card)
+                for name, content in newest.items.items():
+                    self._add_peer(name, content)
                 known = len(self._core.book.peers)
                 journal.write_decision('peers', known=known)
                 return True
