--- a/packages/verbenahall/src/verbenahall/gateway/_beliefs.py
+++ b/packages/verbenahall/src/verbenahall/gateway/_beliefs.py
@@ -1,4 +1,4 @@
-"""Tells now and then what the instance believes about the fleet."""
+"""Logs the state that placement decisions are based on at regular times."""
 
 import asyncio
 from typing import Final, final
@@ -6,29 +6,29 @@
 from verbenahall import journal
 from verbenahall.gateway._core import Core
 
-#: How often the beliefs are told, in seconds.
-_EVERY_S: Final = 5.0
-_DIGITS: Final = 4
+#: Interval between two log lines, in seconds.
+_INTERVAL_S: Final = 5.0
+_DECIMALS: Final = 4
 _THOUSAND: Final = 1000
 
 
 @final
 class Beliefs:
-    """Writes one line of what placement goes by, with its ages."""
+    """Logs versions, ages and counts of the state that placement uses."""
 
     __slots__ = ('_core',)
 
     def __init__(self, core: Core) -> None:
-        """Tell of the core."""
+        """Log the state of this core."""
         self._core = core
 
     async def run(self) -> None:
-        """Tell until cancelled."""
+        """Log until cancelled."""
         while True:
-            await asyncio.sleep(_EVERY_S)
-            self._tell()
+            await asyncio.sleep(_INTERVAL_S)
+            self._log_state()
 
-    def _tell(self) -> None:
+    def _log_state(self) -> None:
         core = self._core
         now = core.now()
         speed = core.placement.read_speed
@@ -36,12 +36,12 @@
         journal.write_decision(
             'beliefs',
             version=catalog.version if catalog else None,
-            age_s=round(core.find_age(now), _DIGITS),
+            age_s=round(core.find_age(now), _DECIMALS),
             endpoints=len(core.roster.seats),
             instances=core.instances,
             unreachable=core.standings.unreachable(now),
             peers=core.placement.ledger.speakers,
-            read_start_s=round(speed.start_s, _DIGITS),
-            read_thousand_s=round(speed.token_s * _THOUSAND, _DIGITS),
+            read_start_s=round(speed.start_s, _DECIMALS),
+            read_thousand_s=round(speed.token_s * _THOUSAND, _DECIMALS),
             read_samples=speed.samples,
         )
