--- a/packages/verbenahall/src/verbenahall/gateway/_scheduled_grants.py
+++ b/packages/verbenahall/src/verbenahall/gateway/_scheduled_grants.py
@@ -1,4 +1,4 @@
-"""Engines that a scheduler has assigned to a request."""
+"""Grants for requests whose engines were assigned by a scheduler."""
 
 import dataclasses
 from collections.abc import Callable
@@ -19,7 +19,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class AssignmentChannel:
-    """How the scheduler of one assignment is told of it."""
+    """Address and key for messages to the scheduler of one assignment."""
 
     send: Send
     address: str
@@ -28,18 +28,19 @@
 
 @final
 class ScheduledGrant:
-    """Engines that a scheduler has assigned, and keeps until the end."""
+    """Engines that a scheduler keeps reserved until ``end`` is called."""
 
     __slots__ = (
         'plan',
-        '_contact',
+        '_channel',
         '_core',
         '_ended',
         '_flight',
         '_granted_at',
     )
 
-    #: The scheduler has chosen by the whole load of its group.
+    #: The scheduler has reserved the decode engine, too: it has chosen it by
+    #: the whole load of its group.
     holds_decode = True
 
     def __init__(
@@ -47,35 +48,35 @@
         core: Core,
         plan: Plan,
         flight: InFlight,
-        contact: AssignmentChannel,
+        channel: AssignmentChannel,
     ) -> None:
-        """Tell the scheduler how it goes."""
+        """Report the progress of the request to the scheduler."""
         self.plan = plan
         self._core = core
         self._ended = False
         self._flight = flight
         self._granted_at = core.now()
-        self._contact = contact
+        self._channel = channel
 
     def start(self) -> None:
-        """Take the reservation back: the send counts from now."""
+        """Remove the local reservation: from now on the send itself counts."""
         self._core.placement.ledger.close(self._flight)
 
     def note_prefill(self, seconds: float) -> None:
-        """Tell that the prefill engine has room for the next prompt."""
-        self._say(Prefilled(self._contact.key, seconds))
+        """Report the end of the prefill, which took so many seconds."""
+        self._send(Prefilled(self._channel.key, seconds))
 
     def note_first(self, handover_s: float) -> None:
-        """Tell how long the first event took."""
+        """Report the time to the first event."""
         took_s = self._core.now() - self._granted_at
-        self._say(FirstEvent(self._contact.key, took_s, handover_s))
+        self._send(FirstEvent(self._channel.key, took_s, handover_s))
 
     def end(self, *, step_s: float = 0, refused: str = '') -> None:
-        """Tell that the engines' places are free again."""
+        """Release the engines; further calls have no effect."""
         if not self._ended:
             self._ended = True
             self.start()
-            self._say(Released(self._contact.key, step_s, refused))
+            self._send(Released(self._channel.key, step_s, refused))
 
-    def _say(self, message: Message) -> None:
-        self._contact.send(self._contact.address, message)
+    def _send(self, message: Message) -> None:
+        self._channel.send(self._channel.address, message)
