--- a/packages/verbenahall/src/verbenahall/gateway/_assignments.py
+++ b/packages/verbenahall/src/verbenahall/gateway/_assignments.py
@@ -1,4 +1,4 @@
-"""Asks the schedulers of engine groups where requests go."""
+"""Requests engines from the schedulers of engine groups."""
 
 import asyncio
 import collections
@@ -16,8 +16,8 @@
 from verbenahall.gateway._core import Core
 from verbenahall.gateway._messages import Call
 from verbenahall.gateway._scheduled_grants import (
-    ScheduledGrant,
     AssignmentChannel,
+    ScheduledGrant,
     Send,
 )
 from verbenahall.placement import PlacementRequest, Plan, Totals
@@ -37,28 +37,33 @@
 
 Answer = Assignment | Rejection | Declined
 
-#: A scheduler answers within this time, in seconds, or the next one is asked.
-#: An answer takes some milliseconds, at worst the tenth of a second for which
-#: a machine stands still when its share of the processor is used up.
+#: Timeout of a scheduler's answer, in seconds; then the next scheduler is
+#: tried. An answer takes some milliseconds, at worst the 0.1 s for which a
+#: machine is throttled when its processor quota is used up.
 _ANSWER_S: Final = 0.1
-#: A request that waits asks again after this time, in seconds. A scheduler
-#: that died is noticed by it, and an answer that got lost is had.
-_AGAIN_S: Final = 0.25
-#: Schedulers that are tried for a request: of the own data centre's group, and
-#: of another one. When a far one is silent its data centre may be cut off, and
-#: a prompt with half a second left is better off with the next group.
-_NEAR_TRIED: Final = 2
-_FAR_TRIED: Final = 1
-#: Requests in a row that find no scheduler of a group before it is left out.
-_MISSES: Final = 2
-#: A group whose schedulers are silent is left out for this long at most, in
-#: seconds: its data centre is cut off, and soon back.
-_GROUP_S: Final = 4.0
+#: Interval at which a queued request is sent to its scheduler again, in
+#: seconds. It detects a dead scheduler and recovers a lost answer.
+_RESEND_S: Final = 0.25
+#: Schedulers that are tried for a request, of a group in the local data centre
+#: and of another one. If a remote one is unresponsive, its whole data centre
+#: may be cut off, and a prompt with half a second left is better served by the
+#: next group.
+_MAX_LOCAL_TRIES: Final = 2
+_MAX_REMOTE_TRIES: Final = 1
+#: Consecutive requests without an answer from any scheduler of a group before
+#: the group is skipped.
+_MAX_MISSES: Final = 2
+#: A group whose schedulers are unresponsive is skipped for this long at most,
+#: in seconds: its data centre is cut off, mostly for a short time.
+_GROUP_SKIP_S: Final = 4.0
 
 
 @final
 class Assignments:
-    """Has requests placed by the schedulers of a large fleet."""
+    """Has requests placed by the schedulers of a large fleet.
+
+    In a small fleet each instance places its requests by itself.
+    """
 
     __slots__ = (
         '_core',
@@ -71,9 +76,9 @@
     )
 
     def __init__(self, core: Core, send: Send) -> None:
-        """Ask by ``send``; answers come to ``receive``."""
+        """Send requests by ``send``; answers are passed to ``receive``."""
         self._core = core
-        self._groups = SchedulerHealth(_GROUP_S)
+        self._groups = SchedulerHealth(_GROUP_SKIP_S)
         self._health = SchedulerHealth()
         self._inboxes: dict[str, asyncio.Queue[Queued | Answer]] = {}
         self._misses: collections.Counter[str] = collections.Counter()
@@ -81,13 +86,13 @@
         self._send = send
 
     def receive(self, message: Queued | Answer, scheduler: str) -> None:
-        """Take an answer from the scheduler at an address."""
+        """Handle an answer of the scheduler at an address."""
         inbox = self._inboxes.get(message.key)
         if inbox is not None:
             inbox.put_nowait(message)
         elif isinstance(message, Assignment):
-            # The request has gone elsewhere meanwhile. Kept, the engines'
-            # places would stay empty until its deadline.
+            # The request has been sent elsewhere. Without a release, the
+            # engines' slots would stay reserved until its deadline.
             self._send(scheduler, Released(message.key))
 
     async def ask(
@@ -96,23 +101,25 @@
         wanted: PlacementRequest,
         tried: frozenset[str],
     ) -> Maybe[Result[ScheduledGrant, Problem]]:
-        """Return the engines, or why the request cannot be served.
+        """Return the assigned engines, or why the request cannot be served.
 
-        Nothing tells that this instance has to decide by itself: in a small
-        fleet it knows the whole load, and in a large one a scheduler may be
-        out of reach.
+        Nothing means that this instance has to place the request by itself:
+        in a small fleet it knows the whole load, and in a large one all
+        schedulers may be unreachable.
         """
         if not needs_scheduler(self._core.book):
             return Nothing
         now = self._core.now()
         usable = self._core.list_usable(call.service.name, now)
         found: Maybe[Result[ScheduledGrant, Problem]] = Nothing
-        home = self._core.settings.data_centre
-        silent = self._groups.list_silent(now)
-        for group in rank_groups(wanted.work, usable, home):
-            if group in silent:
+        local_centre = self._core.settings.data_centre
+        skipped = self._groups.list_silent(now)
+        for group in rank_groups(wanted.work, usable, local_centre):
+            if group in skipped:
                 continue
-            answer = await self._ask_group(_Ask(call, wanted, tried, group))
+            answer = await self._request_from_group(
+                _GroupRequest(call, wanted, tried, group),
+            )
             match answer:
                 case Some(Success(_)):
                     return answer
@@ -120,79 +127,88 @@
                     found = answer
         return found
 
-    async def _ask_group(
+    async def _request_from_group(
         self,
-        ask: '_Ask',
+        group_request: '_GroupRequest',
     ) -> Maybe[Result[ScheduledGrant, Problem]]:
-        for scheduler in self._list_schedulers(ask.group):
-            answer = await self._ask_scheduler(ask, scheduler)
+        for scheduler in self._list_schedulers(group_request.group):
+            answer = await self._request_from_scheduler(
+                group_request, scheduler
+            )
             if answer is not None:
-                self._groups.note_answer(ask.group)
-                self._misses.pop(ask.group, None)
+                self._groups.note_answer(group_request.group)
+                self._misses.pop(group_request.group, None)
             match answer:
                 case Assignment():
-                    return self._accept(ask, answer, scheduler)
+                    return self._accept(group_request, answer, scheduler)
                 case Rejection():
                     return _read_rejection(answer)
-        self._misses[ask.group] += 1
-        if self._misses[ask.group] >= _MISSES:
-            self._groups.note_silence(ask.group, self._core.now())
+        self._misses[group_request.group] += 1
+        if self._misses[group_request.group] >= _MAX_MISSES:
+            self._groups.note_silence(group_request.group, self._core.now())
         return Nothing
 
     def _list_schedulers(self, group: str) -> Sequence[str]:
         now = self._core.now()
         book = self._core.book
-        silent = self._health.list_silent(now)
-        tried = _NEAR_TRIED if is_near(group, book) else _FAR_TRIED
-        return rank_schedulers(group, book, now, silent)[:tried]
+        avoided = self._health.list_silent(now)
+        most = _MAX_LOCAL_TRIES if is_near(group, book) else _MAX_REMOTE_TRIES
+        return rank_schedulers(group, book, now, avoided)[:most]
 
-    async def _ask_scheduler(
+    async def _request_from_scheduler(
         self,
-        ask: '_Ask',
+        group_request: '_GroupRequest',
         scheduler: str,
     ) -> Answer | None:
-        """Ask one scheduler; None when it is silent or takes nothing."""
+        """Send a request to one scheduler; None if it times out or declines."""
         started = self._core.now()
-        key = self._name(ask.call)
+        key = self._make_key(group_request.call)
         address = self._find_address(scheduler)
         inbox: asyncio.Queue[Queued | Answer] = asyncio.Queue()
         self._inboxes[key] = inbox
         answer: Answer | None = None
         try:
-            answer = await self._wait(ask, key, address, inbox)
+            answer = await self._wait(group_request, key, address, inbox)
         finally:
             self._inboxes.pop(key)
             if not isinstance(answer, Assignment | Rejection):
-                # It may be slow rather than gone, or the caller has left.
+                # The scheduler may be slow and still assign engines, or the
+                # caller has disconnected while its request is queued.
                 self._send(address, Released(key))
-        self._judge(ask, scheduler, answer, self._core.now() - started)
+        self._record_outcome(
+            group_request,
+            scheduler,
+            answer,
+            self._core.now() - started,
+        )
         return answer
 
     async def _wait(
         self,
-        ask: '_Ask',
+        group_request: '_GroupRequest',
         key: str,
         address: str,
         inbox: asyncio.Queue[Queued | Answer],
     ) -> Answer | None:
+        """Send the request until there is an answer; None on a timeout."""
         while True:
-            self._send(address, ask.build(key, self._core.now()))
-            message = await _take(inbox, _ANSWER_S)
+            self._send(address, group_request.build(key, self._core.now()))
+            message = await _receive_within(inbox, _ANSWER_S)
             if isinstance(message, Queued):
-                message = await _take(inbox, _AGAIN_S)
+                message = await _receive_within(inbox, _RESEND_S)
                 if message is None or isinstance(message, Queued):
                     continue
             return message
 
-    def _name(self, call: Call) -> str:
-        """Return a key that no other message of any instance has."""
+    def _make_key(self, call: Call) -> str:
+        """Return a key that is unique in the fleet."""
         instance = self._core.settings.name
         number = str(next(self._numbers))
         return '/'.join((call.ask.identity, instance, number))
 
-    def _judge(
+    def _record_outcome(
         self,
-        ask: '_Ask',
+        group_request: '_GroupRequest',
         scheduler: str,
         answer: Answer | None,
         waited_s: float,
@@ -204,9 +220,9 @@
         metrics.QUEUE_SECONDS.observe(waited_s)
         journal.write_decision(
             'scheduled',
-            request=ask.call.ask.identity,
+            request=group_request.call.ask.identity,
             scheduler=scheduler,
-            group=ask.group,
+            group=group_request.group,
             outcome=type(answer).__name__ if answer else 'silent',
             waited_s=journal.round_seconds(waited_s),
         )
@@ -219,14 +235,14 @@
 
     def _accept(
         self,
-        ask: '_Ask',
+        group_request: '_GroupRequest',
         assignment: Assignment,
         scheduler: str,
     ) -> Maybe[Result[ScheduledGrant, Problem]]:
-        """Take the engines, unless this instance knows that one is gone."""
+        """Accept the engines, unless one is not usable for this instance."""
         address = self._find_address(scheduler)
         now = self._core.now()
-        usable = self._core.list_usable(ask.call.service.name, now)
+        usable = self._core.list_usable(group_request.call.service.name, now)
         by_name = {one.name: one for one in usable}
         decode = by_name.get(assignment.decode)
         prefill = by_name.get(assignment.prefill)
@@ -238,20 +254,20 @@
             decode,
             assignment.missing,
             assignment.wait_s,
-            f'{ask.group} {assignment.reason}',
+            f'{group_request.group} {assignment.reason}',
             assignment.ahead_s,
         )
         flight = self._core.placement.ledger.open(
             (prefill or decode).name,
             Totals(reading=assignment.missing),
         )
-        contact = AssignmentChannel(self._send, address, assignment.key)
-        return Some(Success(ScheduledGrant(self._core, plan, flight, contact)))
+        channel = AssignmentChannel(self._send, address, assignment.key)
+        return Some(Success(ScheduledGrant(self._core, plan, flight, channel)))
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class _Ask:
-    """A request and the group that it would go to."""
+class _GroupRequest:
+    """A request for engines of one group."""
 
     call: Call
     wanted: PlacementRequest
@@ -259,7 +275,7 @@
     group: str
 
     def build(self, key: str, now: float) -> ScheduleRequest:
-        """Return the message, with the times that are left by now."""
+        """Return the message to a scheduler, with the remaining times."""
         call = self.call
         return ScheduleRequest(
             key=key,
@@ -277,11 +293,11 @@
         )
 
 
-async def _take(
+async def _receive_within(
     inbox: asyncio.Queue[Queued | Answer],
     within_s: float,
 ) -> Queued | Answer | None:
-    """Return the next message, None if there is none in time."""
+    """Return the next message, None on a timeout."""
     with contextlib.suppress(TimeoutError):
         async with asyncio.timeout(within_s):
             return await inbox.get()
@@ -291,7 +307,10 @@
 def _read_rejection(
     rejection: Rejection,
 ) -> Maybe[Result[ScheduledGrant, Problem]]:
-    """Return the problem; Nothing for what this instance may know better."""
+    """Return the problem of an overload, Nothing for other rejections.
+
+    Other rejections may be due to outdated state of the scheduler.
+    """
     if rejection.kind != ErrorKind.OVERLOADED.value:
         return Nothing
     problem = Problem(
