--- a/packages/verbenahall/src/verbenahall/gateway/_scheduler.py
+++ b/packages/verbenahall/src/verbenahall/gateway/_scheduler.py
@@ -1,4 +1,4 @@
-"""Schedules groups of engines for the instances that ask this one."""
+"""Schedules groups of engines for requests of all instances."""
 
 import asyncio
 import dataclasses
@@ -34,20 +34,20 @@
     receive,
 )
 
-#: How often the queues are looked at beside the ends of prefills, in seconds:
-#: what waits in vain is told so.
-_LOOK_S: Final = 0.02
-#: Shortest time between two looks at a queue, in seconds.
-_PAUSE_S: Final = 0.005
-#: How often assignments without an end are looked for, in seconds.
+#: Interval at which queues are processed without an event, in seconds, so that
+#: requests that cannot be served in time are rejected.
+_QUEUE_INTERVAL_S: Final = 0.02
+#: Shortest time between two runs over a queue, in seconds.
+_MIN_QUEUE_INTERVAL_S: Final = 0.005
+#: Interval at which assignments without a release are expired, in seconds.
 _EXPIRE_S: Final = 0.5
 
 _Scope = tuple[str, str]
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class _Due:
-    """The next look at a queue."""
+class _QueueRun:
+    """The next run over a queue, and its timer."""
 
     at: float
     timer: asyncio.TimerHandle
@@ -55,13 +55,13 @@
 
 @final
 class Scheduler:
-    """The groups that this instance schedules, by service and group."""
+    """Schedules engine groups; the state is kept by service and group."""
 
     __slots__ = (
         'stopping',
         '_core',
-        '_due',
-        '_looked_at',
+        '_next_runs',
+        '_processed_at',
         '_send',
         '_states',
     )
@@ -71,24 +71,24 @@
         core: Core,
         send: Callable[[str, Message], None],
     ) -> None:
-        """Answer by ``send``; ``stopping`` tells when nothing new is taken."""
+        """Answer by ``send``; while ``stopping`` returns True, decline all."""
         self.stopping: Callable[[], bool] = bool
         self._core = core
         self._send = send
         self._states: dict[_Scope, SchedulerState] = {}
-        self._looked_at: dict[_Scope, float] = {}
-        self._due: dict[_Scope, _Due] = {}
+        self._processed_at: dict[_Scope, float] = {}
+        self._next_runs: dict[_Scope, _QueueRun] = {}
 
     async def run(self) -> None:
-        """Forget what has no end, until cancelled."""
+        """Expire assignments without a release, until cancelled."""
         while True:
             await asyncio.sleep(_EXPIRE_S)
             now = self._core.now()
             for state in self._states.values():
                 expire(state, now)
 
-    def take(self, request: ScheduleRequest, caller: str) -> None:
-        """Take a request from the instance at an address."""
+    def receive_request(self, request: ScheduleRequest, caller: str) -> None:
+        """Schedule a request of the instance at an address."""
         service = self._list_services().get(request.service)
         if service is None or self.stopping():
             self._send(caller, Declined(request.key))
@@ -97,17 +97,20 @@
         state = self._find_state(scope)
         now = self._core.now()
         fleet = self._describe_fleet(state, service, request.group)
-        self._answer(
+        self._send_replies(
             receive(state, request, caller, fleet, now, self._core.random),
             state,
         )
-        self._look_soon(scope)
+        self._schedule_run(scope)
 
-    def note(self, progress: Prefilled | FirstEvent | Released) -> None:
-        """Note how an assignment goes, and let others have its place."""
+    def receive_progress(
+        self,
+        progress: Prefilled | FirstEvent | Released,
+    ) -> None:
+        """Record the progress of an assignment, and reuse what it releases."""
         for scope, state in self._states.items():
             if progress.key in state.assigned or progress.key in state.waiting:
-                self._note(scope, state, progress)
+                self._record_progress(scope, state, progress)
                 return
 
     def _find_state(self, scope: _Scope) -> SchedulerState:
@@ -118,7 +121,7 @@
             self._states[scope] = state
         return state
 
-    def _note(
+    def _record_progress(
         self,
         scope: _Scope,
         state: SchedulerState,
@@ -131,39 +134,40 @@
         note(state, progress, service, now)
         if isinstance(progress, Released) and progress.refused:
             self._core.standings.note_refusal(progress.refused, now)
-        self._look_soon(scope)
+        self._schedule_run(scope)
 
-    def _look_soon(self, scope: _Scope, within_s: float = 0) -> None:
-        """Look at a queue once for all that comes until then.
+    def _schedule_run(self, scope: _Scope, within_s: float = 0) -> None:
+        """Schedule one run over a queue for all messages until then.
 
-        A look costs about a millisecond. One for each datagram took all of a
-        processor at the worst load, and answers came too late to be heard.
+        A run costs about a millisecond. One run per datagram took a whole
+        processor core at the highest load, and answers came after their
+        timeout.
         """
         if not self._states[scope].queue.waiting:
             return
         now = self._core.now()
-        last_at = self._looked_at.get(scope, now - _PAUSE_S)
-        look_at = max(now + within_s, last_at + _PAUSE_S)
-        due = self._due.get(scope)
-        if due is not None and due.at <= look_at:
+        last_at = self._processed_at.get(scope, now - _MIN_QUEUE_INTERVAL_S)
+        run_at = max(now + within_s, last_at + _MIN_QUEUE_INTERVAL_S)
+        scheduled = self._next_runs.get(scope)
+        if scheduled is not None and scheduled.at <= run_at:
             return
-        if due is not None:
-            due.timer.cancel()
+        if scheduled is not None:
+            scheduled.timer.cancel()
         loop = asyncio.get_running_loop()
-        timer = loop.call_later(look_at - now, self._look, scope)
-        self._due[scope] = _Due(look_at, timer)
+        timer = loop.call_later(run_at - now, self._process_queue, scope)
+        self._next_runs[scope] = _QueueRun(run_at, timer)
 
-    def _look(self, scope: _Scope) -> None:
-        self._due.pop(scope)
+    def _process_queue(self, scope: _Scope) -> None:
+        self._next_runs.pop(scope)
         state = self._states[scope]
         service = self._list_services().get(scope[0])
         if service is None:
             return
         now = self._core.now()
-        self._looked_at[scope] = now
+        self._processed_at[scope] = now
         fleet = self._describe_fleet(state, service, scope[1])
-        self._answer(look(state, fleet, now, self._core.random), state)
-        self._look_soon(scope, _LOOK_S)
+        self._send_replies(look(state, fleet, now, self._core.random), state)
+        self._schedule_run(scope, _QUEUE_INTERVAL_S)
 
     def _describe_fleet(
         self,
@@ -189,18 +193,22 @@
             if service.engine
         }
 
-    def _answer(self, replies: Iterable[Reply], state: SchedulerState) -> None:
+    def _send_replies(
+        self,
+        replies: Iterable[Reply],
+        state: SchedulerState,
+    ) -> None:
         for reply in replies:
-            self._tell(reply.message, state)
+            self._log_reply(reply.message, state)
             self._send(reply.caller, reply.message)
 
-    def _tell(self, message: Message, state: SchedulerState) -> None:
-        """Write a line for each decision, with the load that led to it."""
+    def _log_reply(self, message: Message, state: SchedulerState) -> None:
+        """Log a decision with the load that it was based on."""
         match message:
             case Assignment():
                 journal.write_decision(
                     'assigned',
-                    request=_read_identity(message.key),
+                    request=_read_request_id(message.key),
                     prefill=message.prefill,
                     decode=message.decode,
                     ahead_s=journal.round_seconds(message.ahead_s),
@@ -212,7 +220,7 @@
             case Rejection():
                 journal.write_decision(
                     'rejected',
-                    request=_read_identity(message.key),
+                    request=_read_request_id(message.key),
                     reason=message.message,
                     retry_after_s=journal.round_seconds(message.retry_after_s),
                     waiting=len(state.queue.waiting),
@@ -220,27 +228,30 @@
                 )
 
 
-def _read_identity(key: str) -> str:
-    """Return the caller's identity of a request, with which its key begins."""
+def _read_request_id(key: str) -> str:
+    """Return the caller's request id, with which a key begins."""
     return key.rsplit('/', 2)[0]
 
 
 @final
 class Scheduling:
-    """Carries messages between this instance and schedulers, its own too."""
+    """Carries messages between schedulers and their clients.
+
+    Both the local scheduler and those of the peers are addressed by it.
+    """
 
-    __slots__ = ('assignments', 'scheduler', '_exchange', '_own')
+    __slots__ = ('assignments', 'scheduler', '_exchange', '_local_address')
 
     def __init__(self, core: Core, exchange: PeerExchange) -> None:
-        """Speak through the exchange between peers."""
-        self._own = core.settings.peer_address
+        """Send and receive datagrams by the exchange between peers."""
+        self._local_address = core.settings.peer_address
         self._exchange = exchange
         self.assignments = Assignments(core, self.send)
         self.scheduler = Scheduler(core, self.send)
         exchange.hear_other = self.receive_datagram
 
     def receive_datagram(self, datagram: bytes, sender: str) -> bool:
-        """Take a datagram; False when it is of another kind."""
+        """Dispatch a datagram; return False if it is of another kind."""
         match decode(datagram):
             case Some(message):
                 self._dispatch(message, sender)
@@ -249,8 +260,8 @@
                 return False
 
     def send(self, address: str, message: Message) -> None:
-        """Send a message; this instance's own ones need no datagram."""
-        if address == self._own:
+        """Send a message; one to this instance needs no datagram."""
+        if address == self._local_address:
             loop = asyncio.get_running_loop()
             loop.call_soon(self._dispatch, message, address)
         else:
@@ -259,8 +270,8 @@
     def _dispatch(self, message: Message, sender: str) -> None:
         match message:
             case ScheduleRequest():
-                self.scheduler.take(message, sender)
+                self.scheduler.receive_request(message, sender)
             case Prefilled() | FirstEvent() | Released():
-                self.scheduler.note(message)
+                self.scheduler.receive_progress(message)
             case Queued() | Assignment() | Rejection() | Declined():
                 self.assignments.receive(message, sender)
