--- a/packages/verbenahall/tests/peers/test_arrivals.py
+++ b/packages/verbenahall/tests/peers/test_arrivals.py
@@ -1,4 +1,4 @@
-"""How old what a peer tells of the store is, by the hearer's own clock."""
+"""Age of what a peer reports of the store, by the receiver's own clock."""
 
 from returns.maybe import Nothing, Some
 
@@ -18,59 +18,61 @@
 TOPIC = 'keyed.servers'
 
 
-def make_word(age_s=0.5):
-    """Return a follower's word."""
+def make_heartbeat(age_s=0.5):
+    """Return a heartbeat of an instance that follows the topic."""
     return Heartbeat('front-2', 1, {}, followed={TOPIC: 7}, ages={TOPIC: age_s})
 
 
 def make_book(confirmed):
-    """Return a book with one peer that has told this."""
+    """Return a peer table with one peer that has reported this."""
     book = PeerBook('front-1')
     greet(book, 'front-2', '10.0.0.2:7380')
     hear(book, 'front-2', 1, 10, {TOPIC: 7}, {TOPIC: confirmed})
     return book
 
 
-def test_ages_survive_the_wire():
-    assert decode_message(encode_heartbeat(make_word())) == Some(make_word())
+def test_ages_are_encoded_and_decoded():
+    assert decode_message(encode_heartbeat(make_heartbeat())) == Some(
+        make_heartbeat()
+    )
 
 
-def test_word_with_an_odd_age_is_none():
-    """A peer of another version writes what is no age."""
-    datagram = encode_heartbeat(make_word())
+def test_heartbeat_with_an_invalid_age_is_rejected():
+    """A peer of another version sends ages that are not numbers."""
+    datagram = encode_heartbeat(make_heartbeat())
     assert decode_message(datagram.replace(b'0.5', b'"x"')) is Nothing
     assert decode_message(datagram.replace(b'0.5', b'null')) is Nothing
 
 
-def test_word_of_an_earlier_version_confirms_nothing():
-    """A release replaces instances one by one; the old ones tell no age."""
-    word = Heartbeat('front-2', 1, {}, followed={TOPIC: 7})
-    assert not ArrivalClock(0.1).find_confirmations(word)
+def test_heartbeat_of_an_earlier_version_confirms_nothing():
+    """A release replaces instances one by one; the old ones send no ages."""
+    heartbeat = Heartbeat('front-2', 1, {}, followed={TOPIC: 7})
+    assert not ArrivalClock(0.1).find_confirmations(heartbeat)
 
 
-def test_age_counts_from_the_store_and_not_from_the_hearing():
-    """A heartbeat in time would otherwise make an old list look new."""
+def test_age_counts_from_the_confirmation_and_not_from_the_arrival():
+    """Otherwise a recent heartbeat would make an old list look new."""
     clock = ArrivalClock(0.1)
     for tick in (9.9, 10.0):
         clock.record_tick(tick)
-    assert clock.find_confirmations(make_word(0.5)) == {
-        TOPIC: ConfirmedOffset(7, 9.4)
+    assert clock.find_confirmations(make_heartbeat(0.5)) == {
+        TOPIC: ConfirmedOffset(7, 9.4),
     }
 
 
-def test_word_that_waited_for_a_stalled_process_is_old():
-    """A frozen process reads, once it goes on, what came long before."""
+def test_heartbeat_that_waited_for_a_stalled_process_is_old():
+    """A frozen process resumes and reads datagrams that arrived long before."""
     clock = ArrivalClock(0.1)
     for tick in (9.9, 10.0, 15.0):
         clock.record_tick(tick)
-    assert clock.find_confirmations(make_word(0.5)) == {
-        TOPIC: ConfirmedOffset(7, 9.5)
+    assert clock.find_confirmations(make_heartbeat(0.5)) == {
+        TOPIC: ConfirmedOffset(7, 9.5),
     }
     assert journal.recent[-1]['event'] == 'stalled'
 
 
-def test_place_that_is_not_reached_is_not_confirmed():
-    """News of a change got lost: what the peer knows is not known here."""
+def test_offset_before_the_confirmed_one_is_not_confirmed():
+    """An update got lost: the peer has read records that are missing here."""
     book = make_book(ConfirmedOffset(7, 9))
     assert find_confirmed_at(book, TOPIC, 6) == -float('inf')
     assert find_confirmed_at(book, TOPIC, 7) == 9
