--- a/packages/verbenahall/tests/peers/test_peers.py
+++ b/packages/verbenahall/tests/peers/test_peers.py
@@ -1,4 +1,4 @@
-"""Instances hear each other's open work, and are told at a bounded rate."""
+"""Instances exchange their open work in heartbeats at a bounded rate."""
 
 import pytest
 from returns.maybe import Nothing, Some
@@ -16,21 +16,21 @@
 from verbenahall.placement import Ledger, Totals
 
 
-def test_word_survives_the_wire():
-    word = Heartbeat(
+def test_heartbeat_is_encoded_and_decoded():
+    heartbeat = Heartbeat(
         'front-1',
         7,
         {'engine-1': Totals(5, 600, 2)},
         followed={'keyed.op': 4},
     )
-    assert decode_message(encode_heartbeat(word)) == Some(word)
+    assert decode_message(encode_heartbeat(heartbeat)) == Some(heartbeat)
 
 
 @pytest.mark.parametrize(
     'datagram',
     [b'', b'\xff\xfe', b'[]', b'{"from":"a"}', b'{"from":"a","n":1,"load":3}'],
 )
-def test_other_datagrams_are_no_words(datagram):
+def test_other_datagrams_are_rejected(datagram):
     assert decode_message(datagram) is Nothing
 
 
@@ -47,10 +47,10 @@
         b'"followed":[]',
     ],
 )
-def test_word_with_an_odd_field_is_no_word(field):
-    # An instance of another version sends a field of another form. Raised in
-    # the receiving socket's callback, the error would end up in no line of
-    # ours, with half of the word believed.
+def test_heartbeat_with_an_invalid_field_is_rejected(field):
+    # An instance of another version sends a field of another type. If the
+    # error were raised in the socket's callback, it would be missing from the
+    # decision log, and half of the heartbeat would have been applied.
     given = field.split(b':')[0]
     others = (
         b'"load":{}',
@@ -64,10 +64,10 @@
     assert decode_message(datagram) is Nothing
 
 
-def test_known_peer_moves_when_no_more_are_remembered(monkeypatch):
-    # As many peers as are remembered are known, and the machine of one is
-    # replaced. Told at its old address, it would never hear this instance
-    # again.
+def test_known_peer_gets_its_new_address_in_a_full_table(monkeypatch):
+    # The table of peers is full, and the machine of one of them is replaced.
+    # If its address were not updated, it would never get a heartbeat of this
+    # instance again.
     monkeypatch.setattr(state, '_MAX_PEERS', 1)
     book = PeerBook('front-1')
     greet(book, 'front-2', '10.0.0.2:7380')
@@ -76,18 +76,18 @@
     assert list(choose_due(book, 0)) == ['10.0.0.9:7380']
 
 
-def test_overtaken_word_is_dropped():
-    # Two datagrams swap places on the way. Believing the older one, an
-    # instance thinks an engine idle that has just been given a long prompt.
+def test_reordered_heartbeat_is_dropped():
+    # Two datagrams arrive in the wrong order. By the older one an engine that
+    # has just been given a long prompt would count as idle.
     book = PeerBook('front-1')
     greet(book, 'front-2', '10.0.0.2:7380')
     assert hear(book, 'front-2', 5, 1)
     assert not hear(book, 'front-2', 4, 1.1)
 
 
-def test_restarted_peer_is_heard_again():
-    # A peer starts again and counts from zero. Held against its old count it
-    # would not be heard for as long as it had run before.
+def test_heartbeats_of_a_restarted_peer_are_accepted():
+    # A peer is restarted and numbers its heartbeats from zero. Compared with
+    # the old numbers, they would be dropped for as long as it had run before.
     book = PeerBook('front-1')
     greet(book, 'front-2', '10.0.0.2:7380')
     hear(book, 'front-2', 500, 1)
@@ -101,25 +101,26 @@
     assert not book.peers
 
 
-def test_replaced_machine_is_told_at_its_new_address():
+def test_replaced_machine_gets_heartbeats_at_its_new_address():
     book = PeerBook('front-1')
     greet(book, 'front-2', '10.0.0.2:7380')
     greet(book, 'front-2', '10.0.0.9:7380')
     assert list(choose_due(book, 0)) == ['10.0.0.9:7380']
 
 
-def test_silent_peer_is_told_seldom():
-    # A machine is gone for good. Told as often as the others it would cost
-    # datagrams for ever; never told, it could not be found again after a cut.
+def test_silent_peer_gets_few_heartbeats():
+    # A machine is gone for good. At the full rate its heartbeats would be
+    # wasted for ever; without any, a peer could not be rediscovered after a
+    # network partition.
     book = PeerBook('front-1')
     greet(book, 'gone', '10.0.0.2:7380')
     greet(book, 'there', '10.0.0.3:7380')
-    told = []
+    sent = []
     for tick in range(100):
         hear(book, 'there', tick + 1, tick / 10)
-        told.extend(choose_due(book, tick / 10))
-    assert told.count('10.0.0.2:7380') <= 6
-    assert told.count('10.0.0.3:7380') >= 80
+        sent.extend(choose_due(book, tick / 10))
+    assert sent.count('10.0.0.2:7380') <= 6
+    assert sent.count('10.0.0.3:7380') >= 80
 
 
 def test_rate_is_bounded_with_many_peers():
@@ -127,17 +128,17 @@
     for number in range(90):
         greet(book, f'p{number}', f'10.0.0.{number}:7380')
         hear(book, f'p{number}', 0, 0)
-    told = 0
+    sent = 0
     for tick in range(1, 21):
         for number in range(90):
             hear(book, f'p{number}', tick, tick / 10)
-        told += len(list(choose_due(book, tick / 10)))
-    assert told <= 90 * 5
+        sent += len(list(choose_due(book, tick / 10)))
+    assert sent <= 90 * 5
 
 
-def test_silent_peers_word_is_forgotten():
-    # An instance is killed with much work open. Its last word would keep
-    # engines looking busy that have long been idle.
+def test_load_of_a_silent_peer_is_dropped():
+    # An instance is killed with much work open. By its last heartbeat, engines
+    # that have long been idle would still count as busy.
     ledger = Ledger()
     ledger.hear('front-2', {'engine-1': Totals(9000)}, now=1)
     assert ledger.totals('engine-1').reading == 9000
