--- a/packages/verbenahall/tests/peers/test_ranks.py
+++ b/packages/verbenahall/tests/peers/test_ranks.py
@@ -1,4 +1,4 @@
-"""Who does first what one instance has to do for all."""
+"""Ranks of the instances for a duty that one of them does for all."""
 
 import pytest
 
@@ -7,14 +7,14 @@
 CENTRES = ('ain', 'fes', 'sidi')
 
 
-def make_book(own, names, heard, now=10):
-    """Return what an instance knows and whom it hears."""
+def make_book(own, names, live, now=10):
+    """Return an instance's peer table with heartbeats of the live peers."""
     centre, _, _ = own.partition('-')
     book = PeerBook(own, centre)
     for number, name in enumerate(names):
         peer_centre, _, _ = name.partition('-')
         greet(book, name, f'10.0.0.{number}:7380', peer_centre)
-        if name in heard:
+        if name in live:
             hear(book, name, 1, now)
     return book
 
@@ -43,16 +43,17 @@
 
 @pytest.mark.parametrize('per_centre', [2, 20])
 def test_ranks_are_all_different(per_centre):
-    """In a large fleet the data centres do not hear each other.
+    """In a large fleet heartbeats stay within each data centre.
 
-    With a first instance in each, as many would order engines at once as
-    there are data centres, and read the lease for it three times a second.
+    If each data centre had an instance with rank 0, as many instances as
+    there are data centres would order engines at the same time, and read the
+    lease three times a second.
     """
     assert sorted(rank_all(per_centre)) == list(range(3 * per_centre))
 
 
-def test_silent_instance_stands_before_nobody():
-    """The first one of the own data centre died."""
+def test_silent_instance_is_left_out_of_the_ranking():
+    """The first-ranked instance of the local data centre dies."""
     names = [f'ain-{number}' for number in range(4)]
     ranks = {
         own: find_rank(make_book(own, names, names), 'roles', 10)
@@ -60,6 +61,6 @@
     }
     first = min(names, key=ranks.get)
     second = min(set(names) - {first}, key=ranks.get)
-    heard = set(names) - {first}
+    live = set(names) - {first}
 
-    assert find_rank(make_book(second, names, heard), 'roles', 10) == 0
+    assert find_rank(make_book(second, names, live), 'roles', 10) == 0
