--- a/packages/verbenahall/tests/peers/test_watchers.py
+++ b/packages/verbenahall/tests/peers/test_watchers.py
@@ -1,4 +1,4 @@
-"""Two of the instances that hear each other follow the store for the rest."""
+"""Two of the instances in contact follow the store for the others."""
 
 import base64
 import json
@@ -22,33 +22,33 @@
 from verbenahall.routing import rank_by_rendezvous
 
 TOPIC = 'keyed.servers'
-#: A record that no compression makes shorter.
+#: A record that doesn't compress.
 LONG = random.Random(1).randbytes(9000)
 NAMES = rank_by_rendezvous(TOPIC, [f'front-{n}' for n in range(5)])
 
 
-def make_book(name, words, now=10):
-    """Return a book that has heard words: name, what it follows."""
+def make_book(name, heartbeats, now=10):
+    """Return a peer table with heartbeats: name -> followed topics."""
     book = PeerBook(name)
-    for number, (peer, followed) in enumerate(words.items()):
+    for number, (peer, followed) in enumerate(heartbeats.items()):
         greet(book, peer, f'10.0.0.{number}:7380')
         hear(book, peer, 1, now, followed)
     return book
 
 
 def follow(*names):
-    """Return words of peers that are in touch with the store."""
+    """Return heartbeats of peers that follow the topic."""
     return {name: {TOPIC: 7} for name in names}
 
 
-def test_third_instance_is_relieved_by_the_two_before_it():
+def test_third_instance_is_covered_by_the_two_before_it():
     book = make_book(NAMES[2], follow(*NAMES[:2]))
     assert is_covered_by_peers(book, TOPIC, 10)
 
 
-def test_first_two_instances_follow_whoever_else_does():
-    # Were they relieved by those after them, and these by them, nobody would
-    # follow the store, and a setting would take hold nowhere.
+def test_first_two_instances_always_follow():
+    # If they relied on lower-ranked instances, and those on them, no instance
+    # would follow the store, and no change of a setting would take effect.
     for place in (0, 1):
         others = [name for name in NAMES if name != NAMES[place]]
         assert not is_covered_by_peers(
@@ -56,39 +56,45 @@
         )
 
 
-def test_watcher_that_falls_silent_is_made_up_for():
-    # A watcher is killed, frozen or cut off. Relying on it any longer, an
-    # instance would serve an old manifest for as long as it is away.
+def test_follower_that_falls_silent_is_replaced():
+    # A follower is killed, frozen or cut off. An instance that still relied on
+    # it would serve by an old manifest until the follower is back.
     book = make_book(NAMES[2], follow(*NAMES[:2]))
     hear(book, NAMES[0], 2, 11, {TOPIC: 7})
     assert not is_covered_by_peers(book, TOPIC, 11.5)
 
 
-def test_watcher_that_the_store_refuses_is_made_up_for():
-    # The store answers some machines and not others. A watcher that it does
-    # not answer is heard as well as ever, and learns of no change.
-    words = {**follow(NAMES[0]), NAMES[1]: {}}
-    assert not is_covered_by_peers(make_book(NAMES[2], words), TOPIC, 10)
+def test_follower_that_the_store_refuses_is_replaced():
+    # The store answers some machines and not others. A follower that gets no
+    # answers still sends heartbeats, but receives no changes.
+    heartbeats = {**follow(NAMES[0]), NAMES[1]: {}}
+    assert not is_covered_by_peers(make_book(NAMES[2], heartbeats), TOPIC, 10)
 
 
-def test_topics_are_followed_apart():
-    words = {name: {'keyed.op': 3} for name in NAMES[:2]}
-    assert not is_covered_by_peers(make_book(NAMES[2], words), TOPIC, 10)
+def test_each_topic_has_its_own_followers():
+    heartbeats = {name: {'keyed.op': 3} for name in NAMES[:2]}
+    assert not is_covered_by_peers(make_book(NAMES[2], heartbeats), TOPIC, 10)
 
 
-def test_furthest_is_told_by_those_in_touch():
-    words = {NAMES[0]: {TOPIC: 7}, NAMES[1]: {TOPIC: 9}, NAMES[3]: {}}
-    book = make_book(NAMES[2], words)
+def test_latest_offset_is_that_of_live_followers():
+    heartbeats = {NAMES[0]: {TOPIC: 7}, NAMES[1]: {TOPIC: 9}, NAMES[3]: {}}
+    book = make_book(NAMES[2], heartbeats)
     assert find_latest_offset(book, TOPIC, 10) == 9
     assert find_latest_offset(book, TOPIC, 12) == 0
 
 
-def test_news_survive_the_wire():
-    news = TopicUpdate(TOPIC, 4, [b'\x03i-1{}', b'\xff'], 6, after_outage=True)
-    assert decode_message(encode_update(news)) == Some(news)
+def test_update_is_encoded_and_decoded():
+    update = TopicUpdate(
+        TOPIC,
+        4,
+        [b'\x03i-1{}', b'\xff'],
+        6,
+        after_outage=True,
+    )
+    assert decode_message(encode_update(update)) == Some(update)
 
 
-def test_news_are_split_to_fit_datagrams():
+def test_update_is_split_to_fit_datagrams():
     source = random.Random(2)
     records = [source.randbytes(300) for _ in range(8)]
     parts = split_update(TopicUpdate(TOPIC, 5, records, 13))
@@ -99,17 +105,17 @@
     assert parts[-1].end == 13
 
 
-def test_record_that_fits_no_datagram_is_told_by_its_end():
+def test_record_that_fits_no_datagram_is_counted_in_the_end():
     parts = split_update(TopicUpdate(TOPIC, 5, [b'a', LONG, b'c'], 8))
     assert [list(part.records) for part in parts] == [[b'a'], [], [b'c']]
     assert [part.end for part in parts] == [6, 7, 8]
 
 
-def test_manifest_is_told_whole():
+def test_manifest_is_sent_whole():
     """The operators change a manifest of some kilobytes.
 
-    Told only that there is a new one, each instance of a large fleet would
-    read it from the store.
+    If peers were only informed of the new offset, each instance of a large
+    fleet would read the manifest from the store.
     """
     manifest = random.Random(3).randbytes(4000)
     parts = split_update(TopicUpdate(TOPIC, 5, [b'a', manifest, b'c'], 8))
@@ -131,25 +137,25 @@
         b'{"topic":"t","start":1,"records":[],"end":2}',
     ],
 )
-def test_odd_news_are_none(datagram):
-    # Another version's news, taken in part, would skip records: the place of
-    # the next one would be wrong from then on.
+def test_invalid_update_is_rejected(datagram):
+    # An update of another version that is applied in part would skip records:
+    # the next offset would be wrong from then on.
     assert decode_message(datagram) is Nothing
 
 
 def pack(framed):
-    """Return a datagram of news with records framed by hand."""
+    """Return an update as a datagram, with records framed by the caller."""
     records = base64.b64encode(zlib.compress(framed)).decode()
     table = {'topic': 't', 'start': 1, 'end': 2, 'cut': False}
     return json.dumps({**table, 'records': records}).encode()
 
 
-def test_record_that_is_cut_short_is_no_news():
+def test_update_with_a_truncated_record_is_rejected():
     assert decode_message(pack(b'\0\0\0\x05abc')) is Nothing
 
 
-def test_datagram_that_would_fill_the_memory_is_no_news():
-    """A broken or hostile datagram unpacks to a thousand times its size."""
+def test_datagram_that_decompresses_to_too_much_is_rejected():
+    """A broken or hostile datagram grows a thousandfold when decompressed."""
     assert decode_message(pack(bytes(50_000_000))) is Nothing
 
 
@@ -172,11 +178,11 @@
     return b'\x0ci-%010x' % (number * 7919) + json.dumps(entry).encode()
 
 
-def test_engines_that_start_together_are_few_datagrams():
+def test_engines_that_start_together_take_few_datagrams():
     """A large fleet starts, and forty engines are listed within a second.
 
-    Followers tell each peer of all of them. In ten datagrams for each they
-    filled the link, got lost, and every peer read them from the store.
+    Followers send all of them to each peer. In ten datagrams per peer they
+    saturated the link, got lost, and every peer read them from the store.
     """
     records = [make_entry(number) for number in range(40)]
     parts = split_update(TopicUpdate(TOPIC, 0, records, 40))
