--- a/packages/verbenahall/tests/gateway/test_news.py
+++ b/packages/verbenahall/tests/gateway/test_news.py
@@ -1,4 +1,4 @@
-"""Several instances follow the store together and lose no change."""
+"""Instances share the changes that two of them read from the store."""
 
 import asyncio
 import contextlib
@@ -22,14 +22,14 @@
             for name in NAMES[1:]
         ]
         desks = [first, *others]
-        await first.until(lambda: len(find_watchers(desks)) == 2)
-        # The last polls of the others end.
+        await first.until(lambda: len(find_followers(desks)) == 2)
+        # The last polls of the other instances end in this time.
         await asyncio.sleep(1.1)
         yield desks
 
 
-def find_watchers(desks):
-    """Return the instances that follow the manifest at the store."""
+def find_followers(desks):
+    """Return the instances that poll the store for the manifest."""
     return [
         desk
         for desk in desks
@@ -38,12 +38,12 @@
 
 
 def has_version(desk, version):
-    """Tell whether a manifest is in force."""
+    """Return whether a version of the manifest is in force."""
     return desk.gateway.core.catalog.catalog.version == version
 
 
 async def wait_version(desks, version, within_s):
-    """Wait until a manifest is in force on all."""
+    """Wait until a version of the manifest is in force on all instances."""
     await desks[0].until(
         lambda: all(has_version(desk, version) for desk in desks),
         within_s,
@@ -51,7 +51,7 @@
 
 
 async def wait_slots(desks, slots, within_s):
-    """Wait until all know the first endpoint's slots."""
+    """Wait until all instances have the first endpoint's slots."""
     rosters = [desk.gateway.core.roster for desk in desks]
     await desks[0].until(
         lambda: {one.seats['page-0'].entry.slots for one in rosters} == {slots},
@@ -60,8 +60,8 @@
 
 
 def test_change_reaches_all_and_costs_the_calls_of_two(tmp_path):
-    # Each call to the store has its price, and a change read by every one of
-    # 91 instances made 13,400 calls in 76 seconds.
+    # If all instances read each change from the store, 91 instances made
+    # 13,400 calls in 76 seconds.
     async def check():
         async with open_desks(tmp_path) as desks:
             site = desks[0].site
@@ -71,16 +71,16 @@
             await wait_version(desks, 2, 0.5)
             await wait_slots(desks, 5, 0.5)
             await asyncio.sleep(1)
-            # Two instances, two topics: the poll that the change ended, a
-            # short one after it, and those of the second.
+            # Two instances and two topics: the poll that the change ends, a
+            # short one after it, and the polls of the second instance.
             assert site.store.calls['/-/log-read'] - before <= 16
 
     run(check())
 
 
 def test_many_changes_at_once_cost_the_calls_of_two(tmp_path):
-    # A release lists many endpoints within a second. Were they too many for
-    # one datagram, every instance would read them all from the store.
+    # A release lists many endpoints within a second. If they did not fit into
+    # one datagram, every instance would read all of them from the store.
     async def check():
         async with open_desks(tmp_path) as desks:
             site = desks[0].site
@@ -88,15 +88,16 @@
             for number in range(16):
                 site.list_endpoint(site.plain[0], slots=number + 1)
             await wait_slots(desks, 16, 1.5)
-            # Polls of the two may end meanwhile; the other three make none.
+            # Polls of the two followers may end in this time; the other three
+            # instances make none.
             assert site.store.calls['/-/log-read'] - before <= 2
 
     run(check())
 
 
-def test_news_that_get_lost_are_read_from_the_store(tmp_path):
-    # Datagrams get lost. An instance that waited for them would serve an old
-    # manifest until the next change.
+def test_lost_update_is_read_from_the_store(tmp_path):
+    # A datagram gets lost. An instance that only waited for it would serve by
+    # an old manifest until the next change.
     async def check():
         async with open_desks(tmp_path) as desks:
             for desk in desks:
@@ -116,30 +117,30 @@
     run(check())
 
 
-def test_watchers_that_vanish_together_are_made_up_for(tmp_path):
-    # Both instances that follow the store lose their machines at once, and
-    # the next change comes at that moment. It must be in force two seconds
-    # later on those that are left.
+def test_followers_that_fail_together_are_replaced(tmp_path):
+    # Both instances that follow the store lose their machines at the moment of
+    # a change. It must be in force two seconds later on the remaining ones.
     async def check():
         async with open_desks(tmp_path) as desks:
-            gone = find_watchers(desks)
-            left = [desk for desk in desks if desk not in gone]
+            gone = find_followers(desks)
+            remaining = [desk for desk in desks if desk not in gone]
             for desk in gone:
                 await desk.gateway.close()
             desks[0].site.publish()
-            await wait_version(left, 2, 2)
+            await wait_version(remaining, 2, 2)
 
     run(check())
 
 
-def test_history_that_is_gone_is_read_anew_by_all(tmp_path):
-    # The store has dropped the records between an instance's place and the
-    # news. Taken at their word, they would leave out what was dropped.
+def test_deleted_history_is_read_anew_by_all(tmp_path):
+    # The store has deleted the records between an instance's offset and those
+    # of an update. If the update were applied, the deleted changes would be
+    # missing.
     async def check():
         async with open_desks(tmp_path) as desks:
             site = desks[0].site
             site.store.faults.down = 503
-            await desks[0].until(lambda: not find_watchers(desks))
+            await desks[0].until(lambda: not find_followers(desks))
             site.publish()
             site.list_endpoint(site.plain[0], slots=6)
             site.list_endpoint(site.plain[1], slots=7)
@@ -151,31 +152,35 @@
     run(check())
 
 
-def delay_news(desk, seconds):
-    """Have what an instance hears of the store come later than the words."""
+def delay_updates(desk, seconds):
+    """Have updates reach an instance later than the heartbeats."""
     exchange = desk.gateway.finder.exchange
-    hear = exchange.on_update
+    receive = exchange.on_update
     loop = asyncio.get_running_loop()
-    exchange.on_update = lambda news: loop.call_later(seconds, hear, news)
+    exchange.on_update = lambda update: loop.call_later(
+        seconds,
+        receive,
+        update,
+    )
 
 
-def test_news_that_come_after_the_word_are_waited_for(tmp_path):
-    """A peer's word tells of a change, and its news are still on their way.
+def test_update_that_comes_after_the_heartbeat_is_waited_for(tmp_path):
+    """A peer's heartbeat reports a change before its update arrives.
 
-    The links of a fleet that starts are full. Read by everybody at once, each
-    change would cost the store a call for each instance.
+    The network of a starting fleet is saturated. If all instances read the
+    change at once, it would cost the store a call for each instance.
     """
 
     async def check():
         async with open_desks(tmp_path) as desks:
             for desk in desks:
-                delay_news(desk, 0.25)
+                delay_updates(desk, 0.25)
             site = desks[0].site
             before = site.store.calls['/-/log-read']
             site.publish()
             await wait_version(desks, 2, 1)
-            # The two that follow the store make about two calls a second for
-            # each of two topics.
+            # The two followers make about two calls a second for each of the
+            # two topics.
             assert site.store.calls['/-/log-read'] - before <= 8
 
     run(check())
