--- a/packages/verbenahall/tests/gateway/test_store.py
+++ b/packages/verbenahall/tests/gateway/test_store.py
@@ -1,4 +1,4 @@
-"""The store is away, forgets, repeats itself, or says what cannot be read."""
+"""The store is unreachable, loses history, or returns invalid records."""
 
 import asyncio
 import socket
@@ -33,8 +33,8 @@
 
 
 def test_unreadable_manifest_leaves_the_last_one_in_force(tmp_path):
-    # A manifest arrives that cannot be read. Taken in part, it would answer
-    # 404 to callers whose route it has dropped.
+    # A manifest arrives that cannot be decoded. If it were applied in part,
+    # callers of the routes that are missing from it would get a 404.
     async def check():
         async with open_desk(tmp_path, plain=make_plain(1)) as desk:
             desk.site.publish(routes=[{'name': 'half'}])
@@ -74,8 +74,8 @@
     tmp_path,
     content,
 ):
-    # Another writer puts an entry that cannot be read. Requests must neither
-    # go there nor fail for it.
+    # Another writer adds an entry that cannot be decoded. Requests must neither
+    # be sent there nor fail because of it.
     async def check():
         async with open_desk(tmp_path, plain=make_plain(1)) as desk:
             desk.site.store.put('keyed.servers', 'odd', content)
@@ -87,9 +87,9 @@
 
 
 def test_listed_endpoint_outlives_an_entry_that_cannot_be_read(tmp_path):
-    # An endpoint's entry is overwritten with one that cannot be read, and the
-    # store's history is cut, so the list is read whole. The endpoint is still
-    # listed and answers; taken out, its callers would be refused.
+    # An endpoint's entry is overwritten with one that cannot be decoded, and
+    # the store deletes history, so the list is read whole. The endpoint is
+    # still listed and answers; if it were removed, callers would be refused.
     async def check():
         async with open_desk(tmp_path, plain=make_plain(1)) as desk:
             store = desk.site.store
@@ -100,15 +100,16 @@
             store.forget('keyed.servers')
             store.faults.down = 0
             await desk.until(lambda: desk.decisions('endpoint_unreadable'))
-            # Longer than a lapsed endpoint is kept.
+            # Longer than an endpoint without an entry is kept.
             await asyncio.sleep(2)
             assert (await desk.ask('/archive/1', method='GET'))[0] == 200
 
     run(check())
 
 
-def test_requests_are_served_while_the_store_is_away(tmp_path):
-    # The store is down for minutes. What was known of it serves on.
+def test_requests_are_served_while_the_store_is_down(tmp_path):
+    # The store is down for minutes. Requests are served by the last known
+    # state.
     async def check():
         async with open_desk(tmp_path, plain=make_plain(1)) as desk:
             desk.site.store.faults.down = 503
@@ -123,8 +124,8 @@
 
 
 def test_lost_history_is_read_anew(tmp_path):
-    # The store drops the records that this instance has yet to read. Polling
-    # on for them it would never learn of another change.
+    # The store deletes records that this instance has not read yet. If it kept
+    # polling for them, it would never receive another change.
     async def check():
         async with open_desk(tmp_path, plain=make_plain(1)) as desk:
             store = desk.site.store
@@ -144,9 +145,9 @@
     tmp_path,
     monkeypatch,
 ):
-    # A poll arrives while a record is on its way in and is not woken by it.
-    # Of two engines that changed roles together, one was sent work for the
-    # old role until the poll had ended by itself.
+    # A poll arrives while a record is being appended, and is not woken by it.
+    # Of two engines that changed roles together, one was sent work for its old
+    # role until the poll timed out.
     async def check():
         engines = make_engines()
         async with open_desk(tmp_path, engines) as desk:
@@ -181,8 +182,9 @@
 
 
 def test_engines_get_the_planned_roles_under_one_lease(tmp_path):
-    # Three instances see that too many engines generate. Ordered by all, an
-    # engine would hold conflicting orders; each order needs the one lease.
+    # Three instances see that too many engines decode. If all of them ordered
+    # changes, an engine would get conflicting orders; so each order needs the
+    # one lease.
     async def check():
         engines = [EngineStandIn(f'e{n}', 'decode') for n in range(3)]
         async with open_desk(tmp_path, engines) as one:
@@ -202,9 +204,9 @@
 def test_instance_cut_off_without_engines_sends_its_callers_elsewhere(
     tmp_path,
 ):
-    # A data centre is cut off and its side has no engine that generates.
-    # Ready, its instances refuse their callers for as long as the cut lasts,
-    # though the instances on the other side could serve them.
+    # A data centre is cut off and has no decode engine on its side. If its
+    # instances stayed ready, they would refuse their callers for as long as
+    # the partition lasts, though instances on the other side could serve them.
     async def check():
         async with open_desk(tmp_path, make_engines()) as desk:
             gateway = desk.gateway
@@ -224,8 +226,8 @@
 
 
 def test_instance_stays_ready_when_engines_fail_for_everybody(tmp_path):
-    # All engines have crashed. The other instances could do no better, and
-    # with none of them ready the balancer would have nowhere to go.
+    # All engines have crashed. The other instances can't serve requests either,
+    # and if none were ready the balancer would have no instance left.
     async def check():
         async with open_desk(tmp_path, make_engines()) as desk:
             gateway = desk.gateway
@@ -247,9 +249,9 @@
 
 
 def test_poll_that_the_store_swallowed_is_given_up_in_time(tmp_path):
-    # The store is silent for a moment, and a poll that reaches it then is
-    # never answered. Waiting for its end, an instance served by an old
-    # manifest for seconds after the store was back.
+    # The store is unresponsive for a moment, and a poll that arrives then is
+    # never answered. While it waited for the poll to time out, an instance
+    # served by an old manifest for seconds after the store had recovered.
     async def check():
         async with open_desk(tmp_path, plain=make_plain(1)) as desk:
             state = desk.gateway.core.catalog
@@ -265,9 +267,9 @@
     run(check())
 
 
-def test_what_was_learned_of_a_gone_endpoint_is_forgotten(tmp_path):
-    # Endpoints are replaced all day, each under a new name. What is kept of
-    # each would fill the instance's memory until it is killed.
+def test_state_of_an_unlisted_endpoint_is_removed(tmp_path):
+    # Endpoints are replaced all day, each under a new name. If their state
+    # were kept, the instance would run out of memory and be killed.
     async def check():
         async with open_desk(tmp_path, make_engines()) as desk:
             core = desk.gateway.core
@@ -284,7 +286,7 @@
 
 
 def test_process_that_stood_still_asks_for_the_manifest_first(tmp_path):
-    """A route is taken away while the process stands still."""
+    """A route is removed while the process is stalled."""
 
     async def check():
         async with open_desk(tmp_path, plain=make_plain()) as desk:
