--- a/packages/verbenahall/tests/gateway/test_scheduling.py
+++ b/packages/verbenahall/tests/gateway/test_scheduling.py
@@ -1,4 +1,4 @@
-"""Instances of a large fleet ask a scheduler, and do without it."""
+"""Instances of a large fleet use schedulers, and work without them."""
 
 import asyncio
 import contextlib
@@ -20,7 +20,7 @@
 
 @pytest.fixture(autouse=True)
 def _large_fleet(monkeypatch):
-    """Three instances are many."""
+    """Have three instances count as a large fleet."""
     monkeypatch.setattr(groups, '_FEW_PEERS', 0)
 
 
@@ -39,51 +39,52 @@
         ]
         desks = [first, *others]
         for desk in desks:
-            await desk.until(functools.partial(hears_both, desk))
+            await desk.until(functools.partial(has_both_peers, desk))
         await first.ask(PATH, 'r-0')
         name = first.decisions('scheduled')[-1]['scheduler']
         desks.sort(key=lambda one: one.gateway.core.settings.name == name)
         yield desks
 
 
-def hears_both(desk):
-    """Whether an instance hears its two peers."""
+def has_both_peers(desk):
+    """Whether an instance receives heartbeats of its two peers."""
     core = desk.gateway.core
     return len(find_heard(core.book, core.now(), 1)) == 2
 
 
 def find_state(desk):
-    """Return what a scheduler keeps of the only group."""
+    """Return a scheduler's state of the only group."""
     states = desk.gateway.scheduling.scheduler._states
     return next(iter(states.values()))
 
 
 async def queue_behind(desk, state):
-    """Ask for a long prompt, and for one that waits behind it."""
+    """Send a long prompt, and one that is queued behind it."""
     busy = asyncio.create_task(ask_long(desk, 'r-1'))
     await desk.until(
         lambda: desk.decisions('placed')[-1]['request'] == 'r-1',
     )
-    waits = asyncio.create_task(ask_long(desk, 'r-2'))
+    queued = asyncio.create_task(ask_long(desk, 'r-2'))
     await desk.until(lambda: state.queue.waiting)
-    return busy, waits
+    return busy, queued
 
 
 def is_idle(desk):
-    """Whether a scheduler counts nothing as open any more."""
+    """Whether a scheduler has no open requests and no load."""
     state = find_state(desk)
     load = state.placement.ledger.own()
     return not (state.assigned or state.waiting or load)
 
 
 def list_schedulers(desk):
-    """Return who was asked, in order."""
+    """Return the schedulers that requests were sent to, in order."""
     return [line['scheduler'] for line in desk.decisions('scheduled')]
 
 
 def test_all_instances_ask_one_scheduler(tmp_path, monkeypatch):
     """Requests come through three instances at once."""
-    # A scheduler that is slow is not silent: all of them share one loop here.
+    # All instances share one event loop here, so a slow answer must not count
+    # as a timeout.
     monkeypatch.setattr(assignments, '_ANSWER_S', 2)
 
     async def check():
@@ -104,17 +105,17 @@
 
 
 def kill_scheduling(desk):
-    """Make an instance deaf and mute, as a dead or frozen one is."""
+    """Drop all datagrams of an instance, as if it were dead or frozen."""
     exchange = desk.gateway.finder.exchange
     exchange.hear_other = lambda datagram, address: True
     exchange.send = lambda datagram, address: None
 
 
 def test_dead_scheduler_delays_few_and_loses_none(tmp_path):
-    """The scheduler dies while others ask it.
+    """The scheduler dies while instances send it requests.
 
-    Nothing was handed over to it, so each request is sent by the instance
-    that took it, by the next scheduler's word or by its own choice.
+    Each request stays with the instance that has accepted it, which places it
+    by the next scheduler or by itself.
     """
 
     async def check():
@@ -126,7 +127,7 @@
             scheduled = first.decisions('scheduled')
             assert scheduled[-2]['outcome'] == 'silent'
             assert scheduled[-1]['outcome'] == 'Assignment'
-            # The next request does not wait for the dead one again.
+            # The next request does not wait for the dead scheduler again.
             await first.ask(PATH, 'r-2')
             assert list_schedulers(first)[-1] == list_schedulers(first)[-2]
             runs = [one for engine in first.site.engines for one in engine.runs]
@@ -136,7 +137,7 @@
 
 
 def test_without_any_scheduler_an_instance_decides_itself(tmp_path):
-    """All other instances are cut off."""
+    """All other instances are unreachable."""
 
     async def check():
         async with open_desks(tmp_path) as desks:
@@ -151,11 +152,11 @@
     run(check())
 
 
-def test_far_group_that_is_silent_costs_one_wait(tmp_path, monkeypatch):
-    """The data centre of a group is cut off while a request goes to it.
+def test_unresponsive_remote_group_costs_one_timeout(tmp_path, monkeypatch):
+    """The data centre of a group is cut off while a request is sent to it.
 
-    Asked one after the other, its schedulers would cost the request most of
-    its time, though other groups could serve it.
+    If all its schedulers were tried one after the other, the request would
+    lose most of its time, though other groups could serve it.
     """
 
     async def check():
@@ -179,14 +180,14 @@
 
 
 def rank_others(group, book, now, avoided):
-    """Rank all known peers, as those of a data centre that is not heard."""
+    """Rank all known peers, as for a data centre without heartbeats."""
     return sorted(book.peers)
 
 
-def test_group_out_of_reach_is_not_asked_for_each_request(tmp_path):
+def test_unreachable_group_is_not_tried_for_each_request(tmp_path):
     """A data centre is cut off with all its schedulers.
 
-    Asked for each request, they would cost each of them a wait.
+    If they were tried for each request, each would wait for their timeout.
     """
 
     async def check():
@@ -209,10 +210,11 @@
     run(check())
 
 
-def test_scheduler_that_dies_with_a_queue_leaves_nobody_waiting(tmp_path):
+def test_scheduler_that_dies_with_a_queue_blocks_no_request(tmp_path):
     """A request waits in the queue of a scheduler that is killed.
 
-    Nobody tells its instance so; it asks again, hears nothing, and goes on.
+    Its instance is not notified: it sends the request again, gets no answer,
+    and places the request otherwise.
     """
 
     async def check():
@@ -221,9 +223,9 @@
         async with open_desks(tmp_path, engines) as desks:
             first = desks[0]
             state = find_state(desks[-1])
-            busy, waits = await queue_behind(first, state)
+            busy, queued = await queue_behind(first, state)
             kill_scheduling(desks[-1])
-            answers = await asyncio.gather(busy, waits)
+            answers = await asyncio.gather(busy, queued)
             assert {status for status, _, _ in answers} == {200}
             assert 'silent' in {
                 line['outcome']
@@ -235,7 +237,7 @@
 
 
 def test_stopping_scheduler_declines(tmp_path):
-    """The scheduler is stopped by the platform; the next one is asked."""
+    """The platform stops the scheduler, and the next one is tried."""
 
     async def check():
         async with open_desks(tmp_path) as desks:
@@ -251,8 +253,8 @@
     run(check())
 
 
-def test_caller_that_leaves_the_queue_frees_its_place(tmp_path):
-    """A caller gives up while its request waits at the scheduler."""
+def test_disconnected_caller_is_removed_from_the_queue(tmp_path):
+    """A caller disconnects while its request is queued at the scheduler."""
 
     async def check():
         engines = make_engines(readers=1)
@@ -260,8 +262,8 @@
         async with open_desks(tmp_path, engines) as desks:
             first = desks[0]
             state = find_state(desks[-1])
-            busy, waits = await queue_behind(first, state)
-            waits.cancel()
+            busy, queued = await queue_behind(first, state)
+            queued.cancel()
             await first.until(lambda: not state.queue.waiting)
             await busy
             await first.until(lambda: is_idle(desks[-1]))
@@ -271,11 +273,11 @@
     run(check())
 
 
-def test_engine_that_refuses_is_left_out_for_the_others(tmp_path):
-    """An engine changes its role, and one instance has noticed.
+def test_refusing_engine_is_avoided_for_all_instances(tmp_path):
+    """An engine changes its role, and one instance gets a refusal.
 
-    The scheduler hears it from that instance; unheard, it would send the
-    prompts of all others there as well.
+    That instance reports it to the scheduler, which would otherwise assign
+    the engine to the prompts of all others, too.
     """
 
     async def check():
