--- a/packages/verbenahall/tests/gateway/conftest.py
+++ b/packages/verbenahall/tests/gateway/conftest.py
@@ -1,4 +1,4 @@
-"""A gateway in front of a small deployment of stand-ins."""
+"""Fixtures: a gateway in front of a small deployment of stand-ins."""
 
 import asyncio
 import contextlib
@@ -32,7 +32,7 @@
         self.base = f'http://{gateway.core.settings.callers}'
 
     async def ask(self, path, identity='r-1', *, method='POST', **options):
-        """Ask once; return status, headers and the whole body."""
+        """Send one request; return status, headers and the whole body."""
         headers = {
             'Host': HOST,
             f'{PREFIX}Request-Id': identity,
@@ -51,7 +51,7 @@
             return response.status, response.headers, await response.read()
 
     async def is_ready(self):
-        """Ask as the balancer does."""
+        """Return the readiness, as the balancer checks it."""
         url = f'http://{self.gateway.core.settings.readiness}/-/ready'
         async with self.session.get(url) as response:
             return response.status == 200
@@ -60,7 +60,9 @@
         """Wait until a condition holds."""
         started = time.monotonic()
         while not condition():
-            assert time.monotonic() - started < within_s, 'did not happen'
+            assert time.monotonic() - started < within_s, (
+                'condition not met in time'
+            )
             await asyncio.sleep(0.01)
 
     async def until_in_force(self):
@@ -69,13 +71,16 @@
         await self.until(lambda: state.catalog.version == self.site.version)
 
     async def until_quiet(self):
-        """Wait until a poll of the store has begun under its present faults."""
+        """Wait until new polls have replaced those that are under way.
+
+        Faults of the store only affect polls that start after they are set.
+        """
         calls = self.site.store.calls
         polls = calls.get('/-/log-read', 0)
         await self.until(lambda: calls.get('/-/log-read', 0) >= polls + 4)
 
     def decisions(self, event):
-        """Return the decision lines of an event so far."""
+        """Return the decision log lines of an event so far."""
         return [line for line in journal.recent if line['event'] == event]
 
 
@@ -89,11 +94,15 @@
     manifest=None,
     duties=None,
 ):
-    """Run a gateway in front of stand-ins; a manifest has further parts."""
+    """Run a gateway in front of stand-ins.
+
+    ``manifest`` adds to the manifest's content; with ``site`` the gateway
+    joins an existing deployment, which is not stopped with it.
+    """
     journal.recent.clear()
-    own = site is None
+    owns_site = site is None
     site = site or Site(engines, plain, manifest)
-    if own:
+    if owns_site:
         await site.start()
     duty_api = ''
     if duties is not None:
@@ -112,7 +121,7 @@
             yield desk
         finally:
             await gateway.close()
-            for part in (duties, site if own else None):
+            for part in (duties, site if owns_site else None):
                 await stop_part(part)
 
 
@@ -123,12 +132,12 @@
 
 
 def run(coroutine):
-    """Run a test's coroutine on a loop of its own."""
+    """Run a test's coroutine on a new event loop."""
     return asyncio.run(coroutine)
 
 
 def make_engines(readers=2, generators=1):
-    """Return engines in the roles that the planner would give them."""
+    """Return prefill and decode engines, as the planner would assign them."""
     names = ('reader', 'generator')
     return [
         *(EngineStandIn(f'{names[0]}-{n}', 'prefill') for n in range(readers)),
@@ -140,13 +149,13 @@
 
 
 def make_plain(count=2):
-    """Return plain endpoints."""
+    """Return endpoints of a plain service."""
     return [PlainStandIn(f'page-{number}') for number in range(count)]
 
 
 @pytest.fixture
 def numbers():
-    """Return the numbers of a stream's events."""
+    """Return a function that reads the event numbers of a stream."""
 
     def read(body):
         return [
