--- /dev/null
+++ b/packages/verbenahall/src/verbenahall/peers/_topic_followers.py
@@ -0,0 +1,69 @@
+"""Which instances follow a topic of the store on behalf of the others.
+
+A change costs the store one call for each instance that follows the topic.
+Therefore only two of the instances that receive each other's heartbeats
+follow it, and forward what they read. There is no election: an instance
+follows a topic unless two instances that are ranked before it report in their
+heartbeats that they are in contact with the store. An instance that is dead,
+frozen, cut off or refused by the store is replaced within about 1.2 seconds.
+"""
+
+from collections.abc import Iterator
+from typing import Final
+
+from verbenahall.peers._state import PeerBook
+from verbenahall.routing import rank_by_rendezvous
+
+#: Followers of a topic among the instances that receive each other's
+#: heartbeats. With one, each of its crashes would leave the others without
+#: updates for ``_LIVE_S``.
+_FOLLOWERS: Final = 2
+#: A peer without a heartbeat for this long no longer counts as a follower, in
+#: seconds: twice the longest interval between two heartbeats. A change must
+#: be in force two seconds after the store has confirmed it.
+_LIVE_S: Final = 1.2
+
+
+def is_covered_by_peers(book: PeerBook, topic: str, now: float) -> bool:
+    """Return whether enough peers ranked before this one follow a topic."""
+    followers = [name for name, _ in _list_followers(book, topic, now)]
+    if len(followers) < _FOLLOWERS:
+        return False
+    ranked = rank_by_rendezvous(topic, [*followers, book.name])
+    return ranked.index(book.name) >= _FOLLOWERS
+
+
+def find_latest_offset(book: PeerBook, topic: str, now: float) -> int:
+    """Return the highest offset that a live peer has read, 0 if none has."""
+    offsets = (offset for _, offset in _list_followers(book, topic, now))
+    return max(offsets, default=0)
+
+
+def find_confirmed_at(book: PeerBook, topic: str, position: int) -> float:
+    """Return when the store last confirmed that a position is the newest.
+
+    Minus infinity if no peer reports it. A confirmation of an earlier offset
+    also holds for a later position: an instance at the later position has
+    read all that the store held at the time of the confirmation.
+    """
+    confirmed = (
+        peer.confirmed[topic]
+        for peer in book.peers.values()
+        if topic in peer.confirmed
+    )
+    times = (one.at for one in confirmed if one.offset <= position)
+    return max(times, default=-float('inf'))
+
+
+def _list_followers(
+    book: PeerBook,
+    topic: str,
+    now: float,
+) -> Iterator[tuple[str, int]]:
+    """Yield the live peers that follow the topic, with their offsets.
+
+    A peer that sends its heartbeats to this instance also sends its updates.
+    """
+    for name, peer in book.peers.items():
+        if topic in peer.followed and now - peer.heard_at < _LIVE_S:
+            yield name, peer.followed[topic]
