--- a/packages/verbenahall/src/verbenahall/gateway/_permits.py
+++ b/packages/verbenahall/src/verbenahall/gateway/_permits.py
@@ -1,4 +1,9 @@
-"""Asks before a send to an endpoint that names a rate, and gives permits."""
+"""Rate limits of endpoints, enforced together with the peers.
+
+An endpoint can advertise the rate of requests that it accepts from all
+instances. Before each send to it an instance obtains a permit from the limiter,
+an instance that all of them choose alike.
+"""
 
 import asyncio
 import itertools
@@ -14,75 +19,75 @@
 from verbenahall.requests import Limited
 from verbenahall.roster import Entry
 
-#: The instance that gives permits answers within this time, in seconds, or the
-#: request goes elsewhere.
-_ANSWER_S: Final = 0.1
-#: Share of the time left for which a request waits for its turn at the only
-#: endpoint there is.
-_WAIT_SHARE: Final = 0.5
-#: When a send without an answer may be tried again, in seconds.
-_AGAIN_S: Final = 0.25
-#: How often rates are told again, in seconds: datagrams get lost, and an
-#: instance that starts knows none.
-_EVERY_S: Final = 1.0
+#: Timeout of a permit request to a peer, in seconds; after it the request is
+#: sent to another endpoint.
+_RESPONSE_TIMEOUT_S: Final = 0.1
+#: Share of a request's remaining time for which it may wait for a permit if no
+#: other endpoint can take it.
+_MAX_WAIT_SHARE: Final = 0.5
+#: Wait before a retry, in seconds, if no limiter responded.
+_RETRY_AFTER_S: Final = 0.25
+#: Interval at which rates are announced again, in seconds: datagrams get lost,
+#: and an instance that has just started has no rates.
+_ANNOUNCE_INTERVAL_S: Final = 1.0
 
-Verdict = throttling.Permit | throttling.Denial
+PermitResponse = throttling.Permit | throttling.Denial
 
 
 @final
 class Permits:
-    """Keeps the rates that endpoints name, together with the peers."""
+    """Enforces the rates that endpoints advertise, together with the peers."""
 
     __slots__ = (
         '_core',
         '_exchange',
-        '_hear_other',
-        '_keys',
+        '_next_handler',
+        '_request_ids',
         '_table',
-        '_waits',
+        '_pending',
     )
 
     def __init__(self, core: Core, exchange: PeerExchange) -> None:
-        """Speak through the exchange between peers."""
+        """Install the limiter in the core and its handler in the exchange."""
         self._core = core
         self._exchange = exchange
-        self._hear_other = exchange.hear_other
-        self._keys = itertools.count()
+        self._next_handler = exchange.hear_other
+        self._request_ids = itertools.count()
         self._table = core.rates
-        self._waits: dict[int, asyncio.Future[Verdict]] = {}
+        self._pending: dict[int, asyncio.Future[PermitResponse]] = {}
         core.limiter = self
-        exchange.hear_other = self.hear
+        exchange.hear_other = self.handle_datagram
 
     async def run(self) -> None:
-        """Tell the rates again, until cancelled."""
+        """Announce the rates that this instance limits, until cancelled."""
         while True:
-            await asyncio.sleep(_EVERY_S)
-            own = Some(self._core.book.name)
+            await asyncio.sleep(_ANNOUNCE_INTERVAL_S)
+            local_name = Some(self._core.book.name)
             for endpoint in _list_limited(self._core):
-                start = name_start(endpoint)
-                if self._find_limiter(endpoint) == own:
-                    rate = self._table.rates[start].rate
-                    self._tell(throttling.RateNotice(start, rate))
+                incarnation = name_start(endpoint)
+                if self._find_limiter(endpoint) == local_name:
+                    rate = self._table.rates[incarnation].rate
+                    self._broadcast(throttling.RateNotice(incarnation, rate))
 
     async def acquire(self, endpoint: Entry, left_s: float) -> Limited | None:
-        """Wait until a request may leave; Limited if that takes too long."""
-        start = name_start(endpoint)
-        known = self._table.rates.get(start)
-        if known is None:
+        """Wait for a permit; return Limited if that would take too long."""
+        incarnation = name_start(endpoint)
+        current = self._table.rates.get(incarnation)
+        if current is None:
             return None
-        # With another endpoint left there is nothing to wait for.
-        others = self._core.has_other(endpoint, self._core.now())
-        longest_s = 0 if others else left_s * _WAIT_SHARE
-        verdict = await self._ask(
+        # If another endpoint can take the request, it doesn't wait here.
+        has_alternative = self._core.has_other(endpoint, self._core.now())
+        longest_s = 0 if has_alternative else left_s * _MAX_WAIT_SHARE
+        response = await self._request_permit(
             endpoint,
             throttling.PermitRequest(
-                next(self._keys),
-                start,
-                known.rate,
+                next(self._request_ids),
+                incarnation,
+                current.rate,
                 longest_s,
             ),
         )
-        match verdict:
+        match response:
             case throttling.Permit(wait_s=wait_s):
                 metrics.PERMITS.add('permitted')
                 await asyncio.sleep(wait_s)
@@ -102,46 +107,46 @@
         facts: AnswerFacts,
         sent_at: float,
     ) -> None:
-        """Note the rate that an answer names, or that it names none."""
+        """Record the rate that a response advertises, or that it has none."""
         if facts.misdirected:
             return
-        start = name_start(endpoint)
+        incarnation = name_start(endpoint)
         if not facts.rates:
-            if throttling.note_no_rate(self._table, start, sent_at):
-                self._spread(start, 0, 'none')
+            if throttling.record_no_rate(self._table, incarnation, sent_at):
+                self._announce_change(incarnation, 0, 'none')
             return
         match throttling.read_rate(facts.rates):
             case Some(rate):
                 now = self._core.now()
-                if throttling.note_rate(self._table, start, rate, now):
-                    self._spread(start, rate, facts.rates)
+                if throttling.record_rate(self._table, incarnation, rate, now):
+                    self._announce_change(incarnation, rate, facts.rates)
             case _:
                 journal.write_decision(
                     'rate_unreadable',
-                    endpoint=start,
+                    endpoint=incarnation,
                     named=facts.rates,
                 )
 
-    def hear(self, datagram: bytes, sender: str) -> bool:
-        """Take a message on rates; other datagrams are passed on."""
+    def handle_datagram(self, datagram: bytes, sender: str) -> bool:
+        """Handle a message about rates; pass other datagrams on."""
         found = throttling.decode(datagram)
         if isinstance(found, Some):
-            self._receive(found.unwrap(), sender)
+            self._handle_message(found.unwrap(), sender)
             return True
-        return self._hear_other(datagram, sender)
+        return self._next_handler(datagram, sender)
 
-    def _receive(self, message: throttling.Message, sender: str) -> None:
+    def _handle_message(self, message: throttling.Message, sender: str) -> None:
         now = self._core.now()
         match message:
             case throttling.PermitRequest():
-                verdict = self._permit(message)
-                self._exchange.send(throttling.encode(verdict), sender)
+                response = self._grant_permit(message)
+                self._exchange.send(throttling.encode(response), sender)
             case throttling.Permit() | throttling.Denial():
-                wait = self._waits.get(message.key)
-                if wait is not None and not wait.done():
-                    wait.set_result(message)
+                future = self._pending.get(message.key)
+                if future is not None and not future.done():
+                    future.set_result(message)
             case throttling.RateNotice():
-                if throttling.take_notice(self._table, message, now):
+                if throttling.apply_notice(self._table, message, now):
                     journal.write_decision(
                         'rate_heard',
                         endpoint=message.endpoint,
@@ -149,46 +154,48 @@
                         source=sender,
                     )
 
-    async def _ask(
+    async def _request_permit(
         self,
         endpoint: Entry,
         request: throttling.PermitRequest,
-    ) -> Verdict:
+    ) -> PermitResponse:
         match self._find_limiter(endpoint):
             case Some(self._core.book.name):
-                return self._permit(request)
+                return self._grant_permit(request)
             case Some(name):
-                return await self._ask_peer(name, request)
+                return await self._request_from_peer(name, request)
             case _:
-                return throttling.Denial(request.key, _AGAIN_S)
+                return throttling.Denial(request.key, _RETRY_AFTER_S)
 
-    async def _ask_peer(
+    async def _request_from_peer(
         self,
         name: str,
         request: throttling.PermitRequest,
-    ) -> Verdict:
-        wait = asyncio.get_running_loop().create_future()
-        self._waits[request.key] = wait
+    ) -> PermitResponse:
+        future = asyncio.get_running_loop().create_future()
+        self._pending[request.key] = future
         peer = self._core.book.peers[name]
         self._exchange.send(throttling.encode(request), peer.address)
         try:
-            async with asyncio.timeout(_ANSWER_S):
-                return await wait
+            async with asyncio.timeout(_RESPONSE_TIMEOUT_S):
+                return await future
         except TimeoutError:
-            self._table.silent[name] = self._core.now()
+            self._table.timed_out_at[name] = self._core.now()
             journal.write_decision(
                 'no_permit',
                 endpoint=request.endpoint,
                 asked=name,
             )
-            return throttling.Denial(request.key, _AGAIN_S)
+            return throttling.Denial(request.key, _RETRY_AFTER_S)
         finally:
-            self._waits.pop(request.key)
+            self._pending.pop(request.key)
 
-    def _permit(self, request: throttling.PermitRequest) -> Verdict:
+    def _grant_permit(
+        self, request: throttling.PermitRequest
+    ) -> PermitResponse:
         now = self._core.now()
-        share = throttling.find_share(self._core.book, now)
-        return throttling.permit(self._table, request, share, now)
+        share = throttling.find_rate_share(self._core.book, now)
+        return throttling.grant_permit(self._table, request, share, now)
 
     def _find_limiter(self, endpoint: Entry) -> Maybe[str]:
         return throttling.choose_limiter(
@@ -199,24 +206,26 @@
             self._core.now(),
         )
 
-    def _spread(self, start: str, rate: float, named: object) -> None:
-        """Write a line for a change, and tell the peers."""
+    def _announce_change(
+        self, incarnation: str, rate: float, named: object
+    ) -> None:
+        """Log a changed rate and send it to the peers."""
         journal.write_decision(
             'rate_named',
-            endpoint=start,
+            endpoint=incarnation,
             rate=rate,
             named=named,
         )
-        self._tell(throttling.RateNotice(start, rate))
+        self._broadcast(throttling.RateNotice(incarnation, rate))
 
-    def _tell(self, notice: throttling.RateNotice) -> None:
+    def _broadcast(self, notice: throttling.RateNotice) -> None:
         datagram = throttling.encode(notice)
         for peer in self._core.book.peers.values():
             self._exchange.send(datagram, peer.address)
 
 
 def _list_limited(core: Core) -> list[Entry]:
-    """Return the endpoints that name a rate."""
+    """Return the endpoints that advertise a rate."""
     if not core.rates.rates:
         return []
     return [
--- a/packages/verbenahall/src/verbenahall/throttling/__init__.py
+++ b/packages/verbenahall/src/verbenahall/throttling/__init__.py
@@ -1,17 +1,18 @@
-"""Endpoints that name the rate that they take from all instances together.
+"""Rate limits that endpoints advertise, shared by all instances.
 
-For each such endpoint one instance, chosen from the membership, gives
-permits; the others ask it before each send.
+For each such endpoint one instance, the limiter, gives permits; the others
+request a permit from it before each send. All instances choose the limiter from
+the membership by the same rule.
 """
 
 from verbenahall.throttling._decisions import (
+    apply_notice,
     choose_limiter,
-    find_share,
-    note_no_rate,
-    note_rate,
-    permit,
+    find_rate_share,
+    grant_permit,
     read_rate,
-    take_notice,
+    record_no_rate,
+    record_rate,
 )
 from verbenahall.throttling._messages import (
     Denial,
@@ -22,23 +23,23 @@
     decode,
     encode,
 )
-from verbenahall.throttling._state import NamedRate, RateTable
+from verbenahall.throttling._state import AdvertisedRate, RateTable
 
 __all__ = (
+    'AdvertisedRate',
     'Denial',
     'Message',
-    'NamedRate',
     'Permit',
     'PermitRequest',
     'RateNotice',
     'RateTable',
+    'apply_notice',
     'choose_limiter',
     'decode',
     'encode',
-    'find_share',
-    'note_no_rate',
-    'note_rate',
-    'permit',
+    'find_rate_share',
+    'grant_permit',
     'read_rate',
-    'take_notice',
+    'record_no_rate',
+    'record_rate',
 )
--- a/packages/verbenahall/src/verbenahall/throttling/_decisions.py
+++ b/packages/verbenahall/src/verbenahall/throttling/_decisions.py
@@ -1,4 +1,4 @@
-"""Decides when a request may leave to an endpoint that names a rate."""
+"""Decides when a request may be sent to an endpoint that advertises a rate."""
 
 import math
 from collections.abc import Sequence
@@ -14,97 +14,103 @@
     PermitRequest,
     RateNotice,
 )
-from verbenahall.throttling._state import NamedRate, RateTable
-
-#: Lowest rate that is kept, in requests a second: an endpoint to which nothing
-#: is sent cannot say that it takes more again.
-_LEAST_RATE: Final = 0.2
-#: Highest rate that is kept; above it there is none to speak of.
-_MOST_RATE: Final = 1e6
-#: An instance that was not heard for this long gives no permits, in seconds:
-#: twice the longest pause between two heartbeats.
-_HEARD_S: Final = 1.3
-#: A peer that was heard within this time may still send, in seconds.
-_LATELY_S: Final = 30.0
-#: An instance that did not answer is passed over for this long, in seconds.
-_SILENT_S: Final = 1.0
+from verbenahall.throttling._state import AdvertisedRate, RateTable
+
+#: Lowest rate that is stored, in requests a second: an endpoint that receives
+#: no requests can't advertise a higher rate again.
+_MIN_RATE: Final = 0.2
+#: Highest rate that is stored, in requests a second; anything above it is
+#: practically unlimited.
+_MAX_RATE: Final = 1e6
+#: An instance without a heartbeat for this long isn't chosen as a limiter, in
+#: seconds: twice the longest interval between two heartbeats.
+_LIVE_S: Final = 1.3
+#: A peer whose last heartbeat is more recent than this may still send requests,
+#: in seconds.
+_RECENTLY_LIVE_S: Final = 30.0
+#: An instance of another data centre that did not respond isn't chosen as a
+#: limiter for this long, in seconds.
+_TIMEOUT_PENALTY_S: Final = 1.0
 
 
 def read_rate(texts: Sequence[str]) -> Maybe[float]:
-    """Read what an answer names; Nothing if it makes no sense.
+    """Return the rate that a response advertises; Nothing if it is invalid.
 
-    Of several the lowest holds::
+    Of several rates the lowest applies::
 
         read_rate(['2.5', '4'])  # Some(2.5)
     """
     rates = [rate for rate in map(_read_number, texts) if 0 < rate]
     if not rates:
         return Nothing
-    return Some(min(max(min(rates), _LEAST_RATE), _MOST_RATE))
+    return Some(min(max(min(rates), _MIN_RATE), _MAX_RATE))
 
 
-def note_rate(
+def record_rate(
     table: RateTable,
-    start: str,
+    incarnation: str,
     rate: float,
     now: float,
 ) -> bool:
-    """Note a rate that an endpoint names; False when it was known."""
-    known = table.rates.get(start)
-    if known is not None and known.rate == rate:
+    """Record a rate that an endpoint advertises; False if it is unchanged."""
+    current = table.rates.get(incarnation)
+    if current is not None and current.rate == rate:
         return False
-    table.rates[start] = NamedRate(rate, now)
+    table.rates[incarnation] = AdvertisedRate(rate, now)
     return True
 
 
-def note_no_rate(table: RateTable, start: str, sent_at: float) -> bool:
-    """Note an answer without a rate to a request sent at a time.
+def record_no_rate(table: RateTable, incarnation: str, sent_at: float) -> bool:
+    """Record a response without a rate to a request sent at ``sent_at``.
 
-    One that was sent before the rate was named says nothing of its end.
+    It removes the rate, and the result is True, only if the request was sent
+    after the rate was advertised. An older response may simply arrive late.
     """
-    known = table.rates.get(start)
-    if known is None or sent_at <= known.named_at:
+    current = table.rates.get(incarnation)
+    if current is None or sent_at <= current.advertised_at:
         return False
-    table.rates.pop(start)
-    table.next_at.pop(start, None)
+    table.rates.pop(incarnation)
+    table.next_at.pop(incarnation, None)
     return True
 
 
-def take_notice(table: RateTable, notice: RateNotice, now: float) -> bool:
-    """Take a peer's word on a rate; False when it was known."""
+def apply_notice(table: RateTable, notice: RateNotice, now: float) -> bool:
+    """Record a rate that a peer announced; False if it is unchanged."""
     if notice.rate:
-        return note_rate(table, notice.endpoint, notice.rate, now)
-    return note_no_rate(table, notice.endpoint, now)
+        return record_rate(table, notice.endpoint, notice.rate, now)
+    return record_no_rate(table, notice.endpoint, now)
 
 
-def find_share(book: PeerBook, now: float) -> float:
-    """Return the share of a named rate that this instance may permit.
+def find_rate_share(book: PeerBook, now: float) -> float:
+    """Return the share of an advertised rate that this instance may permit.
 
-    Parts of a fleet that are cut off from each other each have an instance
-    that gives permits, and together these must keep the rate.
+    Each part of a partitioned fleet has a limiter of its own, and together
+    these must not exceed the rate. So each one permits a share that is the
+    number of live instances divided by that of recently live ones.
     """
-    heard, lately = (
+    live, recently_live = (
         sum(now - peer.heard_at < within_s for peer in tell_whom(book))
-        for within_s in (_HEARD_S, _LATELY_S)
+        for within_s in (_LIVE_S, _RECENTLY_LIVE_S)
     )
-    return (heard + 1) / (lately + 1)
+    return (live + 1) / (recently_live + 1)
 
 
-def permit(
+def grant_permit(
     table: RateTable,
     request: PermitRequest,
     share: float,
     now: float,
 ) -> Permit | Denial:
-    """Permit a send now or soon, or say how long the next one would wait.
+    """Permit a send after a wait, or deny it if the wait would be too long.
 
-    Permits are spaced evenly and none is saved up: what the endpoint has not
-    got while nobody asked it does not get at once later.
+    Permits are spaced evenly and don't accumulate, so an endpoint receives no
+    burst of requests after an idle time.
     """
-    known = table.rates.get(request.endpoint)
-    rate = request.rate if known is None else min(known.rate, request.rate)
+    current = table.rates.get(request.endpoint)
+    rate = request.rate if current is None else min(current.rate, request.rate)
     interval_s = 1 / (rate * share)
-    # Another instance may have given the last permit just before.
+    # If another instance was the limiter until now, it may have given its last
+    # permit just before.
     next_at = table.next_at.setdefault(request.endpoint, now + interval_s)
     wait_s = max(0, next_at - now)
     if wait_s > request.longest_s:
@@ -116,49 +122,54 @@
 def choose_limiter(
     table: RateTable,
     book: PeerBook,
-    start: str,
+    incarnation: str,
     data_centre: str,
     now: float,
 ) -> Maybe[str]:
-    """Return the instance that permits sends to an endpoint, if any does.
+    """Return the instance that permits sends to an endpoint, if there is one.
 
-    It is one of the endpoint's data centre where instances hear their own
-    data centre only, so that those in it agree.
+    In a large fleet, where instances receive heartbeats of their own data
+    centre only, it is an instance of the endpoint's data centre, whose
+    instances all make the same choice.
     """
     names = [
         name
         for name, peer in book.peers.items()
-        if _may_permit(book, peer.data_centre, data_centre)
-        and _is_there(table, book, name, now)
+        if _is_eligible(book, peer.data_centre, data_centre)
+        and _is_live(table, book, name, now)
     ]
-    if _may_permit(book, book.data_centre, data_centre):
+    if _is_eligible(book, book.data_centre, data_centre):
         names.append(book.name)
-    return Some(rank_by_rendezvous(start, names)[0]) if names else Nothing
+    return Some(rank_by_rendezvous(incarnation, names)[0]) if names else Nothing
 
 
-def _may_permit(book: PeerBook, home: str, data_centre: str) -> bool:
-    return not is_sampled(book) or home == data_centre
+def _is_eligible(
+    book: PeerBook, limiter_data_centre: str, data_centre: str
+) -> bool:
+    return not is_sampled(book) or limiter_data_centre == data_centre
 
 
-def _is_there(
+def _is_live(
     table: RateTable,
     book: PeerBook,
     name: str,
     now: float,
 ) -> bool:
-    """Whether a peer lives, by its heartbeats or else by its answers.
+    """Whether a peer is alive, by its heartbeats or else by its responses.
 
-    One that is heard is not passed over for a lost answer: the next one would
-    give permits beside it.
+    A peer with heartbeats stays the limiter after a lost response: otherwise a
+    second limiter would give permits at the same time.
     """
     peer = book.peers[name]
     if is_sampled(book) and peer.data_centre != book.data_centre:
-        return now - table.silent.get(name, -math.inf) > _SILENT_S
-    return now - peer.heard_at < _HEARD_S
+        return (
+            now - table.timed_out_at.get(name, -math.inf) > _TIMEOUT_PENALTY_S
+        )
+    return now - peer.heard_at < _LIVE_S
 
 
 def _read_number(text: str) -> float:
-    """Return a decimal number, 0 for what is none."""
+    """Return a finite decimal number, or 0 if the text is not one."""
     try:
         number = float(text)
     except ValueError:
--- a/packages/verbenahall/src/verbenahall/throttling/_messages.py
+++ b/packages/verbenahall/src/verbenahall/throttling/_messages.py
@@ -1,4 +1,4 @@
-"""The datagrams by which instances keep an endpoint's rate together."""
+"""Datagrams that instances exchange to enforce endpoints' rates."""
 
 import dataclasses
 from collections.abc import Callable, Mapping
@@ -10,16 +10,17 @@
 
 from verbenahall import wire
 
-#: How every message begins; other datagrams need not be decoded to be told.
-_BEGINNING: Final = b'{"throttle":'
+#: First bytes of every message, by which other datagrams are recognised without
+#: being decoded.
+_PREFIX: Final = b'{"throttle":'
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class PermitRequest:
-    """A send that waits for its turn, for ``longest_s`` seconds at most.
+    """A request for permission to send, after ``longest_s`` seconds at most.
 
-    ``endpoint`` names the endpoint's start and ``rate`` the requests a second
-    that it takes, as far as the sender knows.
+    ``endpoint`` identifies the endpoint's incarnation, and ``rate`` is the rate
+    that the sender has recorded for it, in requests a second.
     """
 
     key: int
@@ -30,7 +31,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Permit:
-    """The send may leave after ``wait_s`` seconds."""
+    """Permission to send after ``wait_s`` seconds."""
 
     key: int
     wait_s: float
@@ -38,7 +39,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Denial:
-    """The send may not leave; another one might after ``wait_s`` seconds."""
+    """Refusal of a send; a permit would be available in ``wait_s`` seconds."""
 
     key: int
     wait_s: float
@@ -46,7 +47,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class RateNotice:
-    """The rate that an endpoint names, 0 when it names none any more."""
+    """The rate that an endpoint advertises; 0 if it no longer has one."""
 
     endpoint: str
     rate: float
@@ -74,8 +75,8 @@
 
 
 def decode(datagram: bytes) -> Maybe[Message]:
-    """Decode a message; Nothing when it is something else."""
-    if not datagram.startswith(_BEGINNING):
+    """Decode a message; Nothing if the datagram is not a valid one."""
+    if not datagram.startswith(_PREFIX):
         return Nothing
     match wire.decode_table(datagram):
         case Success({'throttle': str(kind), **table}) if kind in _READERS:
@@ -119,7 +120,7 @@
 def _read_positive(found: Any) -> float:
     number = float(found)
     if number <= 0:
-        raise ValueError('a rate is positive')
+        raise ValueError('a rate must be positive')
     return number
 
 
--- a/packages/verbenahall/src/verbenahall/throttling/_state.py
+++ b/packages/verbenahall/src/verbenahall/throttling/_state.py
@@ -1,4 +1,4 @@
-"""The rates that endpoints name, and when their next requests may leave."""
+"""The rates that endpoints advertise, and the times of their next permits."""
 
 import dataclasses
 from collections.abc import Collection
@@ -6,41 +6,41 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class NamedRate:
-    """The requests a second that an endpoint takes, and since when."""
+class AdvertisedRate:
+    """Requests a second that an endpoint accepts, and when it was recorded."""
 
     rate: float
-    named_at: float
+    advertised_at: float
 
 
 @final
 class RateTable:
-    """Rates by the endpoint's start.
+    """Advertised rates by the endpoint's incarnation.
 
-    ``next_at`` holds when the next request may leave, for those endpoints
-    whose permits this instance gives. ``silent`` holds when instances that
-    should give some did not answer.
+    ``next_at`` holds the time of the next permit for each endpoint whose
+    limiter this instance is. ``timed_out_at`` holds the time of the last permit
+    request to each other instance that timed out.
     """
 
-    __slots__ = ('next_at', 'rates', 'silent')
+    __slots__ = ('next_at', 'rates', 'timed_out_at')
 
     def __init__(self) -> None:
         """Start without rates."""
         self.next_at: dict[str, float] = {}
-        self.rates: dict[str, NamedRate] = {}
-        self.silent: dict[str, float] = {}
+        self.rates: dict[str, AdvertisedRate] = {}
+        self.timed_out_at: dict[str, float] = {}
 
     @property
     def is_empty(self) -> bool:
-        """Whether nothing is kept of any endpoint."""
+        """Whether the table holds no state of any endpoint."""
         return not (self.rates or self.next_at)
 
-    def is_limited(self, start: str) -> bool:
-        """Whether an endpoint names a rate."""
-        return start in self.rates
+    def is_limited(self, incarnation: str) -> bool:
+        """Whether an endpoint advertises a rate."""
+        return incarnation in self.rates
 
-    def keep_only(self, starts: Collection[str]) -> None:
-        """Forget the endpoints that are no longer listed."""
+    def keep_only(self, incarnations: Collection[str]) -> None:
+        """Remove the state of endpoints that are no longer listed."""
         for kept in (self.rates, self.next_at):
-            for start in kept.keys() - starts:
-                kept.pop(start)
+            for incarnation in kept.keys() - incarnations:
+                kept.pop(incarnation)
--- a/packages/verbenahall/tests/throttling/test_rates.py
+++ b/packages/verbenahall/tests/throttling/test_rates.py
@@ -1,4 +1,4 @@
-"""Rates that endpoints name: what is read, kept, permitted and told."""
+"""Advertised rates: parsing, recording, permits, limiters and messages."""
 
 import pytest
 from returns.maybe import Nothing, Some
@@ -10,18 +10,18 @@
     PermitRequest,
     RateNotice,
     RateTable,
+    apply_notice,
     choose_limiter,
     decode,
     encode,
-    find_share,
-    note_no_rate,
-    note_rate,
-    permit,
+    find_rate_share,
+    grant_permit,
     read_rate,
-    take_notice,
+    record_no_rate,
+    record_rate,
 )
 
-START = 'e/1'
+INCARNATION = 'e/1'
 
 
 @pytest.mark.parametrize(
@@ -42,131 +42,140 @@
         (['two'], Nothing),
     ],
 )
-def test_rate_that_makes_no_sense_neither_stops_nor_frees(texts, rate):
+def test_advertised_rate_is_parsed_and_clamped(texts, rate):
     assert read_rate(texts) == rate
 
 
-def test_answer_to_an_older_request_does_not_end_a_rate():
-    """An answer from before the naming may come after it."""
+def test_answer_to_an_older_request_does_not_remove_a_rate():
+    """The response to a request from before the rate may arrive after it."""
     table = RateTable()
-    note_rate(table, START, 2, 10)
-    assert not note_no_rate(table, START, 9.9)
-    assert START in table.rates
-    assert note_no_rate(table, START, 10.1)
-    assert START not in table.rates
+    record_rate(table, INCARNATION, 2, 10)
+    assert not record_no_rate(table, INCARNATION, 9.9)
+    assert INCARNATION in table.rates
+    assert record_no_rate(table, INCARNATION, 10.1)
+    assert INCARNATION not in table.rates
 
 
-def test_rate_that_is_told_again_is_as_old_as_before():
-    """Else each notice would put off the end of a rate."""
+def test_repeated_notice_keeps_the_time_of_a_rate():
+    """Otherwise each notice would delay the removal of a rate."""
     table = RateTable()
-    note_rate(table, START, 2, 10)
-    assert not take_notice(table, RateNotice(START, 2), 20)
-    assert note_no_rate(table, START, 11)
+    record_rate(table, INCARNATION, 2, 10)
+    assert not apply_notice(table, RateNotice(INCARNATION, 2), 20)
+    assert record_no_rate(table, INCARNATION, 11)
 
 
-def test_permits_are_spaced_and_not_saved_up():
-    """An endpoint that was idle for a minute gets sixty requests at once."""
+def test_permits_are_spaced_and_do_not_accumulate():
+    """A minute of accumulated permits would send sixty requests at once."""
     table = RateTable()
     permits = 0
     for step in range(1000):
-        request = PermitRequest(step, START, 2, 0)
+        request = PermitRequest(step, INCARNATION, 2, 0)
         now = 100 + step * 0.01
-        permits += isinstance(permit(table, request, 1, now), Permit)
+        permits += isinstance(grant_permit(table, request, 1, now), Permit)
     assert permits in {19, 20}
     assert isinstance(
-        permit(table, PermitRequest(0, START, 2, 0), 1, 200), Permit
+        grant_permit(table, PermitRequest(0, INCARNATION, 2, 0), 1, 200), Permit
     )
-    denied = permit(table, PermitRequest(0, START, 2, 0), 1, 200)
+    denied = grant_permit(table, PermitRequest(0, INCARNATION, 2, 0), 1, 200)
     assert denied == Denial(0, 0.5)
 
 
-def test_waiting_requests_take_turns():
+def test_waiting_requests_are_spaced():
     table = RateTable()
     waits = [
-        permit(table, PermitRequest(key, START, 2, 2.2), 1, 10).wait_s
+        grant_permit(
+            table, PermitRequest(key, INCARNATION, 2, 2.2), 1, 10
+        ).wait_s
         for key in range(6)
     ]
     assert waits == [0.5, 1, 1.5, 2, 2.5, 2.5]
 
 
-def make_book(name, heard, now, count=4):
-    """Return a book of so many instances, some of them heard."""
+def make_book(name, live, now, count=4):
+    """Return a peer table of ``count`` instances.
+
+    Those in ``live`` sent a heartbeat at ``now``.
+    """
     names = [f'front-{number}' for number in range(count)]
     book = PeerBook(name, 'here')
     for number, other in enumerate(names):
         greet(book, other, f'10.0.0.{number}:1', 'here')
-        if other in heard and other != name:
+        if other in live and other != name:
             hear(book, other, 1, now)
     return book
 
 
-def test_instances_that_hear_each_other_agree_who_permits():
+def test_connected_instances_choose_the_same_limiter():
     names = [f'front-{number}' for number in range(4)]
     chosen = {
-        choose_limiter(RateTable(), make_book(name, names, 9), START, '', 10)
+        choose_limiter(
+            RateTable(), make_book(name, names, 9), INCARNATION, '', 10
+        )
         for name in names
     }
     assert len(chosen) == 1
 
 
-def test_heard_instance_is_not_passed_over_for_a_lost_answer():
-    """The next one would give permits beside it."""
+def test_live_limiter_is_kept_after_a_timeout():
+    """Otherwise two instances would give permits at the same time."""
     names = [f'front-{number}' for number in range(4)]
     book = make_book('front-0', names, 9.5)
-    first = choose_limiter(RateTable(), book, START, '', 10).unwrap()
+    first = choose_limiter(RateTable(), book, INCARNATION, '', 10).unwrap()
     table = RateTable()
-    table.silent[first] = 9.9
-    assert choose_limiter(table, book, START, '', 10) == Some(first)
+    table.timed_out_at[first] = 9.9
+    assert choose_limiter(table, book, INCARNATION, '', 10) == Some(first)
 
 
-def test_instance_that_is_heard_no_more_is_passed_over():
+def test_limiter_without_heartbeats_is_replaced():
     names = [f'front-{number}' for number in range(4)]
     book = make_book('front-0', names, 9.5)
-    first = choose_limiter(RateTable(), book, START, '', 10).unwrap()
+    first = choose_limiter(RateTable(), book, INCARNATION, '', 10).unwrap()
     for number, name in enumerate(names):
         if name not in {first, 'front-0'}:
             hear(book, name, 10 + number, 11)
-    assert choose_limiter(RateTable(), book, START, '', 11) != Some(first)
+    assert choose_limiter(RateTable(), book, INCARNATION, '', 11) != Some(first)
 
 
-def test_far_instance_that_does_not_answer_is_passed_over():
-    """Instances of other data centres are not heard in a large fleet."""
+def test_remote_limiter_is_replaced_after_a_timeout():
+    """In a large fleet, heartbeats don't reach other data centres."""
     book = make_book('front-0', (), 0, count=30)
     for name in ('far-1', 'far-2'):
         greet(book, name, '10.9.0.1:1', 'there')
-    first = choose_limiter(RateTable(), book, START, 'there', 10).unwrap()
+    first = choose_limiter(RateTable(), book, INCARNATION, 'there', 10).unwrap()
     table = RateTable()
-    table.silent[first] = 9.9
-    second = choose_limiter(table, book, START, 'there', 10).unwrap()
+    table.timed_out_at[first] = 9.9
+    second = choose_limiter(table, book, INCARNATION, 'there', 10).unwrap()
     assert {first, second} == {'far-1', 'far-2'}
 
 
-def test_part_that_is_cut_off_permits_a_part():
-    """Two parts that each permit all send twice what the endpoint takes."""
+def test_partition_permits_its_share_of_a_rate():
+    """Two partitions that each permit the full rate would exceed it twofold."""
     names = [f'front-{number}' for number in range(4)]
     whole = make_book('front-0', names, 9.5)
-    part = make_book('front-0', names, 5)
-    hear(part, 'front-1', 2, 9.5)
-    assert find_share(part, 10) == find_share(whole, 10) / 2
+    partition = make_book('front-0', names, 5)
+    hear(partition, 'front-1', 2, 9.5)
+    assert find_rate_share(partition, 10) == find_rate_share(whole, 10) / 2
 
 
-def test_far_data_centre_permits_nothing_itself():
-    """Many instances that hear nobody of the endpoint's data centre."""
+def test_remote_data_centre_has_no_limiter():
+    """No known instance is in the endpoint's data centre."""
     book = make_book('front-0', (), 0, count=30)
-    assert choose_limiter(RateTable(), book, START, 'there', 10) is Nothing
+    assert (
+        choose_limiter(RateTable(), book, INCARNATION, 'there', 10) is Nothing
+    )
 
 
 @pytest.mark.parametrize(
     'message',
     [
-        PermitRequest(1, START, 2.5, 0.5),
+        PermitRequest(1, INCARNATION, 2.5, 0.5),
         Permit(2, 0.25),
         Denial(3, 1.5),
-        RateNotice(START, 2.5),
-        RateNotice(START, 0),
+        RateNotice(INCARNATION, 2.5),
+        RateNotice(INCARNATION, 0),
     ],
 )
-def test_message_survives_its_encoding(message):
+def test_decoding_restores_an_encoded_message(message):
     assert decode(encode(message)) == Some(message)
 
 
@@ -183,5 +192,5 @@
         b'{"throttle":["ask"]}',
     ],
 )
-def test_unreadable_message_is_not_believed(datagram):
+def test_malformed_message_is_ignored(datagram):
     assert decode(datagram) is Nothing
