--- a/packages/verbenahall/src/verbenahall/gateway/_crash_reports.py
+++ b/packages/verbenahall/src/verbenahall/gateway/_crash_reports.py
@@ -1,4 +1,4 @@
-"""What instances tell each other of crashes, directly or by the store."""
+"""Replicates the crash log between instances, by datagrams and the store."""
 
 import asyncio
 import dataclasses
@@ -18,72 +18,84 @@
     is_sampled,
 )
 
-#: A report is sent again after these times, in seconds: datagrams get lost.
-_AGAIN_S: Final = (0.2, 1.0)
-#: How often suspects of several crashes are told again, in seconds.
-_EVERY_S: Final = 1.0
-#: Peers that are told again, picked anew each time.
-_TOLD_AGAIN: Final = 2
-#: For how long an instance of a large fleet asks the store after a crash under
-#: a suspect, in seconds.
-_ASKS_S: Final = 10.0
+#: Delays after which a report is sent again, in seconds, because datagrams get
+#: lost.
+_RESEND_DELAYS_S: Final = (0.2, 1.0)
+#: Interval at which suspects with several crashes are sent to peers again, in
+#: seconds.
+_GOSSIP_INTERVAL_S: Final = 1.0
+#: Number of randomly chosen peers that receive the suspects in each interval.
+_GOSSIP_FANOUT: Final = 2
+#: How long an instance of a large fleet exchanges reports through the store
+#: after a repeated crash, in seconds.
+_STORE_SYNC_S: Final = 10.0
 
 
 @final
 class CrashReports:
-    """Keeps the log of crashes the same at all instances."""
-
-    __slots__ = ('_asks_until', '_core', '_exchange', '_hear_other', '_stored')
+    """Keeps the crash logs of all instances consistent."""
+
+    __slots__ = (
+        '_store_sync_until',
+        '_core',
+        '_exchange',
+        '_next_handler',
+        '_stored',
+    )
 
     def __init__(self, core: Core, exchange: PeerExchange) -> None:
-        """Speak through the exchange between peers."""
+        """Install the handler of crash reports in the peers' exchange."""
         self._core = core
         self._exchange = exchange
-        self._hear_other = exchange.hear_other
+        self._next_handler = exchange.hear_other
         self._stored = StoredCrashes(core)
-        self._asks_until = -float('inf')
-        exchange.hear_other = self.hear
+        self._store_sync_until = -float('inf')
+        exchange.hear_other = self.handle_datagram
 
     async def run(self) -> None:
-        """Tell again what may have got lost, until cancelled."""
+        """Repeat reports that may have been lost, until cancelled."""
         while True:
-            await asyncio.sleep(_EVERY_S)
+            await asyncio.sleep(_GOSSIP_INTERVAL_S)
             now = self._core.now()
-            quarantine.forget_old(self._core.crash_log, now)
-            self._tell_again(now)
-            if _may_be_cut_off(self._core.book, self._asks_until, now):
-                await self._share_through_store(now)
+            quarantine.remove_expired(self._core.crash_log, now)
+            self._gossip_repeated(now)
+            if _may_be_partitioned(
+                self._core.book, self._store_sync_until, now
+            ):
+                await self._sync_through_store(now)
 
     def report(self, crash: quarantine.Crash) -> None:
-        """Note what ran here at a crashed endpoint, and tell the peers."""
+        """Record a crash that this instance detected; send it to the peers."""
         report = quarantine.CrashReport((crash,))
         self._merge(report, 'own')
         log = self._core.crash_log
         if any(quarantine.is_repeated(log, one) for one in crash.fingerprints):
-            self._asks_until = self._core.now() + _ASKS_S
-        self._core.spawn(self._repeat(report))
+            self._store_sync_until = self._core.now() + _STORE_SYNC_S
+        self._core.spawn(self._broadcast_repeatedly(report))
 
     def note_answered(self, fingerprint: str) -> None:
-        """Note that a request was answered whole."""
+        """Record that a request received a complete response."""
         log = self._core.crash_log
         if quarantine.note_answered(log, fingerprint, self._core.now()):
             journal.write_decision('suspect_cleared', fingerprint=fingerprint)
-            self._tell(quarantine.CrashReport(answered={fingerprint: 0}))
+            self._broadcast(quarantine.CrashReport(answered={fingerprint: 0}))
 
-    def hear(self, datagram: bytes, sender: str) -> bool:
-        """Take a peer's report; other datagrams are passed on."""
+    def handle_datagram(self, datagram: bytes, sender: str) -> bool:
+        """Merge a peer's report; pass other datagrams on."""
         found = quarantine.decode(datagram)
         if isinstance(found, Some):
             self._merge(found.unwrap(), sender)
             return True
-        return self._hear_other(datagram, sender)
+        return self._next_handler(datagram, sender)
 
-    async def _repeat(self, report: quarantine.CrashReport) -> None:
-        self._tell(report)
-        for pause_s in _AGAIN_S:
+    async def _broadcast_repeatedly(
+        self, report: quarantine.CrashReport
+    ) -> None:
+        self._broadcast(report)
+        for pause_s in _RESEND_DELAYS_S:
             await asyncio.sleep(pause_s)
-            report = _age(report, pause_s)
-            self._tell(report)
+            report = _add_age(report, pause_s)
+            self._broadcast(report)
 
     def _merge(self, report: quarantine.CrashReport, source: str) -> None:
         log = self._core.crash_log
@@ -91,39 +103,39 @@
         for fingerprint in quarantine.merge(log, report, now):
             left_s = quarantine.find_quarantine_s(log, fingerprint, now)
             if left_s:
-                self._tell_quarantined(fingerprint, source, left_s)
+                self._log_quarantined(fingerprint, source, left_s)
 
-    def _tell_quarantined(
+    def _log_quarantined(
         self,
         fingerprint: str,
         source: str,
         left_s: float,
     ) -> None:
-        """Write a line for a request that is sent no more."""
+        """Log and count a request that is put in quarantine."""
         suspect = self._core.crash_log.suspects[fingerprint]
         metrics.QUARANTINED.add()
         journal.write_decision(
             'quarantined',
             fingerprint=fingerprint,
-            crashes=suspect.count,
+            crashes=suspect.crash_count,
             endpoints=sorted(suspect.crashes),
             source=source,
             for_s=journal.round_seconds(left_s),
         )
 
-    def _tell(self, report: quarantine.CrashReport) -> None:
+    def _broadcast(self, report: quarantine.CrashReport) -> None:
         self._send(report, self._core.book.peers.values())
 
-    def _tell_again(self, now: float) -> None:
-        """Tell some of the peers of suspects, others each time."""
+    def _gossip_repeated(self, now: float) -> None:
+        """Send suspects with several crashes to a random sample of peers."""
         repeated = quarantine.list_repeated(self._core.crash_log, now)
         if repeated.crashes:
             peers = list(self._core.book.peers.values())
-            most = min(len(peers), _TOLD_AGAIN)
-            self._send(repeated, self._core.random.sample(peers, most))
+            sample_size = min(len(peers), _GOSSIP_FANOUT)
+            self._send(repeated, self._core.random.sample(peers, sample_size))
 
-    async def _share_through_store(self, now: float) -> None:
-        """Reach peers that may not hear this instance."""
+    async def _sync_through_store(self, now: float) -> None:
+        """Exchange reports with peers that datagrams may not reach."""
         recent = quarantine.list_recent(self._core.crash_log, now)
         if recent.crashes:
             await self._stored.write(recent)
@@ -141,22 +153,27 @@
                 self._exchange.send(datagram, peer.address)
 
 
-def _may_be_cut_off(book: PeerBook, asks_until: float, now: float) -> bool:
-    """Whether peers may not hear of a request that crashes endpoints.
+def _may_be_partitioned(
+    book: PeerBook, store_sync_until: float, now: float
+) -> bool:
+    """Whether some peers may not receive this instance's crash reports.
 
-    In a large fleet the other data centres are not heard anyway. There the
-    instances whose endpoints crash ask the store for a while.
+    In a large fleet, instances of different data centres exchange no
+    datagrams. There an instance that detects a repeated crash uses the store
+    for a limited time.
     """
     if is_sampled(book):
-        return now < asks_until
+        return now < store_sync_until
     return find_missing(book, now)
 
 
-def _age(report: quarantine.CrashReport, by_s: float) -> quarantine.CrashReport:
-    """Return a report that is sent later."""
+def _add_age(
+    report: quarantine.CrashReport, delay_s: float
+) -> quarantine.CrashReport:
+    """Return a report whose crashes are ``delay_s`` seconds older."""
     return quarantine.CrashReport(
         tuple(
-            dataclasses.replace(crash, age_s=crash.age_s + by_s)
+            dataclasses.replace(crash, age_s=crash.age_s + delay_s)
             for crash in report.crashes
         ),
     )
--- a/packages/verbenahall/src/verbenahall/gateway/_crashes.py
+++ b/packages/verbenahall/src/verbenahall/gateway/_crashes.py
@@ -1,4 +1,4 @@
-"""Finds out whether an endpoint crashed, and which requests ran there."""
+"""Detects crashes of endpoints and the requests that were running there."""
 
 import asyncio
 import dataclasses
@@ -12,96 +12,107 @@
 from verbenahall.quarantine import Crash
 from verbenahall.roster import Entry
 
-#: How long the connections of a crashed endpoint take to end, in seconds.
-_COLLECT_S: Final = 0.02
-#: How often losses that are over are looked for, in seconds.
-_EVERY_S: Final = 5.0
-#: How long a crashed start is remembered for connections that end later, in
+#: Time within which all connections to a crashed endpoint have ended, in
 #: seconds.
-_LATE_S: Final = 30.0
+_SETTLE_S: Final = 0.02
+#: Interval at which expired records are removed, in seconds.
+_CLEANUP_INTERVAL_S: Final = 5.0
+#: How long a crashed incarnation is kept for connections that end later, in
+#: seconds.
+_RETENTION_S: Final = 30.0
 
 
 @dataclasses.dataclass(slots=True)
-class _Losses:
-    """The requests whose connection to one start of an endpoint was lost."""
+class _LostConnections:
+    """Requests whose connection to an endpoint's incarnation was lost.
+
+    ``lost_at`` is the time of the first loss and ``reported`` holds the
+    fingerprints that were reported already.
+    """
 
-    at: float
+    lost_at: float
     fingerprints: set[str]
     crashed: bool = False
-    told: frozenset[str] = frozenset()
+    reported: frozenset[str] = frozenset()
 
 
 @final
 class CrashWatch:
-    """Tells crashes from connections that were lost.
+    """Distinguishes crashes of endpoints from other lost connections.
 
-    A lost connection may be the network's doing, and an endpoint that leaves
-    ends what is still open. An endpoint has crashed if it was listed and takes
-    no new connection.
+    A connection may also be lost because of the network, or because an
+    endpoint that leaves closes its open connections. An endpoint has crashed
+    if it is listed as serving and refuses a new connection.
     """
 
     __slots__ = ('_core', '_losses', '_reports')
 
     def __init__(self, core: Core, reports: CrashReports) -> None:
-        """Look at the core's sends."""
+        """Install the detector as the core's observer."""
         self._core = core
-        self._losses: dict[str, _Losses] = {}
+        self._losses: dict[str, _LostConnections] = {}
         self._reports = reports
         core.observer = self
 
     async def run(self) -> None:
-        """Forget what is over, until cancelled."""
+        """Remove expired records until cancelled."""
         while True:
-            await asyncio.sleep(_EVERY_S)
-            self._forget(self._core.now())
+            await asyncio.sleep(_CLEANUP_INTERVAL_S)
+            self._remove_expired(self._core.now())
 
     def note_lost(self, fingerprint: str, endpoint: Entry) -> None:
-        """Note a connection that was lost with a request on it."""
+        """Record a connection that was lost while a request was open."""
         core = self._core
         if not core.roster.may_get_work(endpoint.name, core.now()):
             return
-        start = name_start(endpoint)
-        losses = self._losses.get(start)
+        incarnation = name_start(endpoint)
+        losses = self._losses.get(incarnation)
         if losses is None:
-            losses = _Losses(core.now(), set())
-            self._losses[start] = losses
-            core.spawn(self._look(start, endpoint.address, losses))
+            losses = _LostConnections(core.now(), set())
+            self._losses[incarnation] = losses
+            core.spawn(
+                self._check_endpoint(incarnation, endpoint.address, losses)
+            )
         losses.fingerprints.add(fingerprint)
         if losses.crashed:
-            self._report(start, losses)
+            self._report_new(incarnation, losses)
 
     def note_answered(self, fingerprint: str) -> None:
-        """Note that a request was answered whole."""
+        """Record that a request received a complete response."""
         self._reports.note_answered(fingerprint)
 
-    async def _look(self, start: str, address: str, losses: _Losses) -> None:
-        """Find out whether an endpoint has crashed."""
-        found = await contact(address)
-        losses.crashed = found is Contact.REFUSES
+    async def _check_endpoint(
+        self, incarnation: str, address: str, losses: _LostConnections
+    ) -> None:
+        """Connect to an endpoint; report a crash if it refuses."""
+        outcome = await contact(address)
+        losses.crashed = outcome is Contact.REFUSES
         if losses.crashed:
-            await asyncio.sleep(_COLLECT_S)
-            self._report(start, losses)
+            await asyncio.sleep(_SETTLE_S)
+            self._report_new(incarnation, losses)
         else:
-            self._losses.pop(start, None)
+            self._losses.pop(incarnation, None)
         journal.write_decision(
             'crash' if losses.crashed else 'no_crash',
-            endpoint=start,
-            contact=found.value,
+            endpoint=incarnation,
+            contact=outcome.value,
             requests=len(losses.fingerprints),
         )
 
-    def _report(self, start: str, losses: _Losses) -> None:
-        """Report the requests that were not reported yet."""
-        fresh = losses.fingerprints - losses.told
-        losses.told = frozenset(losses.fingerprints)
-        age_s = self._core.now() - losses.at
-        self._reports.report(Crash(start, age_s, tuple(sorted(fresh))))
-
-    def _forget(self, now: float) -> None:
-        old = [
-            start
-            for start, losses in self._losses.items()
-            if now - losses.at > _LATE_S
+    def _report_new(self, incarnation: str, losses: _LostConnections) -> None:
+        """Report the requests that have not been reported yet."""
+        unreported = losses.fingerprints - losses.reported
+        losses.reported = frozenset(losses.fingerprints)
+        age_s = self._core.now() - losses.lost_at
+        self._reports.report(
+            Crash(incarnation, age_s, tuple(sorted(unreported)))
+        )
+
+    def _remove_expired(self, now: float) -> None:
+        expired = [
+            incarnation
+            for incarnation, losses in self._losses.items()
+            if now - losses.lost_at > _RETENTION_S
         ]
-        for start in old:
-            self._losses.pop(start)
+        for incarnation in expired:
+            self._losses.pop(incarnation)
--- a/packages/verbenahall/src/verbenahall/gateway/_stored_crashes.py
+++ b/packages/verbenahall/src/verbenahall/gateway/_stored_crashes.py
@@ -1,7 +1,7 @@
-"""Crashes that instances tell each other by the store.
+"""Crash reports that instances exchange through the store.
 
-Parts of a fleet that are cut off from each other, but not from the store,
-would each have to see a request's crashes for themselves.
+Without them, parts of a fleet that are partitioned from each other but reach
+the store would each have to see a request's crashes for themselves.
 """
 
 from typing import final
@@ -21,7 +21,10 @@
 
 @final
 class StoredCrashes:
-    """One record for each instance, of the suspects that it knows."""
+    """Writes this instance's report to the store and reads all reports.
+
+    The store holds one record for each instance, with its recent suspects.
+    """
 
     __slots__ = ('_core', '_written')
 
@@ -31,7 +34,7 @@
         self._written: frozenset[tuple[str, str]] = frozenset()
 
     async def write(self, report: CrashReport) -> None:
-        """Write a report, unless its crashes are written already."""
+        """Write a report unless its crashes were the last ones written."""
         crashes = _list_crashes(report)
         if crashes == self._written:
             return
@@ -44,7 +47,10 @@
             self._written = crashes
 
     async def read(self) -> list[tuple[CrashReport, str]]:
-        """Return each instance's report with its name, none if away."""
+        """Return each instance's report with the instance's name.
+
+        The list is empty if the store can't be read.
+        """
         newest = await self._core.store.read_newest(CRASHES_TOPIC)
         records = newest.map(lambda found: found.items).value_or({})
         reports = []
@@ -59,7 +65,7 @@
 
 def _list_crashes(report: CrashReport) -> frozenset[tuple[str, str]]:
     return frozenset(
-        (crash.start, fingerprint)
+        (crash.incarnation, fingerprint)
         for crash in report.crashes
         for fingerprint in crash.fingerprints
     )
--- a/packages/verbenahall/src/verbenahall/quarantine/__init__.py
+++ b/packages/verbenahall/src/verbenahall/quarantine/__init__.py
@@ -1,20 +1,20 @@
-"""Requests that crash the endpoints that run them.
+"""Quarantine of requests that crash the endpoints that run them.
 
-Requests are known by their fingerprint, whatever id they come under and
-whichever instance they come to. Instances tell each other what ran at an
-endpoint that crashed; a request under which several have crashed is sent no
-more.
+Requests are identified by a fingerprint, which does not depend on the request
+id or on the instance that receives them. Instances report to each other which
+requests were running at an endpoint that crashed. A request that was running at
+several crashes is put in quarantine: it is not sent for some time.
 """
 
 from verbenahall.quarantine._decisions import (
     find_quarantine_s,
-    forget_old,
     is_repeated,
     list_recent,
     list_repeated,
     merge,
     note_answered,
-    note_crash,
+    record_crash,
+    remove_expired,
 )
 from verbenahall.quarantine._fingerprint import make_fingerprint
 from verbenahall.quarantine._messages import (
@@ -34,13 +34,13 @@
     'decode',
     'encode',
     'find_quarantine_s',
-    'forget_old',
     'is_repeated',
     'list_recent',
     'list_repeated',
     'make_fingerprint',
     'merge',
     'note_answered',
-    'note_crash',
+    'record_crash',
+    'remove_expired',
     'split',
 )
--- a/packages/verbenahall/src/verbenahall/quarantine/_decisions.py
+++ b/packages/verbenahall/src/verbenahall/quarantine/_decisions.py
@@ -1,4 +1,4 @@
-"""Decides which requests crash endpoints, and for how long none is sent."""
+"""Decides which requests are in quarantine, and for how long."""
 
 from collections.abc import Sequence
 from typing import Final
@@ -6,41 +6,41 @@
 from verbenahall.quarantine._messages import Crash, CrashReport
 from verbenahall.quarantine._state import CrashLog, Suspect
 
-#: Endpoints that may crash under a request before it is sent no more. Requests
-#: beside it run at one of them, seldom at two.
-_MOST_CRASHES: Final = 3
-#: Crashes from which on others are told again and again.
-_TOLD_CRASHES: Final = 2
-#: Suspects that are told again, the latest ones first.
-_MOST_TOLD: Final = 100
-#: For how long suspects of a single crash are told to those who may not have
-#: heard of it, in seconds.
+#: Number of crashes that puts a request in quarantine. An innocent request that
+#: was running at the same time is involved in one crash, seldom in two.
+_MAX_CRASHES: Final = 3
+#: Number of crashes from which on a suspect is reported repeatedly.
+_REPEATED_CRASHES: Final = 2
+#: Most suspects in a repeated report; those with the latest changes come first.
+_MAX_REPORTED: Final = 100
+#: How long after its last crash a suspect is included in reports through the
+#: store, in seconds.
 _RECENT_S: Final = 10.0
-#: For how long a request is not sent after the last crash, in seconds. After
-#: that one more crash is enough.
+#: Duration of the quarantine after the last crash, in seconds. After it, one
+#: more crash starts the quarantine again.
 _QUARANTINE_S: Final = 600.0
-#: After this time without a crash nothing is kept of a request, in seconds.
-_KEPT_S: Final = 3600.0
+#: How long a suspect is kept after its last crash, in seconds.
+_RETENTION_S: Final = 3600.0
 
 
-def note_crash(
+def record_crash(
     log: CrashLog,
-    start: str,
+    incarnation: str,
     fingerprint: str,
     at: float,
 ) -> bool:
-    """Note that a request ran at an endpoint that crashed; False if known."""
-    known = log.suspects.get(fingerprint)
-    if known is not None and start in known.crashes:
+    """Record that a request ran at a crashed endpoint; False if it is known."""
+    suspect = log.suspects.get(fingerprint)
+    if suspect is not None and incarnation in suspect.crashes:
         return False
-    return log.open(fingerprint).add(start, at)
+    return log.touch(fingerprint).add(incarnation, at)
 
 
 def note_answered(log: CrashLog, fingerprint: str, at: float) -> bool:
-    """Note a whole answer; False when it clears nobody.
+    """Record a complete response; True if it clears a suspect of its crashes.
 
-    A request that a caller sends all the time runs at every endpoint that
-    crashes, and crashes none.
+    A request that a caller sends all the time is running whenever an endpoint
+    crashes, without being the cause.
     """
     suspect = log.suspects.get(fingerprint)
     if suspect is None or at <= suspect.answered_at:
@@ -51,9 +51,9 @@
 
 
 def find_quarantine_s(log: CrashLog, fingerprint: str, now: float) -> float:
-    """Return for how many seconds a request may not be sent, 0 for none."""
+    """Return the rest of a request's quarantine in seconds, or 0."""
     suspect = log.suspects.get(fingerprint)
-    if suspect is None or suspect.count < _MOST_CRASHES:
+    if suspect is None or suspect.crash_count < _MAX_CRASHES:
         return 0
     return max(0, suspect.last_at + _QUARANTINE_S - now)
 
@@ -63,27 +63,27 @@
     report: CrashReport,
     now: float,
 ) -> frozenset[str]:
-    """Take what another instance has seen; return whom it is news of."""
-    news = frozenset(
+    """Merge an instance's report; return the fingerprints with a new crash."""
+    changed = frozenset(
         fingerprint
         for crash in report.crashes
         for fingerprint in crash.fingerprints
-        if note_crash(log, crash.start, fingerprint, now - crash.age_s)
+        if record_crash(log, crash.incarnation, fingerprint, now - crash.age_s)
     )
     for fingerprint, age_s in report.answered.items():
         note_answered(log, fingerprint, now - age_s)
-    return news
+    return changed
 
 
 def is_repeated(log: CrashLog, fingerprint: str) -> bool:
-    """Whether several endpoints have crashed under a request."""
+    """Whether a request was running at several crashes."""
     suspect = log.suspects.get(fingerprint)
-    return suspect is not None and suspect.count >= _TOLD_CRASHES
+    return suspect is not None and suspect.crash_count >= _REPEATED_CRASHES
 
 
 def list_repeated(log: CrashLog, now: float) -> CrashReport:
-    """Return the suspects of several crashes."""
-    return _describe(
+    """Return a report of the suspects with several crashes."""
+    return _make_report(
         log,
         now,
         [one for one in reversed(log.suspects) if is_repeated(log, one)],
@@ -91,40 +91,40 @@
 
 
 def list_recent(log: CrashLog, now: float) -> CrashReport:
-    """Return the suspects of several crashes, and those of the last ones."""
+    """Return a report of recent suspects, those with several crashes first."""
     recent = [
         fingerprint
         for fingerprint, suspect in reversed(log.suspects.items())
         if now - suspect.last_at < _RECENT_S
     ]
     recent.sort(key=lambda one: is_repeated(log, one), reverse=True)
-    return _describe(log, now, recent)
+    return _make_report(log, now, recent)
 
 
-def _describe(
+def _make_report(
     log: CrashLog,
     now: float,
     fingerprints: Sequence[str],
 ) -> CrashReport:
     return CrashReport(
         tuple(
-            Crash(start, max(0, now - at), (fingerprint,))
-            for fingerprint in fingerprints[:_MOST_TOLD]
-            for start, at in log.suspects[fingerprint].list_counted()
+            Crash(incarnation, max(0, now - at), (fingerprint,))
+            for fingerprint in fingerprints[:_MAX_REPORTED]
+            for incarnation, at in log.suspects[fingerprint].list_uncleared()
         ),
     )
 
 
-def forget_old(log: CrashLog, now: float) -> None:
-    """Forget the requests under which nothing has crashed for long."""
-    old = [
+def remove_expired(log: CrashLog, now: float) -> None:
+    """Remove suspects whose last crash is too long ago."""
+    expired = [
         fingerprint
         for fingerprint, suspect in log.suspects.items()
-        if _is_old(suspect, now)
+        if _is_expired(suspect, now)
     ]
-    for fingerprint in old:
+    for fingerprint in expired:
         log.suspects.pop(fingerprint)
 
 
-def _is_old(suspect: Suspect, now: float) -> bool:
-    return now - suspect.last_at > _KEPT_S
+def _is_expired(suspect: Suspect, now: float) -> bool:
+    return now - suspect.last_at > _RETENTION_S
--- a/packages/verbenahall/src/verbenahall/quarantine/_fingerprint.py
+++ b/packages/verbenahall/src/verbenahall/quarantine/_fingerprint.py
@@ -1,11 +1,11 @@
-"""What tells that a request is one that came before under another id."""
+"""Fingerprints, which identify equal requests under different request ids."""
 
 import hashlib
 from typing import Final
 
-#: Bytes of a fingerprint; logs and datagrams carry it in hexadecimal.
+#: Size of a fingerprint in bytes; logs and datagrams hold it in hexadecimal.
 _BYTES: Final = 8
-#: Bytes of a part's length before it.
+#: Size of the length that precedes each part, in bytes.
 _LENGTH_BYTES: Final = 8
 
 
@@ -15,11 +15,11 @@
     target: str,
     body: bytes,
 ) -> str:
-    """Return the same text for the same request, wherever it comes from.
+    """Return a hash that is the same for equal requests from any address.
 
-    ``target`` is the path with its query. The address is no part of it: a
-    caller's connections to different data centres come from different ones.
-    Nothing of the body can be read from it::
+    ``target`` is the path with its query. The caller's address is left out: its
+    connections to different data centres have different source addresses. The
+    body can't be recovered from the hash::
 
         make_fingerprint('GET', 'desk.example', '/page/1', b'')
     """
@@ -31,6 +31,6 @@
 
 
 def _add(digest: 'hashlib._Hash', part: bytes) -> None:
-    """Add a part with its length, so that parts cannot run together."""
+    """Hash a part after its length, so that parts can't be confused."""
     digest.update(len(part).to_bytes(_LENGTH_BYTES))
     digest.update(part)
--- a/packages/verbenahall/src/verbenahall/quarantine/_messages.py
+++ b/packages/verbenahall/src/verbenahall/quarantine/_messages.py
@@ -1,4 +1,4 @@
-"""The datagrams and records by which instances tell each other of crashes."""
+"""Crash reports, as instances send them in datagrams and store them."""
 
 import dataclasses
 from collections.abc import Iterator, Mapping, Sequence
@@ -10,35 +10,36 @@
 
 from verbenahall import wire
 
-#: How every message begins; other datagrams need not be decoded to be told.
-_BEGINNING: Final = b'{"crashes":'
-#: Fingerprints in a datagram at most: it stays under 1,400 bytes.
-_MOST_IN_DATAGRAM: Final = 50
-#: Digits of an age: milliseconds.
+#: First bytes of every report, by which other datagrams are recognised without
+#: being decoded.
+_PREFIX: Final = b'{"crashes":'
+#: Most fingerprints in a datagram, which keeps it under 1,400 bytes.
+_MAX_FINGERPRINTS: Final = 50
+#: Decimal places of an age in seconds, that is milliseconds.
 _AGE_DIGITS: Final = 3
-_NOTHING: Final[Mapping[str, float]] = MappingProxyType({})
+_NO_ANSWERS: Final[Mapping[str, float]] = MappingProxyType({})
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Crash:
-    """What ran at an endpoint when it crashed, as one instance saw it.
+    """Requests that an instance had running at an endpoint when it crashed.
 
-    ``start`` names the endpoint's start, so that a crash that several
-    instances report counts once. It happened ``age_s`` seconds ago.
+    ``incarnation`` identifies the endpoint's incarnation, so that a crash that
+    several instances report counts once. It happened ``age_s`` seconds ago.
     """
 
-    start: str
+    incarnation: str
     age_s: float
     fingerprints: tuple[str, ...]
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class CrashReport:
-    """Crashes, and how many seconds ago suspects were answered whole."""
+    """Crashes, and the ages of suspects' last complete responses in seconds."""
 
     crashes: tuple[Crash, ...] = ()
     answered: Mapping[str, float] = dataclasses.field(
-        default_factory=lambda: _NOTHING,
+        default_factory=lambda: _NO_ANSWERS,
     )
 
 
@@ -48,7 +49,7 @@
         {
             'crashes': [
                 (
-                    crash.start,
+                    crash.incarnation,
                     round(crash.age_s, _AGE_DIGITS),
                     crash.fingerprints,
                 )
@@ -63,8 +64,8 @@
 
 
 def decode(datagram: bytes) -> Maybe[CrashReport]:
-    """Decode a report; Nothing when it is something else."""
-    if not datagram.startswith(_BEGINNING):
+    """Decode a report; Nothing if the datagram is not a valid one."""
+    if not datagram.startswith(_PREFIX):
         return Nothing
     match wire.decode_table(datagram):
         case Success({'crashes': list(rows), 'answered': dict(answered)}):
@@ -74,38 +75,38 @@
 
 
 def split(report: CrashReport) -> Iterator[CrashReport]:
-    """Split a report into parts that each fit a datagram."""
+    """Split a report into parts that each fit into a datagram."""
     part: list[Crash] = []
-    free = _MOST_IN_DATAGRAM
-    for crash in _cut_long(report.crashes):
-        if part and len(crash.fingerprints) > free:
+    remaining = _MAX_FINGERPRINTS
+    for crash in _split_crashes(report.crashes):
+        if part and len(crash.fingerprints) > remaining:
             yield CrashReport(tuple(part))
-            part, free = [], _MOST_IN_DATAGRAM
+            part, remaining = [], _MAX_FINGERPRINTS
         part.append(crash)
-        # The start's own name takes as much room as two fingerprints.
-        free -= len(crash.fingerprints) + 2
+        # The incarnation's name takes as many bytes as two fingerprints.
+        remaining -= len(crash.fingerprints) + 2
     if part:
         yield CrashReport(tuple(part))
-    for ages in _cut(tuple(report.answered.items())):
+    for ages in _split_chunks(tuple(report.answered.items())):
         yield CrashReport(answered=dict(ages))
 
 
-def _cut_long(crashes: Sequence[Crash]) -> Iterator[Crash]:
+def _split_crashes(crashes: Sequence[Crash]) -> Iterator[Crash]:
     for crash in crashes:
-        for fingerprints in _cut(crash.fingerprints):
+        for fingerprints in _split_chunks(crash.fingerprints):
             yield dataclasses.replace(crash, fingerprints=tuple(fingerprints))
 
 
-def _cut(members: Sequence[Any]) -> Iterator[Sequence[Any]]:
-    for begin in range(0, len(members), _MOST_IN_DATAGRAM):
-        yield members[begin : begin + _MOST_IN_DATAGRAM]
+def _split_chunks(members: Sequence[Any]) -> Iterator[Sequence[Any]]:
+    for offset in range(0, len(members), _MAX_FINGERPRINTS):
+        yield members[offset : offset + _MAX_FINGERPRINTS]
 
 
 def _read(
     rows: Sequence[Any],
     answered: Mapping[str, Any],
 ) -> Maybe[CrashReport]:
-    """Check what the containers hold; a report is believed whole or not."""
+    """Check and convert the contents; one invalid item rejects the report."""
     try:
         return Some(
             CrashReport(
@@ -120,15 +121,15 @@
         return Nothing
 
 
-def _read_crash(start: Any, age_s: Any, fingerprints: Any) -> Crash:
-    names = (start, *fingerprints)
+def _read_crash(incarnation: Any, age_s: Any, fingerprints: Any) -> Crash:
+    names = (incarnation, *fingerprints)
     if not all(isinstance(name, str) for name in names):
-        raise TypeError('names are text')
-    return Crash(start, _read_age(age_s), tuple(fingerprints))
+        raise TypeError('names and fingerprints must be strings')
+    return Crash(incarnation, _read_age(age_s), tuple(fingerprints))
 
 
 def _read_age(age_s: Any) -> float:
     age_s = float(age_s)
     if not 0 <= age_s < float('inf'):
-        raise ValueError('an age is a time in the past')
+        raise ValueError('an age must be finite and not negative')
     return age_s
--- a/packages/verbenahall/src/verbenahall/quarantine/_state.py
+++ b/packages/verbenahall/src/verbenahall/quarantine/_state.py
@@ -1,21 +1,21 @@
-"""Which requests ran at endpoints when they crashed."""
+"""The crash log: requests that were running at endpoints that crashed."""
 
 from typing import Final, final
 
-#: Suspects that are remembered: some two megabytes at most.
-_MOST_SUSPECTS: Final = 4096
-#: Suspects that are forgotten together when there are too many.
-_EVICTED: Final = 512
-#: Starts of endpoints that are remembered for each suspect.
-_MOST_STARTS: Final = 8
+#: Most suspects that are kept, which takes about two megabytes.
+_MAX_SUSPECTS: Final = 4096
+#: Number of suspects that are evicted together when there are too many.
+_EVICTION_BATCH: Final = 512
+#: Most crashes that are kept for each suspect.
+_MAX_CRASHES: Final = 8
 
 
 @final
 class Suspect:
-    """A request that ran at crashed endpoints.
+    """A request that was running at endpoints that crashed.
 
-    ``crashes`` holds the time of each crash by the endpoint's start, and
-    ``answered_at`` when the request was last answered whole.
+    ``crashes`` holds the time of each crash by the endpoint's incarnation, and
+    ``answered_at`` the time of the request's last complete response.
     """
 
     __slots__ = ('answered_at', 'crashes')
@@ -27,35 +27,38 @@
 
     @property
     def last_at(self) -> float:
-        """When the last crash happened."""
+        """Time of the last crash."""
         return max(self.crashes.values(), default=-float('inf'))
 
     @property
-    def count(self) -> int:
-        """How many endpoints have crashed since the last whole answer."""
-        return len(self.list_counted())
+    def crash_count(self) -> int:
+        """Number of crashes since the last complete response."""
+        return len(self.list_uncleared())
 
-    def list_counted(self) -> list[tuple[str, float]]:
-        """Return the starts and times of these crashes."""
+    def list_uncleared(self) -> list[tuple[str, float]]:
+        """Return the crashes since the last complete response.
+
+        Each one is a pair of the endpoint's incarnation and the time.
+        """
         return [
-            (start, at)
-            for start, at in self.crashes.items()
+            (incarnation, at)
+            for incarnation, at in self.crashes.items()
             if at > self.answered_at
         ]
 
-    def add(self, start: str, at: float) -> bool:
-        """Add a crash; False when it was known."""
-        if start in self.crashes:
+    def add(self, incarnation: str, at: float) -> bool:
+        """Add a crash; False if it was known."""
+        if incarnation in self.crashes:
             return False
-        self.crashes[start] = at
-        if len(self.crashes) > _MOST_STARTS:
+        self.crashes[incarnation] = at
+        if len(self.crashes) > _MAX_CRASHES:
             self.crashes.pop(min(self.crashes, key=self.crashes.__getitem__))
         return True
 
 
 @final
 class CrashLog:
-    """The suspects by fingerprint, those that changed last at the end."""
+    """The suspects by fingerprint, ordered by their last change."""
 
     __slots__ = ('suspects',)
 
@@ -63,23 +66,23 @@
         """Start without suspects."""
         self.suspects: dict[str, Suspect] = {}
 
-    def open(self, fingerprint: str) -> Suspect:
-        """Return a suspect that changes now; it is made if there is none."""
+    def touch(self, fingerprint: str) -> Suspect:
+        """Return a suspect as the last changed one; create it if needed."""
         suspect = self.suspects.pop(fingerprint, None) or Suspect()
-        if len(self.suspects) >= _MOST_SUSPECTS:
+        if len(self.suspects) >= _MAX_SUSPECTS:
             self._evict()
         self.suspects[fingerprint] = suspect
         return suspect
 
     def _evict(self) -> None:
-        """Forget the oldest ones of those with the fewest crashes.
+        """Evict the oldest ones of the suspects with the fewest crashes.
 
-        Whoever sends a million different requests must not get the one
-        forgotten that crashes endpoints.
+        A caller that sends a million different requests must not cause the
+        eviction of the request that crashes endpoints.
         """
         by_crashes = sorted(
             self.suspects,
-            key=lambda fingerprint: self.suspects[fingerprint].count,
+            key=lambda fingerprint: self.suspects[fingerprint].crash_count,
         )
-        for fingerprint in by_crashes[:_EVICTED]:
+        for fingerprint in by_crashes[:_EVICTION_BATCH]:
             self.suspects.pop(fingerprint)
--- a/packages/verbenahall/tests/quarantine/test_crash_log.py
+++ b/packages/verbenahall/tests/quarantine/test_crash_log.py
@@ -1,4 +1,4 @@
-"""Which requests are sent no more, by what is known of crashes."""
+"""Quarantine of requests by the crashes in the log."""
 
 import pytest
 from returns.maybe import Nothing, Some
@@ -10,21 +10,21 @@
     decode,
     encode,
     find_quarantine_s,
-    forget_old,
     merge,
     note_answered,
-    note_crash,
+    record_crash,
+    remove_expired,
     split,
 )
 
 
-def crash(log, fingerprint, *starts, at=10):
-    """Note crashes of some starts under a request."""
-    for start in starts:
-        note_crash(log, start, fingerprint, at)
+def crash(log, fingerprint, *incarnations, at=10):
+    """Record crashes of some incarnations with a request running."""
+    for incarnation in incarnations:
+        record_crash(log, incarnation, fingerprint, at)
 
 
-def test_third_crash_bars_a_request():
+def test_third_crash_quarantines_a_request():
     log = CrashLog()
     crash(log, 'f', 'e1', 'e2')
     assert not find_quarantine_s(log, 'f', 11)
@@ -32,8 +32,8 @@
     assert find_quarantine_s(log, 'f', 11) > 0
 
 
-def test_crash_that_is_heard_twice_counts_once():
-    """Datagrams come several times, and several instances see one crash."""
+def test_crash_that_is_reported_twice_counts_once():
+    """Reports are repeated, and several instances report the same crash."""
     log = CrashLog()
     report = CrashReport((Crash('e1', 0.5, ('f',)),))
     assert merge(log, report, 10) == {'f'}
@@ -42,8 +42,8 @@
     assert not find_quarantine_s(log, 'f', 20)
 
 
-def test_request_that_is_answered_whole_is_no_cause():
-    """A caller that asks all the time is there whenever an endpoint ends."""
+def test_complete_answer_clears_earlier_crashes():
+    """A request that is sent all the time runs whenever an endpoint crashes."""
     log = CrashLog()
     for number in range(20):
         crash(log, 'f', f'e{number}', at=number)
@@ -51,8 +51,8 @@
         assert not find_quarantine_s(log, 'f', number + 1)
 
 
-def test_one_more_crash_after_the_time_bars_again():
-    """After its time a request may be tried with one send, not with three."""
+def test_one_more_crash_after_the_quarantine_renews_it():
+    """After the quarantine a request may cause one crash, not three."""
     log = CrashLog()
     crash(log, 'f', 'e1', 'e2', 'e3')
     assert not find_quarantine_s(log, 'f', 700)
@@ -60,7 +60,7 @@
     assert find_quarantine_s(log, 'f', 702) > 500
 
 
-def test_flood_of_requests_does_not_forget_the_one_that_crashes():
+def test_flood_of_requests_does_not_evict_the_one_that_crashes():
     log = CrashLog()
     crash(log, 'f', 'e1', 'e2', 'e3')
     for number in range(20_000):
@@ -69,17 +69,17 @@
     assert len(log.suspects) <= 4096
 
 
-def test_starts_that_a_suspect_keeps_are_bounded():
+def test_crashes_kept_for_a_suspect_are_bounded():
     log = CrashLog()
     for number in range(1000):
         crash(log, 'f', f'e{number}', at=number)
     assert len(log.suspects['f'].crashes) <= 8
 
 
-def test_what_is_long_ago_is_forgotten():
+def test_suspects_without_recent_crashes_are_removed():
     log = CrashLog()
     crash(log, 'f', 'e1', 'e2', 'e3')
-    forget_old(log, 4000)
+    remove_expired(log, 4000)
     assert not log.suspects
 
 
@@ -89,16 +89,16 @@
         Crash(name, 1, names[:number]) for number, name in enumerate(names[:60])
     )
     report = CrashReport((*crashes, Crash('e', 1, names)), {names[0]: 2})
-    log, told = CrashLog(), CrashLog()
+    log, merged = CrashLog(), CrashLog()
     merge(log, report, 10)
     for part in split(report):
         datagram = encode(part)
         assert len(datagram) < 1400
-        merge(told, decode(datagram).unwrap(), 10)
-    assert told.suspects.keys() == log.suspects.keys()
+        merge(merged, decode(datagram).unwrap(), 10)
+    assert merged.suspects.keys() == log.suspects.keys()
 
 
-def test_report_survives_its_encoding():
+def test_decoding_restores_an_encoded_report():
     report = CrashReport((Crash('e', 1.5, ('f', 'g')),), {'h': 0.25})
     assert decode(encode(report)) == Some(report)
 
@@ -118,5 +118,5 @@
         b'{"crashes":[],"answered":{"f":null}}',
     ],
 )
-def test_unreadable_report_is_not_believed(datagram):
+def test_malformed_report_is_ignored(datagram):
     assert decode(datagram) is Nothing
--- a/packages/verbenahall/tests/quarantine/test_fingerprint.py
+++ b/packages/verbenahall/tests/quarantine/test_fingerprint.py
@@ -1,4 +1,4 @@
-"""Requests that come again are known, and others are not taken for them."""
+"""Equal requests have equal fingerprints, and other requests other ones."""
 
 import itertools
 
@@ -11,7 +11,7 @@
     assert make_fingerprint(*BASE) == make_fingerprint(*BASE)
 
 
-def test_each_part_tells_requests_apart():
+def test_each_part_changes_the_fingerprint():
     changed = [
         ('GET', *BASE[1:]),
         (BASE[0], 'other.example', *BASE[2:]),
@@ -22,11 +22,11 @@
     assert all(one != two for one, two in itertools.combinations(made, 2))
 
 
-def test_bytes_moved_between_parts_make_another_request():
-    """A caller must not make another one's fingerprint."""
+def test_bytes_moved_between_parts_change_the_fingerprint():
+    """A caller must not be able to forge another request's fingerprint."""
     moved = ('POST', 'desk.example', '/flag/1?q=2p', b'rompt')
     assert make_fingerprint(*moved) != make_fingerprint(*BASE)
 
 
-def test_nothing_of_a_body_can_be_read():
+def test_fingerprint_has_a_fixed_length_for_any_body():
     assert len(make_fingerprint(*BASE[:3], b'secret' * 1000)) == 16
