--- a/packages/verbenahall/src/verbenahall/duties/__init__.py
+++ b/packages/verbenahall/src/verbenahall/duties/__init__.py
@@ -1,4 +1,4 @@
-"""Duties that one instance at a time carries out: leases and tokens."""
+"""Leases on duties that one instance at a time carries out."""
 
 from verbenahall.duties._lease import DutyLease
 from verbenahall.duties._succession import Succession
--- a/packages/verbenahall/src/verbenahall/duties/_lease.py
+++ b/packages/verbenahall/src/verbenahall/duties/_lease.py
@@ -1,10 +1,10 @@
-"""The lease on one duty, kept as one key in the store.
+"""The lease on a duty, stored as one key of a topic in the store.
 
-The lease's newest record is kept for ever, so a successor always finds it.
-Every append is conditional on the offset at which the topic ended when the
-record was read: of two claims the store lets in only one, and the offset of
-the claim is the fencing token, which no other holder can ever have. All
-duties share the topic, so no two of them ever have the same token either.
+The store never deletes the newest record of a key, so a successor always finds
+it. Every append is conditional on the offset at which the topic ended when the
+record was read, so the store accepts only one of two concurrent claims. The
+offset of the claim is the fencing token, which no other holder can have. All
+duties share the topic, so tokens of different duties differ, too.
 """
 
 import dataclasses
@@ -36,13 +36,13 @@
     encode_keyed,
 )
 
-#: Digits that tell this run of the process from the ones before.
-_RUN_DIGITS: Final = 8
+#: Length of the random part that distinguishes holders' names of an instance.
+_SUFFIX_DIGITS: Final = 8
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class _Record:
-    """What the lease's newest record says; ``token`` 0 is its own offset."""
+    """The lease's newest record; ``token`` 0 stands for the record's offset."""
 
     holder: str
     token: int
@@ -51,11 +51,11 @@
 
 @final
 class DutyLease:
-    """Claims the lease when it is needed; nobody renews it in idle times.
+    """The lease on a duty, claimed on demand and not renewed while idle.
 
-    ``now`` must be a clock that counts while the machine is suspended: a
-    holder that wakes would otherwise believe in a lease that a successor
-    has long taken over.
+    ``now`` must be a clock that advances while the machine is suspended.
+    Otherwise a holder that resumes would use a lease that a successor has
+    already taken over.
     """
 
     __slots__ = (
@@ -78,19 +78,19 @@
         delay_share: float,
         now: Clock,
     ) -> None:
-        """Stand for the lease on a duty in the name of an instance."""
+        """Create a candidate for the lease on a duty."""
         self.duty = duty
         self._store = store
         self._instance = instance
         self._state = AuthorityState()
-        self._candidacy = Candidacy(duty, _make_name(instance), delay_share)
+        self._candidacy = Candidacy(duty, _make_holder(instance), delay_share)
         self._timing = timing
         self._now = now
         self._end = 0
 
     @property
     def holder(self) -> str:
-        """The name as a holder, used by no other run and no other stand."""
+        """This candidate's name, which no other candidate ever has."""
         return self._candidacy.holder
 
     def token(self) -> int | None:
@@ -104,33 +104,34 @@
 
     @property
     def grant(self) -> Grant:
-        """Who held the duty when the store was last read."""
+        """The holder and token of the duty when the store was last read."""
         return self._state.find_grant(self.duty)
 
-    def find_wait(self) -> float:
-        """Return for how long another holder is waited out, in seconds."""
+    def find_wait_s(self) -> float:
+        """Return the time until the lease may be claimed, in seconds."""
         due = find_claim_time(self._state, self._candidacy, self._timing)
         return max(0, due - self._now())
 
     def forget(self) -> None:
-        """Give up a token that was refused; it is not used again.
+        """Discard a token that was refused, so that it isn't used again.
 
-        Under a new name the own record is another's, whose lease is waited
-        out; under the old one the next read would hand the token back.
+        The candidate takes a new holder's name. Its old record then counts as
+        another holder's, whose lease has to expire first. Under the old name
+        the next read of the store would restore the token.
         """
         self._candidacy = Candidacy(
             self.duty,
-            _make_name(self._instance),
+            _make_holder(self._instance),
             self._candidacy.delay_share,
         )
 
-    async def look(self) -> Grant:
-        """Read who holds the duty; a successor waits from this on."""
+    async def read(self) -> Grant:
+        """Read the current grant; a successor's wait is counted from here."""
         await self._refresh()
         return self.grant
 
     async def acquire(self) -> int | None:
-        """Take one step towards the lease; return the token once held."""
+        """Claim or renew the lease if possible; return its token or None."""
         if self.token() is not None:
             return self.token()
         await self._refresh()
@@ -151,10 +152,10 @@
         return self.token()
 
     async def release(self) -> None:
-        """Give the lease back, so that a successor need not wait it out.
+        """Release the lease, so that a successor can claim it at once.
 
         Call it only when the last order is so old that a successor's first
-        one cannot seem to take turns with it.
+        order can't appear interleaved with it.
         """
         if self.token() is not None:
             await self._append(Release(self._end), token=0, holder='')
@@ -165,11 +166,11 @@
                 self._end = newest.end
                 content = newest.items.get(self.duty)
                 if content is not None:
-                    self._hear(content, newest.offsets[self.duty])
+                    self._apply_record(content, newest.offsets[self.duty])
             case Failure():
                 return
 
-    def _hear(self, content: bytes, offset: int) -> None:
+    def _apply_record(self, content: bytes, offset: int) -> None:
         record = _decode(content)
         if record is None:
             journal.write_decision(
@@ -179,12 +180,12 @@
             )
             return
         last = offset + 1
-        known = self._state.find_grant(self.duty)
-        if known.last == last:
+        current = self._state.find_grant(self.duty)
+        if current.last == last:
             return
-        self._grant(record, last)
+        self._record_grant(record, last)
 
-    def _grant(self, record: _Record, last: int) -> None:
+    def _record_grant(self, record: _Record, last: int) -> None:
         # A released lease has no token, so the next claim need not wait.
         token = (record.token or last) if record.holder else 0
         self._state.grants[self.duty] = Grant(
@@ -216,13 +217,14 @@
             KeyedRecord(self.duty, wire.encode(dataclasses.asdict(record))),
         )
         outcome = await self._store.append(LEASES_TOPIC, [body], self._end)
-        # A record that got in without our hearing of it is found by the next
-        # read; its lease is counted from now, which is before it was taken.
+        # If the store accepted the record but its response was lost, the next
+        # read finds the record. Its lease is counted from ``sent_at``, which
+        # is before the store accepted it.
         note_sent(self._candidacy, self._end + 1, sent_at)
         match outcome:
             case Appended(offset):
                 self._end = offset + 1
-                self._grant(record, offset + 1)
+                self._record_grant(record, offset + 1)
             case _:
                 journal.write_decision(
                     'lease_not_taken',
@@ -232,10 +234,10 @@
                 )
 
 
-def _make_name(instance: str) -> str:
-    """Return a holder's name that was never used before."""
-    run = uuid.uuid4().hex[:_RUN_DIGITS]
-    return f'{instance}-{run}'
+def _make_holder(instance: str) -> str:
+    """Return a new unique holder's name."""
+    suffix = uuid.uuid4().hex[:_SUFFIX_DIGITS]
+    return f'{instance}-{suffix}'
 
 
 def _decode(content: bytes) -> _Record | None:
--- a/packages/verbenahall/src/verbenahall/duties/_succession.py
+++ b/packages/verbenahall/src/verbenahall/duties/_succession.py
@@ -1,4 +1,4 @@
-"""Looks after the holder of a duty, and succeeds one that is gone."""
+"""Standbys that check the holder of a duty and take over if it fails."""
 
 from typing import Final, final
 
@@ -6,35 +6,36 @@
 from verbenahall.duties._lease import DutyLease
 from verbenahall.peers import PeerBook, find_rank
 
-#: Instances that look after a holder, each in its turn.
-_STANDBYS: Final = 3
-#: Time from one of them to the next, in seconds.
-_TURN_S: Final = 1.0
-#: Time until peers are heard after a start, in seconds: who stands first is
-#: not known before.
-_SETTLED_S: Final = 2.0
-#: Pause before a claim is tried again, in seconds.
-_PAUSE_S: Final = 0.4
+#: Number of instances that check the holder, one after the other.
+_MAX_STANDBYS: Final = 3
+#: Delay between the checks of two successive standbys, in seconds.
+_RANK_DELAY_S: Final = 1.0
+#: Delay of the first check after a start, in seconds: the standbys' ranks are
+#: known only after the first heartbeats of the peers.
+_STARTUP_DELAY_S: Final = 2.0
+#: Least time between two attempts to claim the lease, in seconds.
+_RETRY_INTERVAL_S: Final = 0.4
 
 
 @final
 class Succession:
     """One instance's candidacy for a duty that another one may hold.
 
-    A holder renews its lease at least once in ``period_s``. Few instances look
-    at the lease so often, in an order that all of them agree on, so that the
-    store is read seldom and a successor has waited for long when it claims.
+    A holder renews its lease at least once in ``period_s`` seconds. Only a few
+    standbys check the lease once in this period, in an order that all instances
+    compute alike. So the store is read seldom, and a successor has already
+    been waiting for some time when the lease expires.
     """
 
     __slots__ = (
         '_book',
         '_lease',
-        '_look_at',
+        '_check_at',
         '_now',
         '_period_s',
-        '_seen',
-        '_tried_at',
-        '_wants',
+        '_seen_grant',
+        '_attempted_at',
+        '_should_claim',
     )
 
     def __init__(
@@ -44,52 +45,57 @@
         now: Clock,
         period_s: float,
     ) -> None:
-        """Look for the first time once the peers are heard."""
+        """Start without a check; the first ``step`` schedules one."""
         self._book = book
         self._lease = lease
-        self._look_at: float | None = None
+        self._check_at: float | None = None
         self._now = now
         self._period_s = period_s
-        self._seen = 0
-        self._tried_at = -float('inf')
-        self._wants = False
+        self._seen_grant = 0
+        self._attempted_at = -float('inf')
+        self._should_claim = False
 
     async def step(self) -> bool:
-        """Look or claim if it is time to; True once the lease is held."""
+        """Check or claim the lease if it is due; True once it is held."""
         now = self._now()
-        if self._look_at is None:
-            self._look_at = now + _SETTLED_S
-        if now >= self._look_at:
-            await self._look(self._look_at, now)
-        if not self._wants or now - self._tried_at < _PAUSE_S:
+        if self._check_at is None:
+            self._check_at = now + _STARTUP_DELAY_S
+        if now >= self._check_at:
+            await self._check_lease(self._check_at, now)
+        if (
+            not self._should_claim
+            or now - self._attempted_at < _RETRY_INTERVAL_S
+        ):
             return False
-        if self._lease.find_wait() > 0:
+        if self._lease.find_wait_s() > 0:
             return False
         return await self._claim(now)
 
     def note_lost(self) -> None:
-        """Stand by again, behind whoever holds the duty now."""
-        self._seen = self._lease.grant.last
-        self._wants = False
-        self._look_at = self._now() + self._period_s
+        """Become a standby again after the loss of the lease."""
+        self._seen_grant = self._lease.grant.last
+        self._should_claim = False
+        self._check_at = self._now() + self._period_s
 
-    async def _look(self, due: float, now: float) -> None:
+    async def _check_lease(self, due: float, now: float) -> None:
         rank = find_rank(self._book, self._lease.duty, now)
-        if rank < _STANDBYS and now < due + rank * _TURN_S:
+        if rank < _MAX_STANDBYS and now < due + rank * _RANK_DELAY_S:
             return
-        # A process that stood still has missed its looks and makes one.
-        self._look_at = max(due, now - self._period_s) + self._period_s
-        if rank < _STANDBYS:
-            grant = await self._lease.look()
-            self._wants = not grant.token or grant.last == self._seen
-            self._seen = grant.last
+        # After a pause of the process the missed checks are made up by one.
+        self._check_at = max(due, now - self._period_s) + self._period_s
+        if rank < _MAX_STANDBYS:
+            grant = await self._lease.read()
+            self._should_claim = (
+                not grant.token or grant.last == self._seen_grant
+            )
+            self._seen_grant = grant.last
 
     async def _claim(self, now: float) -> bool:
-        self._tried_at = now
+        self._attempted_at = now
         if await self._lease.acquire() is not None:
-            self._wants = False
+            self._should_claim = False
             return True
         grant = self._lease.grant
-        # Another one may have claimed it, or renewed its lease, meanwhile.
-        self._wants = not grant.token or grant.last == self._seen
+        # Meanwhile another instance may have claimed or renewed the lease.
+        self._should_claim = not grant.token or grant.last == self._seen_grant
         return False
--- a/packages/verbenahall/tests/duties/test_lease.py
+++ b/packages/verbenahall/tests/duties/test_lease.py
@@ -1,4 +1,4 @@
-"""One holder of the lease at a time, and tokens that only rise."""
+"""A lease has one holder at a time, and its tokens increase."""
 
 import asyncio
 
@@ -13,7 +13,7 @@
 
 
 class Clock:
-    """A clock that a test moves."""
+    """A clock that a test advances."""
 
     def __init__(self):
         self.seconds = 100.0
@@ -22,7 +22,7 @@
         return self.seconds
 
 
-async def stand(check):
+async def run_with_store(check):
     store = StoreStandIn()
     await store.start()
     session = make_session()
@@ -45,23 +45,23 @@
         assert await first.acquire() == 1
         assert await second.acquire() is None
 
-    asyncio.run(stand(check))
+    asyncio.run(run_with_store(check))
 
 
 def test_two_claims_at_once_have_one_winner():
-    # Two instances see a free lease in the same moment and both claim it.
-    # With two holders an engine gets two conflicting orders.
+    # Several instances read a free lease at the same time and all claim it.
+    # With two holders an engine would receive conflicting orders.
     async def check(store, make, clock):
         leases = [make(name) for name in 'abcdef']
         tokens = await asyncio.gather(*(one.acquire() for one in leases))
         assert sum(token is not None for token in tokens) == 1
 
-    asyncio.run(stand(check))
+    asyncio.run(run_with_store(check))
 
 
 def test_successor_waits_out_the_lease_and_gets_a_higher_token():
-    # The holder is killed. A successor that comes too early would order
-    # while the holder's last orders are still on their way.
+    # The holder is killed. A successor that claims too early would send orders
+    # while the holder's last orders are still in transit.
     async def check(store, make, clock):
         first, second = make('a'), make('b')
         token = await first.acquire()
@@ -73,12 +73,12 @@
         assert later is not None
         assert later > token
 
-    asyncio.run(stand(check))
+    asyncio.run(run_with_store(check))
 
 
-def test_holder_that_slept_has_no_lease():
-    # The holder's machine is suspended just before an order and wakes after
-    # its successor has begun. Its order must not be sent.
+def test_holder_has_no_lease_after_a_long_suspension():
+    # The holder's machine is suspended just before an order and resumes after
+    # a successor has claimed the lease. The order must not be sent.
     async def check(store, make, clock):
         first, second = make('a'), make('b')
         await first.acquire()
@@ -88,12 +88,12 @@
         assert first.token() is None
         assert await first.acquire() is None
 
-    asyncio.run(stand(check))
+    asyncio.run(run_with_store(check))
 
 
-def test_claim_whose_answer_is_lost_is_found_and_not_doubled():
-    # The store takes a claim and its answer is lost. The claimant holds the
-    # lease all the same, and must find its own token rather than claim anew.
+def test_claim_whose_response_is_lost_is_not_repeated():
+    # The store accepts a claim but its response is lost. The claimant holds the
+    # lease and must find its own token instead of claiming again.
     async def check(store, make, clock):
         first = make('a')
         store.faults.lose_appends = True
@@ -103,38 +103,39 @@
         assert await first.acquire() == 1
         assert len(store.newest('keyed.leases')) == 1
 
-    asyncio.run(stand(check))
+    asyncio.run(run_with_store(check))
 
 
 def test_refused_token_is_not_used_again():
-    # An engine has seen a higher token and refuses ours. Used again, it only
-    # shows that this instance has not noticed its successor.
+    # An engine has seen a higher token and refuses this one. The instance must
+    # not use it again, since a successor holds the lease.
     async def check(store, make, clock):
         first = make('a')
         await first.acquire()
         first.forget()
         assert first.token() is None
 
-    asyncio.run(stand(check))
+    asyncio.run(run_with_store(check))
 
 
 @pytest.mark.parametrize('content', [b'\xff', b'{}', b'{"holder":1}'])
-def test_unreadable_lease_is_not_taken_for_a_free_one(content):
-    # Another writer spoils the lease's record. Who reads it cannot know that
-    # nobody holds it, but the next claim is conditional all the same.
+def test_unreadable_lease_still_has_one_claimant_at_a_time(content):
+    # Another writer corrupts the lease's record. A reader can't tell whether
+    # the lease is free, but the next claim is still conditional.
     async def check(store, make, clock):
         store.put('keyed.leases', 'roles', content)
         first, second = make('a'), make('b')
         tokens = [await first.acquire(), await second.acquire()]
         assert tokens.count(None) == 1
 
-    asyncio.run(stand(check))
+    asyncio.run(run_with_store(check))
 
 
-def test_refused_token_is_not_taken_up_again_from_its_own_record():
-    # An engine has seen a higher token and refuses ours. The record of our
-    # claim is still the newest in the store; read again, it would hand the
-    # refused token back, and every order under it would be refused, too.
+def test_refused_token_is_not_restored_from_its_own_record():
+    # An engine has seen a higher token and refuses this one. The record of the
+    # claim is still the newest in the store. If it were read again under the
+    # same name, it would restore the refused token, and every order with it
+    # would be refused as well.
     async def check(store, make, clock):
         first = make('a')
         token = await first.acquire()
@@ -145,11 +146,11 @@
         assert later is not None
         assert later > token
 
-    asyncio.run(stand(check))
+    asyncio.run(run_with_store(check))
 
 
-def test_duties_have_holders_of_their_own_and_no_token_in_common():
-    """Two duties in one topic: a token for one must not fit the other."""
+def test_duties_have_separate_holders_and_distinct_tokens():
+    """The duties share a topic, but a token of one must not fit another."""
 
     async def check(store, make, clock):
         leases = [make('a', 'usage'), make('b', 'scale/x'), make('a', 'roles')]
@@ -158,28 +159,28 @@
         assert len(set(tokens)) == len(tokens)
         assert [one.token() for one in leases] == tokens
 
-    asyncio.run(stand(check))
+    asyncio.run(run_with_store(check))
 
 
-def test_standby_waits_from_its_own_look():
-    """A standby that reads the lease often takes over sooner, never early."""
+def test_standby_waits_from_its_first_read():
+    """A standby's earlier reads shorten its wait, but never below the lease."""
 
     async def check(store, make, clock):
         holder, standby = make('a'), make('b')
         await holder.acquire()
-        grant = await standby.look()
+        grant = await standby.read()
         assert grant.holder == holder.holder
-        assert standby.find_wait() >= 9.5
+        assert standby.find_wait_s() >= 9.5
         clock.seconds += 5
         assert await standby.acquire() is None
         clock.seconds += 5
         assert await standby.acquire() > grant.token
 
-    asyncio.run(stand(check))
+    asyncio.run(run_with_store(check))
 
 
-def test_claim_beside_another_duty_is_tried_again():
-    """Another duty's claim gets in between the read and the append."""
+def test_claim_that_conflicts_with_another_duty_is_retried():
+    """Another duty's claim is appended between the read and the append."""
 
     async def check(store, make, clock):
         one, other = make('a', 'usage'), make('b', 'scale/x')
@@ -189,4 +190,4 @@
         assert None not in tokens
         assert len(tokens) == 2
 
-    asyncio.run(stand(check))
+    asyncio.run(run_with_store(check))
