--- a/packages/verbenahall/src/verbenahall/authentication/_lookups.py
+++ b/packages/verbenahall/src/verbenahall/authentication/_lookups.py
@@ -1,4 +1,4 @@
-"""Looks at the store once more before an unknown key is refused."""
+"""Refreshes the key table from the store before an unknown key is refused."""
 
 import asyncio
 from collections.abc import Awaitable, Callable
@@ -6,41 +6,44 @@
 
 from verbenahall.clock import Clock
 
-#: Least time between two lookups, in seconds. Guessed keys would otherwise
-#: cost a call to the store each.
-_APART_S: Final = 1.0
+#: Least time between two refreshes, in seconds. Otherwise each guessed key
+#: would cost a call to the store.
+_MIN_INTERVAL_S: Final = 1.0
 
 
 @final
 class KeyLookups:
-    """Bounds the calls that unknown keys cause.
+    """Limits the calls to the store that unknown keys cause.
 
-    ``refresh`` asks the store for newer manifests.
+    ``refresh`` reads newer manifests from the store.
     """
 
-    __slots__ = ('_asking', '_asked_at', '_clock', '_refresh')
+    __slots__ = ('_pending', '_started_at', '_clock', '_refresh')
 
     def __init__(
         self,
         refresh: Callable[[], Awaitable[bool]],
         now: Clock,
     ) -> None:
-        """Start without a lookup."""
-        self._asking: asyncio.Future[bool] | None = None
-        self._asked_at = -float('inf')
+        """Start without a call."""
+        self._pending: asyncio.Future[bool] | None = None
+        self._started_at = -float('inf')
         self._clock = now
         self._refresh = refresh
 
     async def look(self) -> bool:
-        """Ask the store, with all that wait; False when nothing was asked."""
-        if self._asking is None:
+        """Refresh the keys, sharing a call in progress.
+
+        Return False without a call if the last one was too recent.
+        """
+        if self._pending is None:
             now = self._clock()
-            if now - self._asked_at < _APART_S:
+            if now - self._started_at < _MIN_INTERVAL_S:
                 return False
-            self._asked_at = now
-            self._asking = asyncio.ensure_future(self._refresh())
-            self._asking.add_done_callback(self._note_done)
-        return await asyncio.shield(self._asking)
+            self._started_at = now
+            self._pending = asyncio.ensure_future(self._refresh())
+            self._pending.add_done_callback(self._clear_pending)
+        return await asyncio.shield(self._pending)
 
-    def _note_done(self, asked: asyncio.Future[bool]) -> None:
-        self._asking = None
+    def _clear_pending(self, finished: asyncio.Future[bool]) -> None:
+        self._pending = None
