--- a/packages/verbenahall/src/verbenahall/authentication/__init__.py
+++ b/packages/verbenahall/src/verbenahall/authentication/__init__.py
@@ -1,4 +1,4 @@
-"""API keys: whose request it is, and whether it may run."""
+"""API keys: the workspace that sends a request, and whether it may run."""
 
 from verbenahall.authentication._decisions import (
     KeyHistory,
--- a/packages/verbenahall/src/verbenahall/authentication/_decisions.py
+++ b/packages/verbenahall/src/verbenahall/authentication/_decisions.py
@@ -1,4 +1,4 @@
-"""Whether a request's key lets it run, and in whose name."""
+"""Decides whether a request may run, and for which workspace."""
 
 from typing import Final, final
 
@@ -7,13 +7,13 @@
 from verbenahall.authentication._messages import KeyTable, Workspace
 from verbenahall.errors import ErrorKind, Problem
 
-#: Retired keys that are remembered.
-_REMEMBERED: Final = 16_384
+#: Most retired keys that are kept.
+_MAX_RETIRED: Final = 16_384
 
 
 @final
 class KeyHistory:
-    """Digests of keys that were in force and are no longer."""
+    """Digests of keys that were valid and have been withdrawn."""
 
     __slots__ = ('retired',)
 
@@ -28,10 +28,10 @@
     *,
     public: bool,
 ) -> Result[Workspace | None, Problem]:
-    """Return the workspace that holds a key, or refuse the request.
+    """Return the workspace that holds a key, or a problem if it is unknown.
 
-    Success with None runs in nobody's name: no ``table`` is in force, or the
-    route is ``public`` and the key unknown.
+    Success with None means that the request runs without a workspace: no
+    ``table`` is in force, or the route is ``public`` and the key unknown.
     """
     if table is None:
         return Success(None)
@@ -47,17 +47,20 @@
     before: KeyTable | None,
     after: KeyTable | None,
 ) -> None:
-    """Remember which keys a newer table holds no more."""
+    """Record the keys that a newer table no longer holds.
+
+    Keys that are back in the newer table are removed from the history.
+    """
     old = before.holders.keys() if before else frozenset()
     new = after.holders.keys() if after else frozenset()
     for digest in old - new:
         history.retired[digest] = None
     for digest in new & history.retired.keys():
         history.retired.pop(digest)
-    while len(history.retired) > _REMEMBERED:
+    while len(history.retired) > _MAX_RETIRED:
         history.retired.pop(next(iter(history.retired)))
 
 
 def is_retired(history: KeyHistory, digest: bytes) -> bool:
-    """Whether a key was in force and is no longer."""
+    """Whether a key was valid and has been withdrawn."""
     return digest in history.retired
--- a/packages/verbenahall/src/verbenahall/authentication/_messages.py
+++ b/packages/verbenahall/src/verbenahall/authentication/_messages.py
@@ -8,7 +8,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Workspace:
-    """Who holds keys; its ``priority``, if any, goes before a route's."""
+    """A holder of keys; its ``priority``, if set, overrides the route's."""
 
     name: str
     priority: int | None = None
@@ -16,29 +16,31 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class KeyTable:
-    """Every key that is in force, by its digest.
+    """The valid keys by their digests.
 
-    The keys themselves are not kept: a lookup by digest takes the same time
-    however much of a key was guessed, and a dump of the process has no key.
+    The keys themselves are not stored. The time of a lookup by digest reveals
+    nothing about how much of a guessed key is right, and a memory dump of the
+    process contains no keys.
     """
 
     holders: Mapping[bytes, Workspace]
 
 
 #: A workspace and the keys that it holds.
-Holding = tuple[Workspace, Sequence[str]]
+WorkspaceKeys = tuple[Workspace, Sequence[str]]
 
 
 def digest_key(key: str) -> bytes:
-    """Return the digest that stands for a key."""
+    """Return the digest by which a key is stored and looked up."""
     return hashlib.sha256(key.encode('utf-8', 'surrogateescape')).digest()
 
 
-def build_key_table(rows: Iterable[Holding]) -> KeyTable:
+def build_key_table(rows: Iterable[WorkspaceKeys]) -> KeyTable:
     """Build the table from each workspace's keys.
 
-    Raises ``ValueError`` when two workspaces hold one key: whose request it
-    is could not be told. The message names the workspaces only. An example::
+    Raises ``ValueError`` if two workspaces hold the same key, since its
+    requests could not be attributed. The message names the workspaces but not
+    the key. For example::
 
         build_key_table([(Workspace('press'), ['a-key', 'another'])])
     """
