--- a/packages/verbenahall/tests/authentication/test_keys.py
+++ b/packages/verbenahall/tests/authentication/test_keys.py
@@ -1,4 +1,4 @@
-"""Whose key a request carries, and how often the store is asked for it."""
+"""Holders of API keys, withdrawn keys, and the rate of refreshes."""
 
 import asyncio
 
@@ -43,23 +43,23 @@
     assert refused.failure().kind is ErrorKind.UNAUTHORIZED
 
 
-def test_without_a_table_everybody_may_ask():
+def test_without_a_key_table_every_request_may_run():
     assert authenticate(None, b'', public=False) == Success(None)
 
 
 def test_key_of_two_workspaces_is_refused_without_being_named():
-    """Whose request it is could not be told; the message is logged."""
+    """Its requests couldn't be attributed; the logged message omits the key."""
     with pytest.raises(ValueError, match="'press' and 'club'") as caught:
         build_key_table([(PRESS, ['secret']), (CLUB, ['secret'])])
     assert 'secret' not in str(caught.value)
 
 
-def test_workspace_may_lose_all_its_keys():
+def test_workspace_may_have_no_keys():
     table = build_key_table([(PRESS, []), (CLUB, ['three'])])
     assert list(table.holders.values()) == [CLUB]
 
 
-def test_retired_keys_are_remembered_until_they_are_back():
+def test_retired_keys_are_kept_until_they_are_valid_again():
     history = KeyHistory()
     later = build_key_table([(CLUB, ['three', 'four'])])
     note_replaced(history, TABLE, later)
@@ -73,7 +73,7 @@
 
 
 class Clock:
-    """A clock that a test moves."""
+    """A clock that a test advances."""
 
     def __init__(self):
         self.seconds = 0
@@ -82,8 +82,8 @@
         return self.seconds
 
 
-def test_lookups_are_shared_and_kept_apart():
-    """Random keys would otherwise buy a call to the store each."""
+def test_refreshes_are_shared_and_limited_in_rate():
+    """Otherwise each random key would cost a call to the store."""
 
     async def check():
         calls = []
