--- a/packages/verbenahall/src/verbenahall/gateway/_duty_leases.py
+++ b/packages/verbenahall/src/verbenahall/gateway/_duty_leases.py
@@ -1,4 +1,4 @@
-"""Makes the leases on duties, all by the same bounds."""
+"""Makes the leases on duties, all with the same margin."""
 
 from typing import Final
 
@@ -7,27 +7,27 @@
 from verbenahall.duties import DutyLease
 from verbenahall.gateway._core import Core
 
-#: How much longer than the operators' bound two holders' calls are kept
-#: apart, in seconds, for what they were under way.
-_APART_S: Final = 0.5
+#: Time that is added to the operators' bound on the separation of two holders'
+#: calls, in seconds, to cover calls in transit.
+_IN_TRANSIT_S: Final = 0.5
 
 
-def find_apart_s(core: Core) -> float:
-    """Return how far apart the calls of two holders are kept, in seconds."""
-    return core.settings.bounds.lease_s + _APART_S
+def find_separation_s(core: Core) -> float:
+    """Return the least time between two holders' calls, in seconds."""
+    return core.settings.bounds.lease_s + _IN_TRANSIT_S
 
 
 def make_lease(core: Core, duty: str, lease_s: float) -> DutyLease:
-    """Stand for the lease on a duty, which holds for ``lease_s`` seconds.
+    """Return a candidate for a duty's lease that lasts ``lease_s`` seconds.
 
     The margin keeps two holders' calls further apart than the operators' bound,
-    so that they are never seen to take turns.
+    so that the calls of two holders never appear interleaved.
     """
     return DutyLease(
         core.store,
         duty,
         core.settings.name,
-        LeaseTiming(lease_s, margin_s=find_apart_s(core)),
+        LeaseTiming(lease_s, margin_s=find_separation_s(core)),
         core.random.random(),
         clock.boottime,
     )
--- a/packages/verbenahall/tests/gateway/test_roles.py
+++ b/packages/verbenahall/tests/gateway/test_roles.py
@@ -1,12 +1,12 @@
-"""Instances leave the engines' roles to whoever is at work on them."""
+"""Role changes by other instances, and engines that can't fill a role."""
 
 import dataclasses
 
 from verbenahall.fleet import Role
 from verbenahall.gateway._hooks import name_start
-from verbenahall.gateway._orders import _Progress
+from verbenahall.gateway._orders import _RoleObserver
 from verbenahall.roster import Entry
-from verbenahall.throttling import note_rate
+from verbenahall.throttling import record_rate
 
 from .conftest import make_engines, open_desk, run
 
@@ -20,31 +20,32 @@
 )
 
 
-def test_changed_role_is_progress():
-    """Somebody orders changes, round after round.
+def test_changed_role_is_detected():
+    """Another instance orders role changes in several rounds.
 
-    Taken for idle, it was joined by the next instance every few seconds, and
-    each of them read the lease from the store three times a second.
+    When this was not detected, a further instance started to order changes
+    every few seconds, and each one read the lease from the store three times a
+    second.
     """
-    progress = _Progress()
+    observer = _RoleObserver()
     changed = dataclasses.replace(ENGINE, role=Role.PREFILL)
 
-    assert not progress.note('drafter', [ENGINE])
-    assert progress.note('drafter', [changed])
-    assert not progress.note('drafter', [changed])
+    assert not observer.update('drafter', [ENGINE])
+    assert observer.update('drafter', [changed])
+    assert not observer.update('drafter', [changed])
 
 
-def test_engine_that_comes_or_goes_is_no_progress():
-    """Engines crash and start though nobody orders anything."""
-    progress = _Progress()
-    progress.note('drafter', [ENGINE])
+def test_engine_that_joins_or_leaves_is_no_role_change():
+    """Engines crash and start without any order."""
+    observer = _RoleObserver()
+    observer.update('drafter', [ENGINE])
 
-    assert not progress.note('drafter', [])
-    assert not progress.note('drafter', [ENGINE])
+    assert not observer.update('drafter', [])
+    assert not observer.update('drafter', [ENGINE])
 
 
-def test_engines_that_name_a_rate_leave_their_role_to_others(tmp_path):
-    """All that generate take two requests a second; the others only read."""
+def test_engines_with_a_rate_limit_are_replaced_in_their_role(tmp_path):
+    """All decode engines accept two requests a second; the rest are prefill."""
 
     async def check():
         engines = make_engines(readers=4, generators=2)
@@ -52,7 +53,7 @@
             core = desk.gateway.core
             for engine in engines[4:]:
                 seat = core.roster.seats[engine.name]
-                note_rate(core.rates, name_start(seat.entry), 2, core.now())
+                record_rate(core.rates, name_start(seat.entry), 2, core.now())
             await desk.until(
                 lambda: any(one.orders for one in engines[:4]),
                 within_s=12,
