--- a/packages/verbenahall/src/verbenahall/gateway/_probes.py
+++ b/packages/verbenahall/src/verbenahall/gateway/_probes.py
@@ -1,4 +1,4 @@
-"""Tries endpoints that could not be reached, beside the requests."""
+"""Probes unreachable endpoints in the background."""
 
 import asyncio
 import enum
@@ -7,19 +7,20 @@
 from verbenahall import journal
 from verbenahall.gateway._core import Core
 
-#: How often endpoints that cannot be reached are tried, in seconds. They are
-#: missed until a try gets through.
-_EVERY_S: Final = 0.4
-#: A connection inside of a region is there within a few milliseconds.
-_CONNECT_S: Final = 0.3
+#: Interval between probes of unreachable endpoints, in seconds. They receive no
+#: requests until a probe succeeds.
+_PROBE_INTERVAL_S: Final = 0.4
+#: Timeout of a probe, in seconds; within a region a connection is established
+#: in a few milliseconds.
+_CONNECT_TIMEOUT_S: Final = 0.3
 
 
 @final
 class Contact(enum.Enum):
-    """What became of an attempt to connect to an endpoint.
+    """The outcome of an attempt to connect to an endpoint.
 
-    A machine refuses at once where nobody listens. Silence may be the
-    network's.
+    A machine refuses at once if no process listens on the port. No response
+    may also be caused by the network.
     """
 
     LISTENS = 'listens'
@@ -28,10 +29,10 @@
 
 
 async def contact(address: str) -> Contact:
-    """Connect to an endpoint and close the connection again."""
+    """Connect to an endpoint, close the connection, return the outcome."""
     host, _, port = address.rpartition(':')
     try:
-        async with asyncio.timeout(_CONNECT_S):
+        async with asyncio.timeout(_CONNECT_TIMEOUT_S):
             _, writer = await asyncio.open_connection(host, int(port))
     except ConnectionRefusedError:
         return Contact.REFUSES
@@ -42,19 +43,19 @@
 
 
 @final
-class Probes:
-    """Connects to avoided endpoints, so that no request has to try them."""
+class EndpointProber:
+    """Probes avoided endpoints so that no request has to be risked on them."""
 
     __slots__ = ('_core',)
 
     def __init__(self, core: Core) -> None:
-        """Look at the core's standings."""
+        """Probe the endpoints that the core records as unreachable."""
         self._core = core
 
     async def run(self) -> None:
         """Probe until cancelled."""
         while True:
-            await asyncio.sleep(_EVERY_S)
+            await asyncio.sleep(_PROBE_INTERVAL_S)
             avoided = self._core.standings.unreachable(self._core.now())
             await asyncio.gather(*(self._probe(name) for name in avoided))
 
