--- a/packages/verbenahall/src/verbenahall/gateway/_readiness.py
+++ b/packages/verbenahall/src/verbenahall/gateway/_readiness.py
@@ -1,4 +1,4 @@
-"""Whether this instance should take new callers."""
+"""Decides whether this instance should receive new callers."""
 
 import asyncio
 from typing import Final, final
@@ -10,74 +10,77 @@
 from verbenahall.gateway._core import Core
 from verbenahall.peers import find_heard, tell_whom
 
-#: A service must have been without an endpoint for this long, in seconds,
-#: until the instance gives its callers to others.
-_MISSED_S: Final = 0.4
-#: How often it is judged, in seconds; the balancer asks once a second.
-_EVERY_S: Final = 0.1
-#: Peers that were heard within this time can be reached, in seconds.
-_HEARD_S: Final = 1.0
+#: How long a service must have had no reachable endpoint before the instance
+#: reports that it is not ready, in seconds.
+_UNREACHABLE_S: Final = 0.4
+#: Interval between checks, in seconds; the load balancer asks once a second.
+_CHECK_INTERVAL_S: Final = 0.1
+#: A peer counts as reachable for this long after its last heartbeat, in
+#: seconds.
+_PEER_TIMEOUT_S: Final = 1.0
 
 
 @final
 class Readiness:
-    """Ready while requests can be routed, and can be served somewhere.
+    """Readiness: requests can be routed and every service can be reached.
 
-    An instance that is cut off with too few endpoints on its side would
-    refuse its callers for as long as the cut lasts. Not ready, it has the
-    balancer send them to instances on the other side.
+    An instance on the smaller side of a network partition may have too few
+    endpoints and would refuse its callers until the partition heals. If it
+    reports that it is not ready, the load balancer sends the callers to
+    instances on the other side.
     """
 
-    __slots__ = ('_core', '_missing_since', '_told')
+    __slots__ = ('_core', '_unreachable_since', '_accepts_callers')
 
     def __init__(self, core: Core) -> None:
-        """Judge by the core's endpoints and the peers that are heard."""
+        """Use the core's endpoints and the heartbeats of its peers."""
         self._core = core
-        self._missing_since: float | None = None
-        self._told = True
+        self._unreachable_since: float | None = None
+        self._accepts_callers = True
 
     @property
     def ready(self) -> bool:
-        """Whether new callers should come."""
-        return self._core.ready and self._told
+        """Whether this instance should receive new callers."""
+        return self._core.ready and self._accepts_callers
 
     async def run(self) -> None:
-        """Judge until cancelled."""
+        """Check at regular intervals until cancelled."""
         while True:
             self.check()
-            await asyncio.sleep(_EVERY_S)
+            await asyncio.sleep(_CHECK_INTERVAL_S)
 
     async def close_connection(
         self,
         request: web.Request,
         response: web.StreamResponse,
     ) -> None:
-        """Have callers with open connections come back elsewhere, too."""
+        """Close callers' open connections, so that they reconnect elsewhere."""
         if not self.ready:
             response.headers[hdrs.CONNECTION] = 'close'
             response.force_close()
 
     def check(self) -> bool:
-        """Judge anew and return whether new callers should come."""
-        ready = self._core.ready and not self._is_better_left()
-        if ready != self._told:
+        """Update the state; return whether new callers should be received."""
+        ready = self._core.ready and not self._should_yield()
+        if ready != self._accepts_callers:
             journal.write_decision('ready' if ready else 'not_ready')
-        self._told = ready
+        self._accepts_callers = ready
         return ready
 
-    def _is_better_left(self) -> bool:
+    def _should_yield(self) -> bool:
         now = self._core.now()
         if self._can_serve(now):
-            self._missing_since = None
+            self._unreachable_since = None
             return False
-        if self._missing_since is None:
-            self._missing_since = now
+        if self._unreachable_since is None:
+            self._unreachable_since = now
         book = self._core.book
-        known = len(tell_whom(book))
-        heard = len(find_heard(book, now, _HEARD_S))
-        # When the endpoints are down for everybody, others are no better.
-        is_alone = known > 1 and heard < known / 2
-        return is_alone and now - self._missing_since >= _MISSED_S
+        peer_count = len(tell_whom(book))
+        live_count = len(find_heard(book, now, _PEER_TIMEOUT_S))
+        # If most peers are reachable, the endpoints are probably down for them
+        # as well, and callers would fare no better there.
+        is_minority = peer_count > 1 and live_count < peer_count / 2
+        return is_minority and now - self._unreachable_since >= _UNREACHABLE_S
 
     def _can_serve(self, now: float) -> bool:
         catalog = self._core.catalog.catalog
@@ -86,16 +89,17 @@
         )
 
     def _is_reachable(self, service: str, now: float) -> bool:
-        """Whether a service's requests can end somewhere.
+        """Whether a service has a reachable endpoint that sends responses.
 
-        One that lists no endpoint at all is missed by every instance.
+        A service without any listed endpoint counts as reachable: no other
+        instance could serve it either.
         """
-        ends = [
+        final_endpoints = [
             entry
             for entry in self._core.roster.live(service, now)
             if entry.role is not Role.PREFILL
         ]
         standings = self._core.standings
-        return not ends or any(
-            standings.reachable(entry.name, now) for entry in ends
+        return not final_endpoints or any(
+            standings.reachable(entry.name, now) for entry in final_endpoints
         )
