--- a/packages/verbenahall/src/verbenahall/gateway/_serve.py
+++ b/packages/verbenahall/src/verbenahall/gateway/_serve.py
@@ -1,4 +1,4 @@
-"""Runs the entry instance on the platform: listeners, followers, stop."""
+"""Runs an entry instance: its listeners, background loops and stop."""
 
 import asyncio
 import functools
@@ -21,10 +21,10 @@
 from verbenahall.gateway._dispatch import Dispatch
 from verbenahall.gateway._following import follow_store
 from verbenahall.gateway._ingress import Ingress
-from verbenahall.gateway._orders import RoleKeeper
+from verbenahall.gateway._orders import RoleController
 from verbenahall.gateway._peers import PeerFinder
 from verbenahall.gateway._permits import Permits
-from verbenahall.gateway._probes import Probes
+from verbenahall.gateway._probes import EndpointProber
 from verbenahall.gateway._readiness import Readiness
 from verbenahall.gateway._refresh import Refresher
 from verbenahall.gateway._scheduler import Scheduling
@@ -39,28 +39,31 @@
 from verbenahall.shutdown import GracefulStop, StopTiming
 from verbenahall.supervisor import Supervisor
 
-#: Bytes of one line or header that the HTTP library takes; the manifest's
-#: own bound on all of them is lower and changes while connections are open.
-_LINE_BYTES: Final = 65_536
-_BODY_BYTES: Final = 67_108_864
-_CONNECTIONS: Final = 3000
-#: Connections that bring no request are closed after this time, in seconds:
-#: the idle time of callers' and balancers' connections elsewhere.
+#: Longest line or header that the HTTP library accepts, in bytes; the
+#: manifest's limit on all headers is lower and changes while connections are
+#: open.
+_MAX_LINE_BYTES: Final = 65_536
+_MAX_BODY_BYTES: Final = 67_108_864
+_MAX_CONNECTIONS: Final = 3000
+#: A new connection without a request is closed after this time, in seconds: the
+#: usual idle timeout of callers and load balancers.
 _FIRST_REQUEST_S: Final = 60.0
-#: The platform asks for readiness once a second and takes an instance out
-#: after two misses; new connections may arrive until then.
-_NOTICE_S: Final = 3.0
-#: How long log lines are collected before they are written, in seconds.
+#: How long new connections are accepted after the stop begins, in seconds: the
+#: platform checks readiness once a second and removes an instance after two
+#: failed checks.
+_READINESS_NOTICE_S: Final = 3.0
+#: Interval at which buffered log lines are written, in seconds.
 _FLUSH_S: Final = 0.2
-#: Time for the process to exit within the platform's grace, in seconds.
+#: Part of the platform's grace period that is kept for the exit of the process,
+#: in seconds.
 _EXIT_S: Final = 0.8
 
 
 @final
 class Gateway:
-    """One entry instance on a running loop.
+    """An entry instance on the running event loop.
 
-    An example, for settings that were read::
+    For example, with settings that have been read::
 
         gateway = Gateway(settings)
         await gateway.open()
@@ -69,9 +72,9 @@
     """
 
     def __init__(self, settings: ProcessSettings) -> None:
-        """Build the parts; nothing listens before ``open``."""
+        """Build the components; nothing listens before ``open``."""
         self.core = Core(settings)
-        self.stop = GracefulStop(_time_stop(settings))
+        self.stop = GracefulStop(_make_stop_timing(settings))
         self.finder = PeerFinder(self.core)
         self.scheduling = Scheduling(self.core, self.finder.exchange)
         self.scheduling.scheduler.stopping = self._is_stopping
@@ -85,7 +88,7 @@
         self._runners: list[web.AppRunner] = []
 
     async def open(self) -> None:
-        """Listen and start the loops."""
+        """Open the listeners and start the background loops."""
         readiness = Readiness(self.core)
         self._runners = [
             await _serve_readiness(self.core, readiness, self.stop),
@@ -101,7 +104,7 @@
         journal.write_decision('started', instance=self.core.settings.name)
 
     async def close(self) -> None:
-        """Stop the loops and close every connection."""
+        """Stop the background loops and close every connection."""
         self._usage.tell_last()
         await self._supervisor.stop()
         closing = [runner.cleanup() for runner in self._runners]
@@ -123,10 +126,10 @@
         return self.stop.stopping
 
     def _start_loops(self, readiness: Readiness) -> None:
-        keeper = RoleKeeper(self.core)
+        role_controller = RoleController(self.core)
         exchange = self.finder.exchange
         by_topic = self._followers
-        exchange.changing = keeper.changing
+        exchange.changing = role_controller.changing
         loops = {
             **{topic: one.run for topic, one in by_topic.items()},
             **{
@@ -135,14 +138,14 @@
             },
             'peers': self.finder.run,
             'scheduler': self.scheduling.scheduler.run,
-            'roles': keeper.run,
+            'roles': role_controller.run,
             'readiness': readiness.run,
             'crashes': self.crashes.run,
             'crash reports': self.reports.run,
             'permits': self.permits.run,
-            'probes': Probes(self.core).run,
+            'probes': EndpointProber(self.core).run,
             'beliefs': Beliefs(self.core).run,
-            'lines': _flush_lines,
+            'lines': _flush_log,
         }
         if reports_usage(self.core.settings):
             loops['usage'] = make_usage_reporter(self.core, self._usage).run
@@ -154,20 +157,20 @@
 
 @final
 class GatewayService(aiomisc.Service):
-    """The gateway as a service of aiomisc's entrypoint."""
+    """Runs the gateway as a service of aiomisc's entrypoint."""
 
     def __init__(self, settings: ProcessSettings) -> None:
-        """Prepare; parts are built on the loop that runs them."""
+        """Store the settings; ``start`` builds the gateway on its own loop."""
         super().__init__()
         self._settings = settings
         self._ended = asyncio.Event()
 
     async def start(self) -> None:
-        """Serve until the graceful stop has gone through."""
+        """Serve until the graceful stop has finished."""
         gateway = Gateway(self._settings)
         await gateway.open()
         self.start_event.set()
-        _note_hangup()
+        _handle_hangup()
         await gateway.stop.run()
         await gateway.close()
         self._ended.set()
@@ -178,14 +181,14 @@
 
 
 def serve(settings: ProcessSettings) -> None:
-    """Run the instance until it is stopped."""
+    """Run an entry instance until the process is stopped."""
     run_service(GatewayService(settings), settings.bounds.grace_s)
 
 
-def _time_stop(settings: ProcessSettings) -> StopTiming:
+def _make_stop_timing(settings: ProcessSettings) -> StopTiming:
     return StopTiming(
         grace_s=settings.bounds.grace_s - _EXIT_S,
-        notice_s=_NOTICE_S,
+        notice_s=_READINESS_NOTICE_S,
         linger_s=1.0,
         hand_over_s=0.1,
     )
@@ -197,29 +200,29 @@
     stop: GracefulStop,
     ingress: Ingress,
 ) -> web.AppRunner:
-    app = web.Application(client_max_size=_BODY_BYTES)
+    app = web.Application(client_max_size=_MAX_BODY_BYTES)
     stop.add_to(app)
     app.on_response_prepare.append(readiness.close_connection)
     app.router.add_route('*', '/{path:.*}', ingress.handle)
     limits = LimitsConfig(
-        body_bytes=_BODY_BYTES,
-        header_bytes=_LINE_BYTES,
+        body_bytes=_MAX_BODY_BYTES,
+        header_bytes=_MAX_LINE_BYTES,
         json_depth=0,
-        connections=_CONNECTIONS,
+        connections=_MAX_CONNECTIONS,
         body_timeout_s=_FIRST_REQUEST_S,
         queue_per_priority=0,
         queue_per_workspace=0,
         in_flight_per_engine=0,
         default_deadline_s=0,
     )
-    runner = Runner(app, limits, functools.partial(_read_patience, core))
+    runner = Runner(app, limits, functools.partial(_find_read_timeouts, core))
     site = await listen(runner, core.settings.callers)
     stop.hooks.close.append(site.stop)
     return runner
 
 
-def _read_patience(core: Core) -> Patience:
-    """Return the bounds of the manifest in force."""
+def _find_read_timeouts(core: Core) -> Patience:
+    """Return the read timeouts of the manifest in force."""
     catalog = core.catalog.catalog
     if catalog is None:
         return Patience(_FIRST_REQUEST_S, _FIRST_REQUEST_S, _FIRST_REQUEST_S)
@@ -237,7 +240,9 @@
     stop: GracefulStop,
 ) -> web.AppRunner:
     app = web.Application()
-    app.router.add_get(READY, functools.partial(_tell_ready, readiness, stop))
+    app.router.add_get(
+        READY, functools.partial(_handle_readiness, readiness, stop)
+    )
     runner = web.AppRunner(app, access_log=None)
     await listen(runner, core.settings.readiness)
     return runner
@@ -251,7 +256,7 @@
     return runner
 
 
-async def _tell_ready(
+async def _handle_readiness(
     readiness: Readiness,
     stop: GracefulStop,
     request: web.Request,
@@ -261,14 +266,14 @@
     return web.Response(status=status)
 
 
-async def _flush_lines() -> None:
+async def _flush_log() -> None:
     while True:
         journal.flush()
         await asyncio.sleep(_FLUSH_S)
 
 
-def _note_hangup() -> None:
-    """Go on at SIGHUP, whose default would end the process."""
+def _handle_hangup() -> None:
+    """Log SIGHUP instead of ending the process, which is its default."""
     loop = asyncio.get_running_loop()
     loop.add_signal_handler(
         signal.SIGHUP,
