--- a/packages/verbenahall/src/verbenahall/gateway/_limits.py
+++ b/packages/verbenahall/src/verbenahall/gateway/_limits.py
@@ -1,4 +1,4 @@
-"""The manifest's bounds on what callers send, and how long they take."""
+"""Enforces the manifest's limits on the size and pace of requests."""
 
 import asyncio
 from typing import Final
@@ -9,15 +9,15 @@
 from verbenahall.catalog import Limits
 from verbenahall.errors import ErrorKind, Problem
 
-#: Bytes of a field's line beside its name and its content.
-_FIELD_BYTES: Final = len(': \r\n')
+#: Bytes of a header line beside the header's name and value.
+_SEPARATOR_BYTES: Final = len(': \r\n')
 
 
 async def read_within(
     request: web.Request,
     limits: Limits,
 ) -> Result[bytes, Problem]:
-    """Return the body of a request that keeps to the bounds."""
+    """Return a request's body, or the limit that the request exceeds."""
     head = _check_head(request, limits)
     if isinstance(head, Failure):
         return head
@@ -25,14 +25,14 @@
 
 
 def _check_head(request: web.Request, limits: Limits) -> Result[None, Problem]:
-    """Hold the whole head against the bound; the library bounds each line."""
+    """Check the size of the whole head; the library only limits each line."""
     size = len(request.raw_path) + sum(
-        len(name) + len(line) + _FIELD_BYTES
+        len(name) + len(line) + _SEPARATOR_BYTES
         for name, line in request.raw_headers
     )
     if size <= limits.header_bytes:
         return Success(None)
-    message = f'the head has more than {limits.header_bytes} bytes'
+    message = f'the headers have more than {limits.header_bytes} bytes'
     return Failure(Problem(ErrorKind.HEADERS_TOO_LARGE, message))
 
 
@@ -40,20 +40,20 @@
     request: web.Request,
     limits: Limits,
 ) -> Result[bytes, Problem]:
-    """Read a whole body within the bounds on its size and its pauses."""
-    pieces = bytearray()
+    """Read a whole body within the limits on its size and idle time."""
+    body = bytearray()
     try:
-        async with asyncio.timeout(limits.idle_timeout_s) as pause:
-            async for piece in request.content.iter_any():
-                pieces += piece
-                if len(pieces) > limits.body_bytes:
+        async with asyncio.timeout(limits.idle_timeout_s) as timer:
+            async for chunk in request.content.iter_any():
+                body += chunk
+                if len(body) > limits.body_bytes:
                     message = (
                         f'the body has more than {limits.body_bytes} bytes'
                     )
                     return Failure(Problem(ErrorKind.TOO_LARGE, message))
                 now = asyncio.get_running_loop().time()
-                pause.reschedule(now + limits.idle_timeout_s)
+                timer.reschedule(now + limits.idle_timeout_s)
     except TimeoutError:
-        message = f'no more of the body came for {limits.idle_timeout_s} s'
+        message = f'no body bytes received for {limits.idle_timeout_s} s'
         return Failure(Problem(ErrorKind.REQUEST_TIMEOUT, message))
-    return Success(bytes(pieces))
+    return Success(bytes(body))
