--- a/packages/verbenahall/src/verbenahall/gateway/_hooks.py
+++ b/packages/verbenahall/src/verbenahall/gateway/_hooks.py
@@ -1,7 +1,7 @@
-"""What senders ask before a send, and tell of its end.
+"""Interfaces that senders call before a send and after its end.
 
-The parts that answer are built after the core, and are none in tests of other
-parts.
+The implementations are built after the core and replace the defaults here;
+tests of other modules run with the defaults.
 """
 
 from typing import Protocol, final
@@ -12,12 +12,12 @@
 
 
 class RateLimiter(Protocol):
-    """Holds back what an endpoint cannot take."""
+    """Delays or refuses sends beyond the rate that an endpoint accepts."""
 
     async def acquire(self, endpoint: Entry, left_s: float) -> Limited | None:
-        """Wait until a request may leave; Limited if that takes too long.
+        """Wait for a permit; return Limited if that would take too long.
 
-        ``left_s`` seconds are left for its answer.
+        ``left_s`` is the time left for the response, in seconds.
         """
 
     def note_answer(
@@ -26,17 +26,17 @@
         facts: AnswerFacts,
         sent_at: float,
     ) -> None:
-        """Note what an answer to a request sent at a time names."""
+        """Record the rate in the response to a request sent at ``sent_at``."""
 
 
 @final
 class NoLimiter:
-    """Holds back nothing."""
+    """A rate limiter that permits every send."""
 
     __slots__ = ()
 
     async def acquire(self, endpoint: Entry, left_s: float) -> Limited | None:
-        """Let every request leave."""
+        """Permit the send at once."""
 
     def note_answer(
         self,
@@ -44,32 +44,32 @@
         facts: AnswerFacts,
         sent_at: float,
     ) -> None:
-        """Learn nothing."""
+        """Ignore the response."""
 
 
 class CrashObserver(Protocol):
-    """Learns which requests ran where a connection was lost."""
+    """Receives lost connections and complete responses of requests."""
 
     def note_lost(self, fingerprint: str, endpoint: Entry) -> None:
-        """Note a connection that was lost with a request on it."""
+        """Record a connection that was lost while a request was open."""
 
     def note_answered(self, fingerprint: str) -> None:
-        """Note that a request was answered whole."""
+        """Record that a request received a complete response."""
 
 
 @final
 class NoObserver:
-    """Learns nothing."""
+    """A crash observer that ignores everything."""
 
     __slots__ = ()
 
     def note_lost(self, fingerprint: str, endpoint: Entry) -> None:
-        """Learn nothing."""
+        """Ignore the lost connection."""
 
     def note_answered(self, fingerprint: str) -> None:
-        """Learn nothing."""
+        """Ignore the response."""
 
 
 def name_start(endpoint: Entry) -> str:
-    """Return a name that another start of the endpoint does not have."""
+    """Return a name that identifies this incarnation of an endpoint."""
     return f'{endpoint.name}/{endpoint.born}'
