--- a/packages/verbenahall/src/verbenahall/gateway/_scaling.py
+++ b/packages/verbenahall/src/verbenahall/gateway/_scaling.py
@@ -1,4 +1,4 @@
-"""Puts the scaler of an instance together."""
+"""Builds the scaler of an instance."""
 
 from collections.abc import Mapping
 from typing import Final
@@ -21,17 +21,18 @@
     Surroundings,
 )
 
-#: How often a holder is looked after, in seconds; it renews its lease sooner.
-_PERIOD_S: Final = 6.0
+#: Interval at which standbys check the holder, in seconds; the holder renews
+#: its lease more often.
+_RENEWAL_PERIOD_S: Final = 6.0
 
 
 def scales_engines(settings: ProcessSettings) -> bool:
-    """Whether the operators want engines to be ordered."""
+    """Whether the settings have instances order engines from the platform."""
     return SCALE_DUTY in settings.duties and bool(settings.duty_api)
 
 
 def make_scaler(core: Core) -> Scaler:
-    """Scale for all instances, in turn with them."""
+    """Return the scaler; one instance at a time holds the duty for all."""
     settings = core.settings
     lease = make_lease(core, DUTY, LEASE_S)
     return Scaler(
@@ -40,7 +41,9 @@
             store=core.store,
             calls=DutyCalls(core.session, settings.duty_api),
             lease=lease,
-            succession=Succession(lease, core.book, core.now, _PERIOD_S),
+            succession=Succession(
+                lease, core.book, core.now, _RENEWAL_PERIOD_S
+            ),
             list_rules=lambda: _list_rules(core),
             list_engines=lambda name: list(core.roster.live(name, core.now())),
             is_listed=lambda: _is_listed(core),
@@ -50,11 +53,11 @@
 
 
 def _is_listed(core: Core) -> bool:
-    """Whether the store has confirmed the engines without a break lately."""
+    """Whether the list of engines is fresh and was not interrupted lately."""
     now = core.now()
     freshness = core.freshness[ENDPOINTS_TOPIC]
-    is_young = freshness.find_age(now) <= freshness.usable_s
-    return is_young and not was_cut_off(core.roster, now)
+    is_fresh = freshness.find_age(now) <= freshness.usable_s
+    return is_fresh and not was_cut_off(core.roster, now)
 
 
 def _list_rules(core: Core) -> Mapping[str, ScalingRules]:
--- a/packages/verbenahall/src/verbenahall/gateway/_usage.py
+++ b/packages/verbenahall/src/verbenahall/gateway/_usage.py
@@ -1,4 +1,4 @@
-"""Puts the usage reporter of an instance together."""
+"""Builds the usage reporter of an instance."""
 
 from verbenahall.duties import Succession
 from verbenahall.gateway._core import Core
@@ -17,14 +17,17 @@
 
 
 def reports_usage(settings: ProcessSettings) -> bool:
-    """Whether the operators want usage reports."""
+    """Whether the settings have instances report usage."""
     bounds = settings.bounds
-    wanted = USAGE_DUTY in settings.duties and bool(settings.duty_api)
-    return wanted and bounds.usage_window_s > 0 and bounds.usage_late_s > 0
+    enabled = USAGE_DUTY in settings.duties and bool(settings.duty_api)
+    return enabled and bounds.usage_window_s > 0 and bounds.usage_late_s > 0
 
 
 def make_usage_exchange(core: Core, exchange: PeerExchange) -> UsageExchange:
-    """Answer whoever gathers counts, from now on."""
+    """Return the exchange that sends usage counts to the reporting instance.
+
+    It handles requests from the moment that it is built.
+    """
     return UsageExchange(
         exchange,
         core.book,
@@ -35,7 +38,7 @@
 
 
 def make_usage_reporter(core: Core, usage: UsageExchange) -> UsageReporter:
-    """Report for all instances, in turn with them."""
+    """Return the reporter; one instance at a time holds the duty for all."""
     settings = core.settings
     bounds = settings.bounds
     windows = Windows(bounds.usage_window_s, bounds.usage_late_s)
