--- a/packages/verbenahall/src/verbenahall/gateway/__init__.py
+++ b/packages/verbenahall/src/verbenahall/gateway/__init__.py
@@ -1,4 +1,4 @@
-"""The request path on the users' platform, and the process that runs it."""
+"""The entry instance: the request path and the process that runs it."""
 
 from verbenahall.gateway._serve import Gateway, serve
 
--- a/packages/verbenahall/src/verbenahall/gateway/__main__.py
+++ b/packages/verbenahall/src/verbenahall/gateway/__main__.py
@@ -1,4 +1,4 @@
-"""Runs the entry instance by the platform's own settings file."""
+"""Runs an entry instance with the platform's settings file."""
 
 import os
 import sys
@@ -10,7 +10,7 @@
 
 
 def main() -> int:
-    """Serve, or tell what is wrong with the settings."""
+    """Serve, or print the faults of the settings and return 1."""
     match read_settings(find_settings_path(os.environ)):
         case Success(settings):
             journal.start_stdout()
