--- a/packages/verbenahall/tests/gateway/test_duties.py
+++ b/packages/verbenahall/tests/gateway/test_duties.py
@@ -1,4 +1,4 @@
-"""Usage and scaling through a whole instance, over real sockets."""
+"""Usage reports and scaling by a whole instance, over real sockets."""
 
 import asyncio
 import collections
@@ -8,7 +8,7 @@
 
 from .conftest import PREFIX, make_engines, make_plain, open_desk, run
 
-TENANTS = (
+WORKSPACES = (
     {'name': 'club', 'apiKeys': ['club-key']},
     {'name': 'council', 'apiKeys': ['council-key']},
 )
@@ -23,8 +23,8 @@
 
 
 def make_site(engines=(), plain=(), **autoscale):
-    """Return a site whose callers need keys, and its duty interface."""
-    site = Site(engines, plain, {'tenants': TENANTS})
+    """Return a site whose callers need API keys, and its duty interface."""
+    site = Site(engines, plain, {'tenants': WORKSPACES})
     if autoscale:
         site.manifest['services'] = site.list_services(drafter=autoscale)
     return site, DutyStandIn(site)
@@ -32,7 +32,7 @@
 
 @contextlib.asynccontextmanager
 async def open_site(folder, site, duties):
-    """Run a gateway before a site that has duties."""
+    """Run a gateway in front of a site that has duties."""
     await site.start()
     try:
         async with open_desk(folder, site=site, duties=duties) as desk:
@@ -41,16 +41,16 @@
         await site.stop()
 
 
-async def ask(desk, number, path):
-    """Ask in the name of one of the workspaces."""
-    tenant = TENANTS[number % len(TENANTS)]
+async def send_as_workspace(desk, number, path):
+    """Send a request with the key of one of the workspaces."""
+    tenant = WORKSPACES[number % len(WORKSPACES)]
     headers = {f'{PREFIX}Key': tenant['apiKeys'][0]}
     status, _, _ = await desk.ask(path, f'r-{number}', headers=headers)
     return tenant['name'], status
 
 
 def sum_reports(duties):
-    """Return what was reported of each workspace."""
+    """Return each workspace's total over all reports."""
     total = collections.Counter()
     for counts in duties.reports.values():
         total.update(counts)
@@ -58,33 +58,33 @@
 
 
 def test_usage_of_streams_and_plain_requests_is_reported(tmp_path):
-    """Every request that began is in one window's report, and in one only."""
+    """Every request that started is in the report of exactly one window."""
 
     async def check():
         site, duties = make_site(make_engines(), make_plain(1))
         async with open_site(tmp_path, site, duties) as desk:
-            asked = collections.Counter()
+            sent = collections.Counter()
             for number in range(40):
                 path = ('/proof/1', '/summary/1')[number // 2 % 2]
-                name, status = await ask(desk, number, path)
+                name, status = await send_as_workspace(desk, number, path)
                 assert status == 200
-                asked[name] += 1
+                sent[name] += 1
                 await asyncio.sleep(0.02)
-            await desk.until(lambda: sum_reports(duties) == asked, 12)
+            await desk.until(lambda: sum_reports(duties) == sent, 12)
             assert not duties.broken
 
     run(check())
 
 
-def test_report_that_the_platform_took_late_is_not_changed(tmp_path):
-    """A call gets no answer and is carried out after it was repeated."""
+def test_report_that_the_platform_accepted_late_is_not_changed(tmp_path):
+    """A call times out, is repeated, and the first one is carried out late."""
 
     async def check():
         site, duties = make_site(plain=make_plain(1))
         async with open_site(tmp_path, site, duties) as desk:
             duties.faults.late_s = 0.7
             for number in range(10):
-                await ask(desk, number, '/proof/1')
+                await send_as_workspace(desk, number, '/proof/1')
             await desk.until(lambda: duties.reports, 12)
             duties.faults.late_s = 0
             await desk.until(lambda: sum(sum_reports(duties).values()) == 10)
@@ -93,8 +93,8 @@
     run(check())
 
 
-def test_engines_on_demand_give_way_to_spot_instances_unnoticed(tmp_path):
-    """Spot instances come first, then the others leave; nobody is refused."""
+def test_spot_instances_replace_on_demand_engines_without_errors(tmp_path):
+    """Spot instances start before on-demand ones leave; no request fails."""
 
     async def check():
         site, duties = make_site(make_engines(), **AUTOSCALE)
@@ -105,20 +105,20 @@
             number = 0
             while duties.pools.count(on_demand) or not statuses:
                 number += 1
-                _, status = await ask(desk, number, '/summary/1')
+                _, status = await send_as_workspace(desk, number, '/summary/1')
                 statuses[status] += 1
                 assert number < 1000
                 await asyncio.sleep(0.02)
             assert set(statuses) == {200}
-            # Three engines outlive the loss of two data centres.
+            # Three engines remain after the loss of two data centres.
             assert [duties.pools.count(pool) for pool in spot] == [3, 3, 3]
             assert not duties.broken
 
     run(check())
 
 
-def test_pool_without_engines_is_made_up_for(tmp_path):
-    """No data centre but one has spot instances to give."""
+def test_exhausted_pool_is_compensated_by_another(tmp_path):
+    """Only one data centre has spot instances available."""
 
     async def check():
         site, duties = make_site(make_engines(), **AUTOSCALE)
@@ -140,7 +140,7 @@
 
 
 def test_reclaimed_engines_leave_without_a_broken_stream(tmp_path):
-    """All spot instances of a data centre go at once, after a notice."""
+    """All spot instances of a data centre are reclaimed after a notice."""
 
     async def check():
         site, duties = make_site(make_engines(), **AUTOSCALE)
@@ -149,7 +149,7 @@
             await desk.until(lambda: duties.pools.count(pool) == 3, 12)
             reclaim = asyncio.create_task(duties.pools.reclaim('cardigan', 0.5))
             for number in range(30):
-                _, status = await ask(desk, number, '/summary/1')
+                _, status = await send_as_workspace(desk, number, '/summary/1')
                 assert status == 200
                 await asyncio.sleep(0.02)
             await reclaim
@@ -159,7 +159,7 @@
 
 
 def test_entries_that_lapse_with_the_store_order_no_engines(tmp_path):
-    """The store is away, and the entries of all engines lapse meanwhile."""
+    """The entries of all engines lapse while the store is unreachable."""
 
     async def check():
         site, duties = make_site(make_engines(), **AUTOSCALE)
@@ -179,7 +179,7 @@
                 site.unlist(name)
             site.store.faults.down = 0
             await desk.until(lambda: desk.decisions('store_regained'))
-            # Entries that lapsed are back within some two seconds.
+            # Lapsed entries are listed again within about two seconds.
             await asyncio.sleep(2.6)
             assert len(desk.decisions('scale_order')) == ordered
 
