--- a/packages/verbenahall/tests/gateway/test_limits.py
+++ b/packages/verbenahall/tests/gateway/test_limits.py
@@ -1,4 +1,4 @@
-"""Callers keep to the bounds of the manifest in force, or are told so."""
+"""Limits of the manifest in force on callers' requests and connections."""
 
 import asyncio
 import contextlib
@@ -11,18 +11,18 @@
 
 
 @contextlib.asynccontextmanager
-async def open_bounded(folder, **changes):
-    """Run a gateway whose manifest has other bounds."""
+async def open_with_limits(folder, **changes):
+    """Run a gateway whose manifest has changed limits."""
     async with open_desk(folder, plain=make_plain(1)) as desk:
-        await publish_bounds(desk, **changes)
-        # Until it is ready an instance closes connections after their answer.
+        await publish_limits(desk, **changes)
+        # An instance that isn't ready closes connections after each response.
         while not await desk.is_ready():
             await asyncio.sleep(0.02)
         yield desk
 
 
-async def publish_bounds(desk, **changes):
-    """Put other bounds in force."""
+async def publish_limits(desk, **changes):
+    """Publish a manifest with changed limits and wait until it is in force."""
     limits = {
         'maxHeaderBytes': 16_384,
         'maxBodyBytes': 4_194_304,
@@ -38,7 +38,7 @@
 
 @contextlib.asynccontextmanager
 async def connect(desk):
-    """Open a connection of a caller that writes its own bytes."""
+    """Open a caller's raw connection."""
     host, _, port = desk.gateway.core.settings.callers.rpartition(':')
     reader, writer = await asyncio.open_connection(host, int(port))
     try:
@@ -47,8 +47,8 @@
         writer.close()
 
 
-async def ask_raw(reader, writer):
-    """Ask on an open connection; return the answer's first line."""
+async def send_raw(reader, writer):
+    """Send a request on an open connection; return the status line."""
     writer.write(f'{HEAD}X-Verbenahall-Request-Id: r-1\r\n\r\n'.encode())
     head = await reader.readuntil(b'\r\n\r\n')
     length = int(head.lower().split(b'content-length: ')[1].split(b'\r\n')[0])
@@ -57,7 +57,7 @@
 
 
 async def is_closed(reader, within_s):
-    """Tell whether the instance closes the connection in time."""
+    """Return whether the instance closes the connection in time."""
     try:
         async with asyncio.timeout(within_s):
             return not await reader.read(1)
@@ -67,7 +67,7 @@
 
 def test_body_beyond_the_bound_is_refused(tmp_path):
     async def check():
-        async with open_bounded(tmp_path, maxBodyBytes=100) as desk:
+        async with open_with_limits(tmp_path, maxBodyBytes=100) as desk:
             status, _, _ = await desk.ask('/proof/1', data=b'x' * 200)
             assert status == 413
             assert not desk.site.plain[0].runs
@@ -76,9 +76,9 @@
 
 
 def test_head_beyond_the_bound_is_refused(tmp_path):
-    # Each line is short enough, and there are many of them.
+    # Each header line is within the limit, but there are too many of them.
     async def check():
-        async with open_bounded(tmp_path, maxHeaderBytes=1000) as desk:
+        async with open_with_limits(tmp_path, maxHeaderBytes=1000) as desk:
             fields = {f'X-Own-{number}': 'x' * 50 for number in range(20)}
             status, _, _ = await desk.ask('/proof/1', headers=fields)
             assert status == 431
@@ -88,11 +88,11 @@
     run(check())
 
 
-def test_head_that_does_not_end_is_cut_off(tmp_path):
-    # A caller sends half a head and then nothing, on many connections. Each
-    # would be held until its idle time is over.
+def test_incomplete_head_closes_the_connection(tmp_path):
+    # A caller sends half a head and then nothing, on many connections. Without
+    # a timeout for the head each one would stay open for the whole idle time.
     async def check():
-        async with open_bounded(tmp_path, headerTimeoutMs=200) as desk:
+        async with open_with_limits(tmp_path, headerTimeoutMs=200) as desk:
             async with connect(desk) as (reader, writer):
                 writer.write(HEAD.encode())
                 assert await is_closed(reader, 1)
@@ -102,7 +102,7 @@
 
 def test_head_in_pieces_is_served_in_time(tmp_path):
     async def check():
-        async with open_bounded(tmp_path, headerTimeoutMs=600) as desk:
+        async with open_with_limits(tmp_path, headerTimeoutMs=600) as desk:
             async with connect(desk) as (reader, writer):
                 writer.write(HEAD[:20].encode())
                 await asyncio.sleep(0.2)
@@ -112,15 +112,15 @@
                 head = await reader.readuntil(b'\r\n\r\n')
                 assert b' 200 ' in head
                 await reader.readexactly(len(b'page from page-0'))
-                # The time for that head is no bound on what follows.
+                # The timeout of that head doesn't apply to what follows.
                 assert not await is_closed(reader, 0.8)
 
     run(check())
 
 
-def test_body_that_does_not_go_on_is_given_up(tmp_path):
+def test_stalled_body_is_refused(tmp_path):
     async def check():
-        async with open_bounded(tmp_path, idleTimeoutMs=300) as desk:
+        async with open_with_limits(tmp_path, idleTimeoutMs=300) as desk:
             async with connect(desk) as (reader, writer):
                 writer.write(
                     f'POST /proof/1 HTTP/1.1\r\nHost: {HOST}\r\n'
@@ -134,9 +134,9 @@
 
 def test_idle_connection_is_closed_after_the_bound(tmp_path):
     async def check():
-        async with open_bounded(tmp_path, idleTimeoutMs=1500) as desk:
+        async with open_with_limits(tmp_path, idleTimeoutMs=1500) as desk:
             async with connect(desk) as (reader, writer):
-                assert b' 200 ' in await ask_raw(reader, writer)
+                assert b' 200 ' in await send_raw(reader, writer)
                 assert not await is_closed(reader, 1.2)
                 assert await is_closed(reader, 1)
 
@@ -145,18 +145,18 @@
 
 @pytest.mark.parametrize('opened_under_ms', [1200, 60_000])
 def test_idle_time_is_that_of_the_manifest_in_force(tmp_path, opened_under_ms):
-    # The operator allows a longer idle time while connections are open. A
-    # caller that keeps to it must not have its next request reset.
+    # The operator raises the idle timeout while connections are open. A caller
+    # that relies on the new timeout must not have its next request reset.
     async def check():
-        async with open_bounded(
+        async with open_with_limits(
             tmp_path,
             idleTimeoutMs=opened_under_ms,
         ) as desk:
             async with connect(desk) as (reader, writer):
-                await ask_raw(reader, writer)
-                await publish_bounds(desk, idleTimeoutMs=2500)
+                await send_raw(reader, writer)
+                await publish_limits(desk, idleTimeoutMs=2500)
                 await asyncio.sleep(2)
-                assert b' 200 ' in await ask_raw(reader, writer)
+                assert b' 200 ' in await send_raw(reader, writer)
                 assert await is_closed(reader, 3.5)
 
     run(check())
