--- a/packages/verbenahall/tests/gateway/test_metrics.py
+++ b/packages/verbenahall/tests/gateway/test_metrics.py
@@ -1,11 +1,11 @@
-"""What operators read at the metrics port."""
+"""The metrics that operators read at the metrics port."""
 
 import re
 
 from .conftest import make_engines, make_plain, open_desk, run
 
-#: The series that the operators' page names, and the count of each that one
-#: stream and one plain call add at least.
+#: The series that the operators' documentation lists, and the least increase of
+#: each by one stream and one plain call.
 SERIES = {
     'verbenahall_requests_total': 2,
     'verbenahall_first_token_seconds_count': 1,
@@ -41,15 +41,15 @@
             after = await read_totals(desk)
             for name, least in SERIES.items():
                 assert after[name] - before.get(name, 0) >= least, name
-            # A manifest and a list were read before the first look.
+            # The manifest and the list of endpoints were read at the start.
             assert after['verbenahall_store_calls_total'] >= 2
 
     run(check())
 
 
-def test_accepted_request_tells_what_it_is_routed_by(tmp_path):
-    # A request went to an endpoint that was gone. Whether the instance went by
-    # an old list is seen by the age of what it believed.
+def test_accepted_request_logs_the_state_that_it_is_routed_by(tmp_path):
+    # If a request was sent to an endpoint that was gone, the logged age shows
+    # whether the instance used an old list of endpoints.
     async def check():
         async with open_desk(tmp_path, plain=make_plain(1)) as desk:
             await desk.ask('/archive/1', method='GET')
