--- a/packages/verbenahall/tests/gateway/test_named_rates.py
+++ b/packages/verbenahall/tests/gateway/test_named_rates.py
@@ -1,4 +1,4 @@
-"""An endpoint in need names the rate that it takes from all instances."""
+"""An overloaded endpoint advertises the rate that it accepts in total."""
 
 import asyncio
 import time
@@ -7,27 +7,28 @@
 from .test_repeated_crashes import open_desks
 
 RATE = 2.5
-#: What may arrive in any so many seconds, beside a few.
+#: Length of the window in which arrivals are counted, in seconds.
 WINDOW_S = 4
+#: Arrivals that are allowed in a window in addition to the rate's.
 SLACK = 5
-MOST = 1.5 * RATE * WINDOW_S + SLACK
+MAX_ARRIVALS = 1.5 * RATE * WINDOW_S + SLACK
 
 
-async def ask_until(desks, end, every_s=0.02):
-    """Ask at all instances in turn until a time; return the statuses."""
+async def send_until(desks, end, every_s=0.02):
+    """Send to all instances in turn until a time; return the statuses."""
     tasks = []
     while time.monotonic() < end:
         number = len(tasks)
         desk = desks[number % len(desks)]
-        ask = desk.ask('/archive/1', f'r-{number}', method='GET')
-        tasks.append(asyncio.create_task(ask))
+        request = desk.ask('/archive/1', f'r-{number}', method='GET')
+        tasks.append(asyncio.create_task(request))
         await asyncio.sleep(every_s)
-    answers = await asyncio.gather(*tasks)
-    return [status for status, _, _ in answers]
+    responses = await asyncio.gather(*tasks)
+    return [status for status, _, _ in responses]
 
 
-def count_most(arrivals, since):
-    """Return the most arrivals in one window, from a time on."""
+def count_max_arrivals(arrivals, since):
+    """Return the most arrivals in one window after a time."""
     late = [at for at in arrivals if at >= since]
     return max(
         (sum(at <= one < at + WINDOW_S for one in late) for at in late),
@@ -35,39 +36,42 @@
     )
 
 
-async def ask_limited(desks, endpoint, seconds):
-    """Ask while an endpoint names a rate; return most arrivals, statuses."""
+async def send_while_limited(desks, endpoint, seconds):
+    """Send while an endpoint advertises a rate.
+
+    Return the most arrivals in one window, and the statuses.
+    """
     endpoint.rate = str(RATE)
-    await ask_until(desks, time.monotonic() + 1)
+    await send_until(desks, time.monotonic() + 1)
     since = time.monotonic() + 0.5
-    statuses = await ask_until(desks, since + seconds)
-    return count_most(endpoint.arrivals, since), statuses
+    statuses = await send_until(desks, since + seconds)
+    return count_max_arrivals(endpoint.arrivals, since), statuses
 
 
-def test_all_instances_keep_a_named_rate_together(tmp_path):
-    """Each one that keeps the rate by itself sends as much as all may."""
+def test_all_instances_together_keep_an_advertised_rate(tmp_path):
+    """If each instance kept the rate alone, the total would exceed it."""
 
     async def check():
         async with open_desks(tmp_path, plain=make_plain(3)) as desks:
             limited = desks[0].site.plain[0]
-            most, statuses = await ask_limited(desks, limited, 6)
-            assert most <= MOST
+            max_arrivals, statuses = await send_while_limited(desks, limited, 6)
+            assert max_arrivals <= MAX_ARRIVALS
             assert set(statuses) == {200}
 
     run(check())
 
 
-def test_end_of_a_named_rate_is_noticed(tmp_path):
-    """An endpoint that needs no rate any more is left idle."""
+def test_end_of_an_advertised_rate_is_detected(tmp_path):
+    """An endpoint that no longer advertises a rate must not be left idle."""
 
     async def check():
         async with open_desks(tmp_path, plain=make_plain(3)) as desks:
             limited = desks[0].site.plain[0]
-            await ask_limited(desks, limited, 2)
+            await send_while_limited(desks, limited, 2)
             limited.rate = None
-            await ask_until(desks, time.monotonic() + 2)
+            await send_until(desks, time.monotonic() + 2)
             before = len(limited.arrivals)
-            await ask_until(desks, time.monotonic() + 2)
+            await send_until(desks, time.monotonic() + 2)
             assert len(limited.arrivals) - before > 2 * RATE * 2
 
     run(check())
