--- a/packages/verbenahall/tests/gateway/test_process.py
+++ b/packages/verbenahall/tests/gateway/test_process.py
@@ -1,4 +1,4 @@
-"""The gateway as a process of its own, and the signals that it gets."""
+"""The gateway as a process of its own, and its handling of signals."""
 
 import asyncio
 import contextlib
@@ -17,12 +17,12 @@
 
 pytestmark = pytest.mark.process
 
-#: The platform's grace in the stand-in's settings, in seconds.
+#: The platform's grace period in the stand-in's settings, in seconds.
 GRACE_S = 8
 
 
 class Instance:
-    """A started gateway, and a session of its callers."""
+    """A gateway process, and a session of its callers."""
 
     def __init__(self, started, settings, session, output):
         self.started = started
@@ -30,15 +30,15 @@
         self.session = session
         self.output = output
 
-    async def ask(self, path='/archive/1'):
-        """Ask a plain service; return status and body."""
+    async def send(self, path='/archive/1'):
+        """Send a request to a plain service; return status and body."""
         url = f'http://{self.settings.callers}{path}'
         headers = {'Host': HOST, 'X-Verbenahall-Request-Id': 'r-1'}
         async with self.session.get(url, headers=headers) as response:
             return response.status, await response.read()
 
     async def read_readiness(self):
-        """Ask as the balancer does; return the status, 0 without an answer."""
+        """Return the status of a readiness check, or 0 without a response."""
         url = f'http://{self.settings.readiness}/-/ready'
         try:
             async with self.session.get(url) as response:
@@ -47,13 +47,13 @@
             return 0
 
     async def wait_ready(self):
-        """Wait until callers may come."""
+        """Wait until the instance is ready for callers."""
         async with asyncio.timeout(20):
             while await self.read_readiness() != 200:
                 await asyncio.sleep(0.05)
 
     def read_events(self):
-        """Return the events that the process has written."""
+        """Return the events that the process has logged."""
         lines = self.output.read_text().splitlines()
         return [json.loads(line)['event'] for line in lines]
 
@@ -90,34 +90,34 @@
         await site.stop()
 
 
-def test_hangup_cuts_nothing(tmp_path):
-    # The platform tells by SIGHUP that the settings file was written anew.
-    # Its default ends the process and cuts every open request.
+def test_hangup_signal_interrupts_no_request(tmp_path):
+    # The platform sends SIGHUP when it has rewritten the settings file. Its
+    # default action would end the process and abort every open request.
     async def check():
         async with start_instance(tmp_path) as (instance, site):
             site.plain[0].delay_s = 0.5
-            asked = asyncio.create_task(instance.ask())
+            response = asyncio.create_task(instance.send())
             await asyncio.sleep(0.2)
             instance.started.send_signal(signal.SIGHUP)
-            assert await asked == (200, b'page from page-0')
-            assert await instance.ask() == (200, b'page from page-0')
+            assert await response == (200, b'page from page-0')
+            assert await instance.send() == (200, b'page from page-0')
             assert 'reload' in instance.read_events()
 
     run(check())
 
 
 def test_open_request_is_finished_before_the_process_ends(tmp_path):
-    # The platform stops an instance while a request is open. It is answered,
-    # the balancer is told at once, and the exit code is that of a good end.
+    # The platform stops an instance while a request is open. The request is
+    # completed, readiness fails at once, and the exit code is 0.
     async def check():
         async with start_instance(tmp_path) as (instance, site):
             site.plain[0].delay_s = 1
-            asked = asyncio.create_task(instance.ask())
+            response = asyncio.create_task(instance.send())
             await asyncio.sleep(0.3)
             instance.started.send_signal(signal.SIGTERM)
             await asyncio.sleep(0.2)
             assert await instance.read_readiness() == 503
-            assert await asked == (200, b'page from page-0')
+            assert await response == (200, b'page from page-0')
             async with asyncio.timeout(GRACE_S):
                 assert await instance.started.wait() == 0
             assert instance.read_events()[-1] == 'stopped'
@@ -130,10 +130,10 @@
     tmp_path,
     after_s,
 ):
-    # A caller kept its connection open since before the stop and uses it after
-    # the listener has closed, 3 s and more after the signal, while the process
-    # stays for another request. Taken, the call would be cut when the grace
-    # period ends; refused, it goes elsewhere.
+    # A caller uses a connection from before the stop after the listener has
+    # closed, 3 s or more after the signal, while the process waits for another
+    # request. An accepted call would be aborted at the end of the grace period;
+    # a refused one is retried at another instance.
     async def check():
         async with start_instance(tmp_path) as (instance, site):
             slow = make_route(
@@ -146,9 +146,9 @@
             site.publish(added=[slow])
             await asyncio.sleep(0.5)
             site.plain[0].delay_s = 6
-            asked = asyncio.create_task(instance.ask('/slow/1'))
+            response = asyncio.create_task(instance.send('/slow/1'))
             await asyncio.sleep(0.2)
-            # Its connection is open and idle when the stop begins.
+            # The second caller's connection is idle when the stop begins.
             site.plain[0].delay_s = 0
             host, _, port = instance.settings.callers.rpartition(':')
             reader, writer = await asyncio.open_connection(host, int(port))
@@ -165,13 +165,13 @@
             assert b'retry-after: 0.05' in head.lower()
             assert len(site.plain[0].runs) == runs
             writer.close()
-            assert (await asked)[0] == 200
+            assert (await response)[0] == 200
 
     run(check())
 
 
-def test_bad_settings_end_the_start_and_are_told(tmp_path):
-    # The settings lack what the instance needs. It must not run half set up.
+def test_invalid_settings_are_reported_and_prevent_the_start(tmp_path):
+    # Required settings are missing. The instance must not start incomplete.
     async def check():
         path = tmp_path / 'settings.toml'
         path.write_text('nodeName = "front-1"\n')
@@ -182,9 +182,9 @@
             env={**os.environ, 'VERBENAHALL_CONFIG': str(path)},
             stderr=asyncio.subprocess.PIPE,
         )
-        _, told = await started.communicate()
+        _, error_output = await started.communicate()
         assert started.returncode == 1
-        assert b'platform.address' in told
-        assert str(path).encode() in told
+        assert b'platform.address' in error_output
+        assert str(path).encode() in error_output
 
     run(check())
