--- a/packages/verbenahall/src/verbenahall/placement/_caches.py
+++ b/packages/verbenahall/src/verbenahall/placement/_caches.py
@@ -12,35 +12,37 @@
 
 
 @final
-class PartCache:
+class PrefixCache:
     """The parts that one engine was last sent, least recently used first."""
 
-    __slots__ = ('_parts', '_held', '_most')
+    __slots__ = ('_parts', '_cached_tokens', '_capacity_tokens')
 
     def __init__(self, kv_tokens: int) -> None:
         """Start empty; ``kv_tokens`` is the engine's whole memory."""
         self._parts: collections.OrderedDict[str, int]
         self._parts = collections.OrderedDict()
-        self._held = 0
-        self._most = int(kv_tokens * _CACHE_SHARE)
+        self._cached_tokens = 0
+        self._capacity_tokens = int(kv_tokens * _CACHE_SHARE)
 
-    def count_kept(self, parts: Sequence[Part]) -> int:
+    def count_cached_tokens(self, parts: Sequence[Part]) -> int:
         """Return the tokens kept from the start of a prompt.
 
         A part counts only when all parts before it are kept, too.
         """
-        kept = 0
+        cached_tokens = 0
         for part in parts:
             if part.identity not in self._parts:
                 break
-            kept += part.tokens
-        return kept
+            cached_tokens += part.tokens
+        return cached_tokens
 
     def note(self, parts: Sequence[Part]) -> None:
         """Note that the engine has read these parts."""
         for part in reversed(parts):
-            self._held += part.tokens - self._parts.pop(part.identity, 0)
+            self._cached_tokens += part.tokens - self._parts.pop(
+                part.identity, 0
+            )
             self._parts[part.identity] = part.tokens
-        while self._held > self._most and self._parts:
+        while self._cached_tokens > self._capacity_tokens and self._parts:
             _, tokens = self._parts.popitem(last=False)
-            self._held -= tokens
+            self._cached_tokens -= tokens
--- a/packages/verbenahall/src/verbenahall/placement/_dispatch.py
+++ b/packages/verbenahall/src/verbenahall/placement/_dispatch.py
@@ -13,7 +13,7 @@
 from returns.result import Failure, Success
 
 from verbenahall.errors import ErrorKind, Problem, Ran
-from verbenahall.placement._decisions import find_preferred
+from verbenahall.placement._decisions import find_preferred_engine
 from verbenahall.placement._queue import (
     Admitted,
     PrefillQueue,
@@ -23,13 +23,13 @@
 from verbenahall.placement._slots import AdmissionSlots, Fleet
 
 #: Callers are never told to come back sooner than this, in seconds.
-_LEAST_RETRY_S: Final = 0.2
+_MIN_RETRY_S: Final = 0.2
 #: Share of a caller's time left that it is told to wait at most: it needs the
 #: rest to be served.
-_MOST_RETRY: Final = 1 / 3
+_MAX_RETRY_SHARE: Final = 1 / 3
 #: Callers that were refused together come back over this range of the time
 #: that they are told, as shares of it.
-_SPREAD: Final = (0.75, 1.25)
+_RETRY_JITTER: Final = (0.75, 1.25)
 
 
 def enqueue(
@@ -37,7 +37,7 @@
     pending: QueuedRequest,
     fleet: Fleet,
     now: float,
-    source: random.Random,
+    rng: random.Random,
 ) -> QueueEffects:
     """Let a request wait, or refuse it at once.
 
@@ -47,14 +47,16 @@
     match fleet.place(pending, now):
         case Success(plan):
             pending.lead_s = plan.wait_s - plan.ahead_s
-            pending.home = find_preferred(pending.wanted.work, fleet.readers)
+            pending.preferred_engine = find_preferred_engine(
+                pending.wanted.work, fleet.prefill_engines
+            )
         case Failure(problem):
             return QueueEffects(refused=((pending, problem),))
     # With nobody before it a request is tried, whatever the last ones met.
-    start = queue.find_start(now) if queue.waiting else now
-    if pending.is_hopeless(start + _wait_s(queue, pending, start)):
+    start = queue.predict_start(now) if queue.waiting else now
+    if pending.will_expire(start + _estimate_wait_s(queue, pending, start)):
         return QueueEffects(
-            refused=((pending, _refuse(queue, pending, now, source)),)
+            refused=((pending, _make_refusal(queue, pending, now, rng)),)
         )
     queue.waiting.append(pending)
     return QueueEffects()
@@ -64,23 +66,23 @@
     queue: PrefillQueue,
     fleet: Fleet,
     now: float,
-    source: random.Random,
+    rng: random.Random,
 ) -> QueueEffects:
     """Admit requests while engines have room, and refuse hopeless ones."""
-    if not fleet.generates:
+    if not fleet.can_decode:
         return _refuse_all(queue, fleet, now)
-    start = queue.find_start(now)
+    start = queue.predict_start(now)
     ranked = sorted(queue.waiting, key=lambda pending: pending.rank(start))
     admitted = tuple(_admit(ranked, fleet, now))
-    for given in admitted:
-        queue.remove(given.pending)
-    gone = {one.pending for one in admitted}
-    staying = [pending for pending in ranked if pending not in gone]
-    hopeless = tuple(_find_hopeless(queue, staying, start))
-    refused = [(one, _refuse(queue, one, now, source)) for one in hopeless]
-    for pending in hopeless:
+    for admission in admitted:
+        queue.remove(admission.pending)
+    started = {one.pending for one in admitted}
+    remaining = [pending for pending in ranked if pending not in started]
+    expiring = tuple(_find_expiring(queue, remaining, start))
+    refused = [(one, _make_refusal(queue, one, now, rng)) for one in expiring]
+    for pending in expiring:
         queue.remove(pending)
-    queue.meter(now, admitted)
+    queue.update_rates(now, admitted)
     return QueueEffects(admitted, refused)
 
 
@@ -95,11 +97,11 @@
         for pending in queue.waiting
     )
     queue.waiting.clear()
-    queue.meter(now, ())
+    queue.update_rates(now, ())
     return QueueEffects(refused=refused)
 
 
-def _find_hopeless(
+def _find_expiring(
     queue: PrefillQueue,
     ranked: Sequence[QueuedRequest],
     now: float,
@@ -108,12 +110,12 @@
 
     ``now`` is when an engine would begin with one that goes now.
     """
-    rate = queue.late.read(now)
+    rate = queue.late_drain_rate.read(now)
     late = 0
     for pending in ranked:
         late += pending.is_late(now)
         wait_s = late / rate if rate and pending.is_late(now) else 0
-        if pending.is_hopeless(now + wait_s):
+        if pending.will_expire(now + wait_s):
             late -= 1
             yield pending
 
@@ -125,17 +127,19 @@
 ) -> Iterator[Admitted]:
     """Admit in order those whose preferred engine has room, then others."""
     slots = AdmissionSlots(fleet)
-    staying = [pending for pending in ranked if not pending.is_hopeless(now)]
-    for pending in slots.choose(staying):
+    remaining = [pending for pending in ranked if not pending.will_expire(now)]
+    for pending in slots.list_candidates(remaining):
         plan = fleet.place(pending, now).value_or(None)
         if plan is not None and slots.has_room(pending, plan, now):
-            yield Admitted(pending, plan, slots.take(plan))
+            yield Admitted(pending, plan, slots.reserve(plan))
 
 
-def _wait_s(queue: PrefillQueue, pending: QueuedRequest, now: float) -> float:
+def _estimate_wait_s(
+    queue: PrefillQueue, pending: QueuedRequest, now: float
+) -> float:
     """Return the wait of a request behind those that go before it."""
     late = pending.is_late(now)
-    rate = (queue.late if late else queue.drained).read(now)
+    rate = (queue.late_drain_rate if late else queue.drain_rate).read(now)
     if not rate:
         return 0
     rank = pending.rank(now)
@@ -147,22 +151,22 @@
     return ahead / rate
 
 
-def _refuse(
+def _make_refusal(
     queue: PrefillQueue,
     pending: QueuedRequest,
     now: float,
-    source: random.Random,
+    rng: random.Random,
 ) -> Problem:
     """Tell a caller when the queue before it will have drained.
 
     Callers that were refused together come back spread out.
     """
-    wait_s = _wait_s(queue, pending, now)
-    most_s = (pending.leaves_at - now) * _MOST_RETRY
-    retry_s = max(_LEAST_RETRY_S, min(wait_s, most_s))
+    wait_s = _estimate_wait_s(queue, pending, now)
+    max_s = (pending.leaves_at - now) * _MAX_RETRY_SHARE
+    retry_s = max(_MIN_RETRY_S, min(wait_s, max_s))
     return Problem(
         ErrorKind.OVERLOADED,
         f'{len(queue.waiting)} wait to be read, it would take {wait_s:.1f} s',
         Ran.NO,
-        retry_after_s=retry_s * source.uniform(*_SPREAD),
+        retry_after_s=retry_s * rng.uniform(*_RETRY_JITTER),
     )
--- a/packages/verbenahall/src/verbenahall/placement/_ledger.py
+++ b/packages/verbenahall/src/verbenahall/placement/_ledger.py
@@ -7,7 +7,7 @@
 
 #: A peer's word about its own sends counts for this long, in seconds. Peers
 #: speak several times a second; one that has stopped is gone or cut off.
-_PEER_TRUST_S: Final = 1.5
+_REPORT_TTL_S: Final = 1.5
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -49,7 +49,7 @@
         )
 
 
-NOTHING: Final = Totals()
+NO_LOAD: Final = Totals()
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -62,14 +62,14 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class _Word:
+class _PeerReport:
     """What a peer said of its own open sends, and when it was heard."""
 
     loads: Mapping[str, Totals]
-    heard_at: float
+    received_at: float
 
     @property
-    def reads(self) -> bool:
+    def is_prefilling(self) -> bool:
         """Whether the peer has prompts being read."""
         return any(totals.reading for totals in self.loads.values())
 
@@ -85,12 +85,12 @@
 
     __slots__ = (
         'scale',
-        '_flights',
-        '_own',
-        '_words',
-        '_peers',
-        '_readers',
-        '_numbers',
+        '_open_sends',
+        '_local',
+        '_reports',
+        '_peer_totals',
+        '_prefilling',
+        '_next_numbers',
     )
 
     def __init__(self) -> None:
@@ -101,28 +101,28 @@
         are taken to send alike.
         """
         self.scale: float = 1
-        self._flights: dict[int, InFlight] = {}
-        self._own: dict[str, Totals] = {}
-        self._words: dict[str, _Word] = {}
-        self._peers: dict[str, Totals] = {}
-        self._readers = 0
-        self._numbers = itertools.count()
+        self._open_sends: dict[int, InFlight] = {}
+        self._local: dict[str, Totals] = {}
+        self._reports: dict[str, _PeerReport] = {}
+        self._peer_totals: dict[str, Totals] = {}
+        self._prefilling = 0
+        self._next_numbers = itertools.count()
 
     def open(self, engine: str, totals: Totals) -> InFlight:
         """Note a send; close it with ``close``."""
-        flight = InFlight(next(self._numbers), engine, totals)
-        self._flights[flight.number] = flight
-        _add(self._own, engine, totals)
+        flight = InFlight(next(self._next_numbers), engine, totals)
+        self._open_sends[flight.number] = flight
+        _add(self._local, engine, totals)
         return flight
 
     def close(self, flight: InFlight) -> None:
         """Note the end of a send; a second time changes nothing."""
-        if self._flights.pop(flight.number, None) is not None:
-            _take(self._own, flight.engine, flight.totals)
+        if self._open_sends.pop(flight.number, None) is not None:
+            _subtract(self._local, flight.engine, flight.totals)
 
     def note_read(self, flight: InFlight) -> InFlight:
         """Note that a send's prompt was read; return what is left of it."""
-        if not flight.totals.reading or flight.number not in self._flights:
+        if not flight.totals.reading or flight.number not in self._open_sends:
             return flight
         self.close(flight)
         return self.open(
@@ -132,59 +132,59 @@
 
     def hear(self, peer: str, loads: Mapping[str, Totals], now: float) -> None:
         """Take a peer's word in place of its last one."""
-        self._drop(peer)
-        word = _Word(loads, now)
-        self._words[peer] = word
-        self._readers += word.reads
+        self._remove_report(peer)
+        report = _PeerReport(loads, now)
+        self._reports[peer] = report
+        self._prefilling += report.is_prefilling
         for engine, totals in loads.items():
-            _add(self._peers, engine, totals)
+            _add(self._peer_totals, engine, totals)
 
     def own(self) -> Mapping[str, Totals]:
         """Return this instance's open work, to tell the peers."""
-        return self._own
+        return self._local
 
-    def own_of(self, engine: str) -> Totals:
+    def local_totals(self, engine: str) -> Totals:
         """Return this instance's open work at an engine."""
-        return self._own.get(engine, NOTHING)
+        return self._local.get(engine, NO_LOAD)
 
     @property
     def speakers(self) -> int:
         """How many peers' words are counted on."""
-        return len(self._words)
+        return len(self._reports)
 
     @property
-    def readers(self) -> int:
+    def prefilling_peers(self) -> int:
         """How many peers have prompts being read, as far as is known."""
-        return int(self._readers * self.scale)
+        return int(self._prefilling * self.scale)
 
     def totals(self, engine: str) -> Totals:
         """Return the open work of all instances at an engine."""
-        own = self._own.get(engine, NOTHING)
-        peers = self._peers.get(engine)
-        heard = own if peers is None else own.plus(peers)
-        return heard if self.scale == 1 else heard.times(self.scale)
+        local = self._local.get(engine, NO_LOAD)
+        peers = self._peer_totals.get(engine)
+        total = local if peers is None else local.plus(peers)
+        return total if self.scale == 1 else total.times(self.scale)
 
     def forget_silent(self, now: float) -> None:
         """Forget the words of peers that have not spoken for a while."""
-        for peer, word in tuple(self._words.items()):
-            if now - word.heard_at >= _PEER_TRUST_S:
-                self._drop(peer)
+        for peer, report in tuple(self._reports.items()):
+            if now - report.received_at >= _REPORT_TTL_S:
+                self._remove_report(peer)
 
-    def _drop(self, peer: str) -> None:
-        word = self._words.pop(peer, None)
-        if word is not None:
-            self._readers -= word.reads
-            for engine, totals in word.loads.items():
-                _take(self._peers, engine, totals)
+    def _remove_report(self, peer: str) -> None:
+        report = self._reports.pop(peer, None)
+        if report is not None:
+            self._prefilling -= report.is_prefilling
+            for engine, totals in report.loads.items():
+                _subtract(self._peer_totals, engine, totals)
 
 
 def _add(sums: dict[str, Totals], engine: str, totals: Totals) -> None:
-    sums[engine] = sums.get(engine, NOTHING).plus(totals)
+    sums[engine] = sums.get(engine, NO_LOAD).plus(totals)
 
 
-def _take(sums: dict[str, Totals], engine: str, totals: Totals) -> None:
-    left = sums.get(engine, NOTHING).minus(totals)
-    if left == NOTHING:
+def _subtract(sums: dict[str, Totals], engine: str, totals: Totals) -> None:
+    remaining = sums.get(engine, NO_LOAD).minus(totals)
+    if remaining == NO_LOAD:
         sums.pop(engine, None)
     else:
-        sums[engine] = left
+        sums[engine] = remaining
--- a/packages/verbenahall/src/verbenahall/placement/_roles.py
+++ b/packages/verbenahall/src/verbenahall/placement/_roles.py
@@ -17,12 +17,12 @@
 
 #: Share of the engines that generate as long as nothing is known of the
 #: traffic, rounded up.
-_GENERATING_SHARE: Final = 1 / 3
+_DECODE_SHARE: Final = 1 / 3
 #: Engines that are changed at once, at most, as a number and as a share of
-#: all: a change takes an engine away for seconds. With the number alone, the
+#: all: a change takes an engine recently_lost for seconds. With the number alone, the
 #: roles of a large fleet would be settled only long after its start.
-_MOST_CHANGES: Final = 4
-_MOST_CHANGED_SHARE: Final = 1 / 6
+_MAX_CHANGES: Final = 4
+_MAX_CHANGED_SHARE: Final = 1 / 6
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -36,32 +36,36 @@
 def plan_roles(
     engines: Sequence[Entry],
     busy: Mapping[str, int],
-    away: int = 0,
+    recently_lost: int = 0,
 ) -> tuple[RoleChange, ...]:
     """Return the changes that bring a service to its planned roles.
 
     ``busy`` is how many streams or reads are open at an engine; the least
-    busy ones are changed, since a change waits for what runs. ``away`` is how
+    busy ones are changed, since a change waits for what runs. ``recently_lost`` is how
     many engines were lost lately without a word. They are mostly back about
     when a change would be done, and changing to and fro takes two engines
-    away for seconds each; so meanwhile only a service that generates nothing
+    recently_lost for seconds each; so meanwhile only a service that generates nothing
     at all is mended.
     """
-    generators = [one for one in engines if one.role is Role.DECODE]
-    readers = [one for one in engines if one.role is Role.PREFILL]
-    if away:
-        lack = 0 if generators else 1
-        return _choose(readers, Role.DECODE, lack, busy)
-    total = len(generators) + len(readers)
-    most = max(_MOST_CHANGES, int(total * _MOST_CHANGED_SHARE))
-    wanted = math.ceil(total * _GENERATING_SHARE)
-    spare = len(generators) - wanted
-    if spare > 0:
-        return _choose(generators, Role.PREFILL, min(spare, most), busy)
-    return _choose(readers, Role.DECODE, min(-spare, most), busy)
+    decode_engines = [one for one in engines if one.role is Role.DECODE]
+    prefill_engines = [one for one in engines if one.role is Role.PREFILL]
+    if recently_lost:
+        missing = 0 if decode_engines else 1
+        return _choose_engines(prefill_engines, Role.DECODE, missing, busy)
+    total = len(decode_engines) + len(prefill_engines)
+    max_changes = max(_MAX_CHANGES, int(total * _MAX_CHANGED_SHARE))
+    target = math.ceil(total * _DECODE_SHARE)
+    surplus = len(decode_engines) - target
+    if surplus > 0:
+        return _choose_engines(
+            decode_engines, Role.PREFILL, min(surplus, max_changes), busy
+        )
+    return _choose_engines(
+        prefill_engines, Role.DECODE, min(-surplus, max_changes), busy
+    )
 
 
-def _choose(
+def _choose_engines(
     engines: Sequence[Entry],
     role: Role,
     count: int,
@@ -78,9 +82,11 @@
     )
     chosen: list[Entry] = []
     while ranked and len(chosen) < count:
-        left = collections.Counter(one.data_centre for one in ranked)
-        most = max(left.values())
-        engine = next(one for one in ranked if left[one.data_centre] == most)
+        counts = collections.Counter(one.data_centre for one in ranked)
+        largest = max(counts.values())
+        engine = next(
+            one for one in ranked if counts[one.data_centre] == largest
+        )
         ranked.remove(engine)
         chosen.append(engine)
     return tuple(RoleChange(engine, role) for engine in chosen)
--- a/packages/verbenahall/src/verbenahall/placement/_slots.py
+++ b/packages/verbenahall/src/verbenahall/placement/_slots.py
@@ -18,16 +18,16 @@
 
 #: Work that keeps an engine busy until the next read reaches it, in seconds,
 #: beside the start of a read: a round trip and a turn of this process.
-_DEPTH_S: Final = 0.02
+_MIN_QUEUE_S: Final = 0.02
 #: Share of a request's objective that the reads before it may take at an
 #: engine; the rest is for its own read and its first token.
-_SHARED_DEPTH: Final = 0.5
+_AHEAD_SHARE: Final = 0.5
 #: Share of that for a request that is late anyway, so that those on time that
 #: come next do not wait for it.
-_LATE_DEPTH: Final = 0.5
+_LATE_AHEAD_SHARE: Final = 0.5
 #: Waiting requests that are placed though their home has no room, at one
 #: look: placing is what a look at a long queue spends its time on.
-_SPILLED: Final = 2
+_MAX_SPILLED: Final = 2
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -40,13 +40,15 @@
     waiting: int = 0
 
     @property
-    def readers(self) -> Sequence[Entry]:
+    def prefill_engines(self) -> Sequence[Entry]:
         """The engines that only read, or all if there is none."""
-        readers = [one for one in self.engines if one.role is Role.PREFILL]
-        return readers or self.engines
+        prefill_engines = [
+            one for one in self.engines if one.role is Role.PREFILL
+        ]
+        return prefill_engines or self.engines
 
     @property
-    def generates(self) -> bool:
+    def can_decode(self) -> bool:
         """Whether any engine generates."""
         return any(one.role is not Role.PREFILL for one in self.engines)
 
@@ -68,48 +70,61 @@
 
 @final
 class AdmissionSlots:
-    """The engines that have room for one more prefill; ``known`` are all."""
+    """The engines that have room for one more prefill; ``engine_names`` are all."""
 
-    __slots__ = ('known', 'open', '_state', '_depth_s', '_share_s')
+    __slots__ = (
+        'engine_names',
+        'open_engines',
+        '_state',
+        '_min_queue_s',
+        '_local_share_s',
+    )
 
     def __init__(self, fleet: Fleet) -> None:
-        """Look at the engines once; ``take`` keeps the picture up."""
+        """Look at the engines once; ``reserve`` keeps the picture up."""
         self._state = fleet.state
-        self._depth_s = fleet.state.read_speed.start_s + _DEPTH_S
-        self._share_s = self._depth_s / (fleet.state.ledger.readers + 1)
-        self.known = frozenset(one.name for one in fleet.engines)
-        self.open = {name for name in self.known if self._is_open(name)}
+        self._min_queue_s = fleet.state.read_speed.start_s + _MIN_QUEUE_S
+        self._local_share_s = self._min_queue_s / (
+            fleet.state.ledger.prefilling_peers + 1
+        )
+        self.engine_names = frozenset(one.name for one in fleet.engines)
+        self.open_engines = {
+            name for name in self.engine_names if self._is_open(name)
+        }
 
-    def choose(
+    def list_candidates(
         self, ranked: Sequence[QueuedRequest]
     ) -> Iterator[QueuedRequest]:
         """Yield who may find room, in order, while there is any."""
         spilled = 0
         for pending in ranked:
-            if not self.open:
+            if not self.open_engines:
                 return
-            if pending.home in self.known - self.open:
+            if (
+                pending.preferred_engine
+                in self.engine_names - self.open_engines
+            ):
                 spilled += 1
-                if spilled > _SPILLED:
+                if spilled > _MAX_SPILLED:
                     continue
             yield pending
 
     def has_room(self, pending: QueuedRequest, plan: Plan, now: float) -> bool:
         """Whether the plan's engine still has a short backlog with it."""
-        name = _reader(plan)
+        name = _get_prefill_engine(plan)
         if not self._is_open(name):
             return False
-        most_s = pending.objective_s * _SHARED_DEPTH
+        max_ahead_s = pending.objective_s * _AHEAD_SHARE
         if pending.is_late(now):
-            most_s *= _LATE_DEPTH
-        return plan.ahead_s < max(most_s, self._depth_s)
+            max_ahead_s *= _LATE_AHEAD_SHARE
+        return plan.ahead_s < max(max_ahead_s, self._min_queue_s)
 
-    def take(self, plan: Plan) -> InFlight:
+    def reserve(self, plan: Plan) -> InFlight:
         """Count the plan's read."""
-        name = _reader(plan)
+        name = _get_prefill_engine(plan)
         flight = self._state.ledger.open(name, Totals(reading=plan.missing))
         if not self._is_open(name):
-            self.open.discard(name)
+            self.open_engines.discard(name)
         return flight
 
     def _is_open(self, name: str) -> bool:
@@ -119,10 +134,12 @@
         is a moment old, and with a common bound all instances see the same
         engine idle and send it a prompt each.
         """
-        own = self._state.ledger.own_of(name).reading
-        return own * self._state.read_speed.token_s < self._share_s
+        local_tokens = self._state.ledger.local_totals(name).reading
+        return (
+            local_tokens * self._state.read_speed.token_s < self._local_share_s
+        )
 
 
-def _reader(plan: Plan) -> str:
+def _get_prefill_engine(plan: Plan) -> str:
     """Return the engine that reads the prompt."""
     return (plan.reader or plan.generator).name
--- a/packages/verbenahall/src/verbenahall/placement/_state.py
+++ b/packages/verbenahall/src/verbenahall/placement/_state.py
@@ -4,14 +4,14 @@
 from typing import Final, final
 
 from verbenahall.catalog import Service
-from verbenahall.placement._caches import PartCache
+from verbenahall.placement._caches import PrefixCache
 from verbenahall.placement._ledger import Ledger
 from verbenahall.placement._messages import Work
-from verbenahall.placement._speeds import ReadSpeed, RecentTime
+from verbenahall.placement._speeds import DecayingAverage, PrefillSpeed
 from verbenahall.roster import Entry
 
 #: Reads shorter than this tell more about the network, in tokens.
-_LEAST_TIMED: Final = 400
+_MIN_TIMED_TOKENS: Final = 400
 #: First guess of the time that a generator takes to go on with a prompt that
 #: another engine has read, in seconds: a round trip, a move and a step.
 _HANDOVER_S: Final = 0.01
@@ -22,7 +22,7 @@
     """Open work, kept parts, and how fast engines read and generate."""
 
     __slots__ = (
-        'knows_caches',
+        'caches_complete',
         'ledger',
         'read_speed',
         'handover',
@@ -33,13 +33,13 @@
     def __init__(self) -> None:
         """Start without knowledge."""
         #: Whether all that engines have read since long was noted here.
-        self.knows_caches = False
+        self.caches_complete = False
         self.ledger = Ledger()
-        self.read_speed = ReadSpeed()
+        self.read_speed = PrefillSpeed()
         #: From the send of a prompt that was read to its first event.
-        self.handover = RecentTime(_HANDOVER_S)
-        self._caches: dict[tuple[str, int], PartCache] = {}
-        self._steps: dict[str, RecentTime] = {}
+        self.handover = DecayingAverage(_HANDOVER_S)
+        self._caches: dict[tuple[str, int], PrefixCache] = {}
+        self._steps: dict[str, DecayingAverage] = {}
 
     def without_load(self) -> 'PlacementState':
         """Return a state that shares what was learned, with nothing open.
@@ -54,12 +54,12 @@
         other._steps = self._steps
         return other
 
-    def cache_of(self, engine: Entry, kv_tokens: int) -> PartCache:
+    def cache_of(self, engine: Entry, kv_tokens: int) -> PrefixCache:
         """Return what an engine is thought to keep since its start."""
         key = (engine.name, engine.born)
         cache = self._caches.get(key)
         if cache is None:
-            cache = PartCache(kv_tokens)
+            cache = PrefixCache(kv_tokens)
             self._caches[key] = cache
         return cache
 
@@ -69,9 +69,9 @@
             cache = self.cache_of(engine, service.engine.kv_tokens)
             cache.note(work.parts)
 
-    def step_of(self, engine: str) -> RecentTime:
+    def step_of(self, engine: str) -> DecayingAverage:
         """Return the step time seen at an engine."""
-        return self._steps.setdefault(engine, RecentTime())
+        return self._steps.setdefault(engine, DecayingAverage())
 
     def keep_only(self, names: Collection[str]) -> None:
         """Forget the engines that are no longer listed."""
@@ -81,7 +81,7 @@
             if key[0] not in names:
                 self._caches.pop(key)
 
-    def learn_read(self, missing: int, kept: int, seconds: float) -> None:
+    def learn_read(self, missing: int, cached: int, seconds: float) -> None:
         """Learn from a read that waited for no other."""
-        if missing >= _LEAST_TIMED and seconds > 0:
-            self.read_speed.learn(missing, kept, seconds)
+        if missing >= _MIN_TIMED_TOKENS and seconds > 0:
+            self.read_speed.learn(missing, cached, seconds)
--- a/packages/verbenahall/src/verbenahall/scheduling/_decisions.py
+++ b/packages/verbenahall/src/verbenahall/scheduling/_decisions.py
@@ -68,7 +68,7 @@
     if request.key in state.waiting:
         return (Reply(caller, Queued(request.key)),)
     known = now - state.since > _KNOWS_CACHES_S
-    state.placement.knows_caches = known
+    state.placement.caches_complete = known
     waiting = _make_waiting(request, caller, now)
     state.waiting[request.key] = waiting
     effects = enqueue(state.queue, waiting.pending, fleet, now, source)
--- a/packages/verbenahall/tests/placement/test_bursts.py
+++ b/packages/verbenahall/tests/placement/test_bursts.py
@@ -6,29 +6,34 @@
 
 OBJECTIVE_S = 0.15
 #: Four engines that read and two that help them end some 380 of these a second.
-HALF_MORE = Load(rate=300, seconds=3)
-TWICE = Load(rate=600, seconds=3)
+HIGH_LOAD = Load(rate=300, seconds=3)
+OVERLOAD = Load(rate=600, seconds=3)
 
 
 @functools.cache
-def play_twice():
+def replay_overload():
     """Play twice what the engines read, once for all that look at it."""
     replay = Replay()
-    replay.play([TWICE])
+    replay.play([OVERLOAD])
     return replay
 
 
-def test_prompts_in_turn_are_on_time_more_often_than_all_at_once():
+def test_queued_prompts_are_on_time_more_often_than_unqueued():
     # Callers ask for twice what the engines read. Sent at once, all prompts
     # share the engines and end together, long after their objective: callers
     # see nothing but late answers, though half of them could be in time.
-    at_once = Replay().play([TWICE], queued=False)
-    in_turn = play_twice().outcome
-    assert at_once.on_time(OBJECTIVE_S) < 0.3 * TWICE.rate * TWICE.seconds
-    assert in_turn.on_time(OBJECTIVE_S) > 0.33 * TWICE.rate * TWICE.seconds
-
-
-def test_load_that_fits_is_served_whole():
+    unqueued = Replay().play([OVERLOAD], queued=False)
+    queued_outcome = replay_overload().outcome
+    assert (
+        unqueued.on_time(OBJECTIVE_S) < 0.3 * OVERLOAD.rate * OVERLOAD.seconds
+    )
+    assert (
+        queued_outcome.on_time(OBJECTIVE_S)
+        > 0.33 * OVERLOAD.rate * OVERLOAD.seconds
+    )
+
+
+def test_no_request_is_refused_below_capacity():
     # A queue that turns callers away while engines have time to spare would
     # be worse than none: callers are refused for nothing.
     outcome = Replay().play([Load(rate=220, seconds=3)])
@@ -36,27 +41,27 @@
     assert outcome.on_time(OBJECTIVE_S) > 0.85 * len(outcome.waits)
 
 
-def test_few_reads_are_open_at_an_engine():
+def test_few_prefills_are_open_at_an_engine():
     # Instances hear of each other's reads a tenth of a second later. All that
     # saw an engine idle sent it what waited, 18 prompts at once, and the
     # first of them ended when the last one did.
     replay = Replay()
-    seen = []
-    watched = replay.watch
+    open_counts = []
+    original_watch = replay.watch
 
     def watch(engine):
-        seen.append(len(engine.open))
-        watched(engine)
+        open_counts.append(len(engine.open))
+        original_watch(engine)
 
     replay.watch = watch
-    replay.play([HALF_MORE])
-    assert max(seen) <= 2 * len(replay.instances)
+    replay.play([HIGH_LOAD])
+    assert max(open_counts) <= 2 * len(replay.instances)
 
 
-def test_refused_callers_hear_when_to_come_back_and_have_time_left():
+def test_retry_after_leaves_time_for_the_retry():
     # Callers that are refused at their deadline, or told to come back after
     # it, have lost their request without a word.
-    outcome = play_twice().outcome
+    outcome = replay_overload().outcome
     assert outcome.refused
     for problem, left_s in outcome.refused:
         told_s = problem.retry_after_s
@@ -64,17 +69,17 @@
         assert problem.answer.ran.value == 'no'
 
 
-def test_refused_callers_come_back_spread_out():
+def test_retry_after_is_spread():
     # Callers that are all told the same time come back as one more burst.
-    outcome = play_twice().outcome
-    told = {round(one.retry_after_s, 3) for one, _ in outcome.refused}
-    assert len(told) > len(outcome.refused) / 5
+    outcome = replay_overload().outcome
+    retry_times = {round(one.retry_after_s, 3) for one, _ in outcome.refused}
+    assert len(retry_times) > len(outcome.refused) / 5
 
 
-def test_most_of_those_refused_hear_it_at_once():
+def test_most_refusals_come_early():
     # A caller that waits for most of its time and is refused then has no time
     # left to try again.
-    outcome = play_twice().outcome
+    outcome = replay_overload().outcome
     held = sorted(outcome.held)
     assert held[len(held) // 2] < 0.5
 
@@ -89,11 +94,11 @@
     assert served.count(0) > 0.95 * urgent.rate * urgent.seconds
 
 
-def test_prompts_are_not_read_again_elsewhere_when_time_is_short():
+def test_overload_keeps_prompts_on_preferred_engines():
     # Under a burst each home of a shared part is busy. Prompts that move to
     # engines without the part are read whole, twice the work or more, just
     # when there is no time for it, and all wait for longer.
-    engines = play_twice().engines.values()
+    engines = replay_overload().engines.values()
     read = sum(engine.read for engine in engines)
     whole = sum(engine.whole for engine in engines)
     assert read < 0.5 * whole
--- a/packages/verbenahall/tests/placement/test_dispatch.py
+++ b/packages/verbenahall/tests/placement/test_dispatch.py
@@ -18,18 +18,18 @@
 )
 from verbenahall_standins.replay import TRAITS, make_entry
 
-SOURCE = random.Random(7)
+RNG = random.Random(7)
 
 
-def make_fleet(queue, readers=1, generators=1):
+def make_fleet(queue, prefill_count=1, decode_count=1):
     engines = [
-        *(make_entry(f'r{n}', Role.PREFILL) for n in range(readers)),
-        *(make_entry(f'g{n}', Role.DECODE) for n in range(generators)),
+        *(make_entry(f'r{n}', Role.PREFILL) for n in range(prefill_count)),
+        *(make_entry(f'g{n}', Role.DECODE) for n in range(decode_count)),
     ]
     return Fleet(PlacementState(), engines, TRAITS, len(queue.waiting))
 
 
-def make_turn(name='t', *, priority=0, since=0, due=0.5, **changes):
+def make_queued(name='t', *, priority=0, since=0, due=0.5, **changes):
     work = Work((Part('form', 6_000), Part(name, 3_000)), 9_000, 2)
     return QueuedRequest(
         request=name,
@@ -43,12 +43,12 @@
     )
 
 
-def fill(fleet, queue, *queues, now=0):
+def fill_queue(fleet, queue, *queues, now=0):
     """Let requests wait behind a read that the instance has open."""
     for engine in fleet.engines:
         fleet.state.ledger.open(engine.name, Totals(reading=200_000))
     for pending in queues:
-        enqueue(queue, pending, fleet, now, SOURCE)
+        enqueue(queue, pending, fleet, now, RNG)
 
 
 def list_order(queue, now=0):
@@ -56,37 +56,37 @@
     return [pending.request for pending in ranked]
 
 
-def test_first_request_has_its_turn_at_once():
+def test_first_request_is_admitted_at_once():
     queue = PrefillQueue()
     fleet = make_fleet(queue)
-    enqueue(queue, make_turn(), fleet, 0, SOURCE)
-    effects = dispatch(queue, fleet, 0, SOURCE)
+    enqueue(queue, make_queued(), fleet, 0, RNG)
+    effects = dispatch(queue, fleet, 0, RNG)
     assert [one.pending.request for one in effects.admitted] == ['t']
     reader = effects.admitted[0].plan.reader.name
-    assert fleet.state.ledger.own_of(reader).reading == 3_000
+    assert fleet.state.ledger.local_totals(reader).reading == 3_000
 
 
-def test_no_turn_while_the_engines_are_busy():
+def test_no_admission_while_the_engines_are_busy():
     queue = PrefillQueue()
     fleet = make_fleet(queue)
-    fill(fleet, queue, make_turn())
-    assert not dispatch(queue, fleet, 0, SOURCE).admitted
+    fill_queue(fleet, queue, make_queued())
+    assert not dispatch(queue, fleet, 0, RNG).admitted
     assert len(queue.waiting) == 1
 
 
-def test_urgent_go_first_then_those_on_time_then_those_who_return():
+def test_order_is_priority_then_on_time_then_returning():
     # A caller that was refused and came back is late already. Behind every
     # newcomer that is late as well, it would be refused once more.
     queue = PrefillQueue()
     fleet = make_fleet(queue)
-    fill(
+    fill_queue(
         fleet,
         queue,
-        make_turn('late', due=0.01),
-        make_turn('returned', due=0.01, returning=True),
-        make_turn('ordinary', priority=1),
-        make_turn('on-time'),
-        make_turn('sooner', due=0.4),
+        make_queued('late', due=0.01),
+        make_queued('returned', due=0.01, returning=True),
+        make_queued('ordinary', priority=1),
+        make_queued('on-time'),
+        make_queued('sooner', due=0.4),
     )
     assert list_order(queue) == [
         'sooner',
@@ -97,58 +97,58 @@
     ]
 
 
-def test_hopeless_request_is_refused_at_once():
+def test_expiring_request_is_refused_at_once():
     # Its caller leaves before the first event can come; held back, it would
     # hear of it only at its deadline.
     queue = PrefillQueue()
     fleet = make_fleet(queue)
-    pending = make_turn()
+    pending = make_queued()
     pending.leaves_at = 0.01
-    effects = enqueue(queue, pending, fleet, 0, SOURCE)
+    effects = enqueue(queue, pending, fleet, 0, RNG)
     refused, problem = effects.refused[0]
     assert refused is pending
     assert problem.answer.ran.value == 'no'
     assert not queue.waiting
 
 
-def test_waiting_request_is_refused_once_it_is_hopeless():
+def test_queued_request_is_refused_once_it_will_expire():
     queue = PrefillQueue()
     fleet = make_fleet(queue)
-    fill(fleet, queue, make_turn())
-    assert not dispatch(queue, fleet, 1.0, SOURCE).refused
-    effects = dispatch(queue, fleet, 1.99, SOURCE)
+    fill_queue(fleet, queue, make_queued())
+    assert not dispatch(queue, fleet, 1.0, RNG).refused
+    effects = dispatch(queue, fleet, 1.99, RNG)
     assert [pending.request for pending, _ in effects.refused] == ['t']
 
 
-def test_request_is_late_once_first_events_take_longer():
+def test_late_check_includes_recent_first_event_delays():
     # Engines are slower than they were learned to be. Requests that are given
     # their turn at the last moment by the old figure would all be late.
     queue = PrefillQueue()
-    pending = make_turn(due=0.3)
+    pending = make_queued(due=0.3)
     fleet = make_fleet(queue)
-    enqueue(queue, pending, fleet, 0, SOURCE)
-    assert not pending.is_late(queue.find_start(0))
+    enqueue(queue, pending, fleet, 0, RNG)
+    assert not pending.is_late(queue.predict_start(0))
     for _ in range(40):
         queue.note_first(pending, pending.lead_s + 0.3, 0)
-    assert pending.is_late(queue.find_start(0))
+    assert pending.is_late(queue.predict_start(0))
     for _ in range(80):
         queue.note_first(pending, pending.lead_s, 0)
-    assert not pending.is_late(queue.find_start(0))
+    assert not pending.is_late(queue.predict_start(0))
 
 
-def test_engines_that_failed_a_request_do_not_get_it_again():
+def test_engines_that_failed_a_request_are_skipped():
     queue = PrefillQueue()
-    fleet = make_fleet(queue, readers=2)
-    pending = make_turn(tried=frozenset(('r0',)))
-    enqueue(queue, pending, fleet, 0, SOURCE)
-    admitted = dispatch(queue, fleet, 0, SOURCE).admitted[0]
+    fleet = make_fleet(queue, prefill_count=2)
+    pending = make_queued(tried=frozenset(('r0',)))
+    enqueue(queue, pending, fleet, 0, RNG)
+    admitted = dispatch(queue, fleet, 0, RNG).admitted[0]
     assert admitted.plan.reader.name == 'r1'
 
 
-def test_without_engines_callers_hear_so():
+def test_without_engines_requests_are_refused():
     queue = PrefillQueue()
     fleet = Fleet(PlacementState(), [], TRAITS)
-    _, problem = enqueue(queue, make_turn(), fleet, 0, SOURCE).refused[0]
+    _, problem = enqueue(queue, make_queued(), fleet, 0, RNG).refused[0]
     assert problem.kind.value == 'no_endpoint'
 
 
@@ -159,36 +159,36 @@
     queue = PrefillQueue()
     fleet = make_fleet(queue)
     for number in range(waiting):
-        queue.waiting.append(make_turn(f'w{number}'))
-    pending = make_turn()
+        queue.waiting.append(make_queued(f'w{number}'))
+    pending = make_queued()
     pending.leaves_at = 0.02
-    _, problem = enqueue(queue, pending, fleet, 0, SOURCE).refused[0]
+    _, problem = enqueue(queue, pending, fleet, 0, RNG).refused[0]
     assert 0.1 <= problem.retry_after_s <= 0.25
 
 
-def test_open_reads_of_peers_shrink_the_share():
+def test_prefills_of_peers_reduce_the_share():
     # Alone, an instance may have a second read open at an engine, so that
     # the engine never waits for it. With five others that do the same, the
     # reads of all would stand in each other's way.
     alone = PrefillQueue()
-    crowd = PrefillQueue()
+    with_peers = PrefillQueue()
     counts = []
-    for queue, peers in ((alone, 0), (crowd, 5)):
-        fleet = make_fleet(queue, generators=0)
+    for queue, peers in ((alone, 0), (with_peers, 5)):
+        fleet = make_fleet(queue, decode_count=0)
         fleet = Fleet(
             fleet.state,
             [*fleet.engines, make_entry('g0', Role.DECODE)],
             TRAITS,
         )
         for peer in range(peers):
-            word = {'other': Totals(reading=3_000)}
-            fleet.state.ledger.hear(f'p{peer}', word, 0)
+            report = {'other': Totals(reading=3_000)}
+            fleet.state.ledger.hear(f'p{peer}', report, 0)
         for number in range(4):
             work = Work((Part('form', 6_000), Part(f'{number}', 1_500)), 7_500)
-            pending = make_turn(f't{number}')
+            pending = make_queued(f't{number}')
             pending.wanted = PlacementRequest(work, 0.2)
-            enqueue(queue, pending, fleet, 0, SOURCE)
-        effects = dispatch(queue, fleet, 0, SOURCE)
+            enqueue(queue, pending, fleet, 0, RNG)
+        effects = dispatch(queue, fleet, 0, RNG)
         counts.append(
             sum(one.plan.reader is not None for one in effects.admitted),
         )
@@ -196,15 +196,15 @@
     assert counts[0] > 1
 
 
-def test_those_that_wait_hear_at_once_that_the_last_generator_is_gone():
+def test_queue_is_refused_when_the_last_decode_engine_is_lost():
     # The only engine that generates crashes while requests wait. Nothing can
     # serve them here; held until they are hopeless, callers would lose two
     # seconds that they need to be served elsewhere.
     queue = PrefillQueue()
     fleet = make_fleet(queue)
-    fill(fleet, queue, make_turn('a'), make_turn('b'))
+    fill_queue(fleet, queue, make_queued('a'), make_queued('b'))
     left = Fleet(fleet.state, fleet.engines[:1], TRAITS)
-    effects = dispatch(queue, left, 0.1, SOURCE)
+    effects = dispatch(queue, left, 0.1, RNG)
     assert [pending.request for pending, _ in effects.refused] == ['a', 'b']
     kinds = {problem.kind.value for _, problem in effects.refused}
     assert kinds == {'no_endpoint'}
@@ -214,10 +214,10 @@
 class CountingFleet(Fleet):
     """Counts how often a request is placed."""
 
-    placed = 0
+    place_calls = 0
 
     def place(self, pending, now):
-        CountingFleet.placed += 1
+        CountingFleet.place_calls += 1
         return super().place(pending, now)
 
 
@@ -227,13 +227,13 @@
     # processor time: it read its callers' requests a second late, and sent
     # the requests of some that had left by then.
     queue = PrefillQueue()
-    fleet = make_fleet(queue, readers=4, generators=2)
-    queues = [make_turn(f't{number}') for number in range(200)]
-    fill(fleet, queue, *queues)
-    looked = CountingFleet(fleet.state, fleet.engines, TRAITS, 200)
-    CountingFleet.placed = 0
-    dispatch(queue, looked, 0.1, SOURCE)
-    assert CountingFleet.placed <= 8
+    fleet = make_fleet(queue, prefill_count=4, decode_count=2)
+    queues = [make_queued(f't{number}') for number in range(200)]
+    fill_queue(fleet, queue, *queues)
+    counting = CountingFleet(fleet.state, fleet.engines, TRAITS, 200)
+    CountingFleet.place_calls = 0
+    dispatch(queue, counting, 0.1, RNG)
+    assert CountingFleet.place_calls <= 8
 
 
 def test_slow_first_events_do_not_send_callers_away_that_stay():
@@ -242,12 +242,12 @@
     # that had half of their time left: one in six on a day of crashes.
     queue = PrefillQueue()
     fleet = make_fleet(queue)
-    pending = make_turn()
-    fill(fleet, queue, pending)
+    pending = make_queued()
+    fill_queue(fleet, queue, pending)
     for _ in range(60):
         queue.note_first(pending, pending.lead_s + 0.5, 1.2)
-    assert not dispatch(queue, fleet, 1.2, SOURCE).refused
-    assert dispatch(queue, fleet, 1.6, SOURCE).refused
+    assert not dispatch(queue, fleet, 1.2, RNG).refused
+    assert dispatch(queue, fleet, 1.6, RNG).refused
 
 
 def test_engines_that_were_slow_are_tried_again():
@@ -258,15 +258,15 @@
     queue = PrefillQueue()
     fleet = make_fleet(queue)
     for _ in range(200):
-        queue.note_first(make_turn(), 5, 0)
-    pending = make_turn(since=0.1)
-    assert not enqueue(queue, pending, fleet, 0.1, SOURCE).refused
-    admitted = dispatch(queue, fleet, 0.1, SOURCE).admitted
+        queue.note_first(make_queued(), 5, 0)
+    pending = make_queued(since=0.1)
+    assert not enqueue(queue, pending, fleet, 0.1, RNG).refused
+    admitted = dispatch(queue, fleet, 0.1, RNG).admitted
     assert [one.pending for one in admitted] == [pending]
 
 
-def test_what_was_learned_of_slow_engines_fades():
+def test_delay_estimate_decays():
     queue = PrefillQueue()
-    queue.note_first(make_turn(), 5, 0)
-    learned_s = queue.excess.read(0)
-    assert queue.excess.read(10) < learned_s / 20
+    queue.note_first(make_queued(), 5, 0)
+    estimated_s = queue.first_event_delay.read(0)
+    assert queue.first_event_delay.read(10) < estimated_s / 20
--- a/packages/verbenahall/tests/placement/test_fleets.py
+++ b/packages/verbenahall/tests/placement/test_fleets.py
@@ -25,8 +25,8 @@
     )
     load = Load(rate * ENGINES[0], SECONDS, things=15 * ENGINES[0])
     outcome = replay.play([load])
-    asked = len(outcome.waits) + len(outcome.refused)
-    return outcome.on_time(OBJECTIVE_S) / asked
+    total = len(outcome.waits) + len(outcome.refused)
+    return outcome.on_time(OBJECTIVE_S) / total
 
 
 @pytest.mark.parametrize('instances', [24, 200])
--- a/packages/verbenahall/tests/placement/test_ledger.py
+++ b/packages/verbenahall/tests/placement/test_ledger.py
@@ -3,7 +3,7 @@
 from verbenahall.placement import Ledger, Totals
 
 
-def test_read_of_a_generator_ends_with_its_first_event():
+def test_prefill_of_a_decode_engine_ends_with_its_first_event():
     # Counted until the stream's end, a read looked to the other instances
     # like a prompt that they would have to wait for.
     ledger = Ledger()
@@ -15,13 +15,13 @@
     assert ledger.totals('g0') == Totals()
 
 
-def test_peers_that_read_are_counted_as_long_as_they_are_heard():
+def test_prefilling_peers_count_while_they_report():
     ledger = Ledger()
     ledger.hear('p1', {'r0': Totals(reading=100)}, 0)
     ledger.hear('p2', {'g0': Totals(streams=1)}, 0)
-    assert ledger.readers == 1
+    assert ledger.prefilling_peers == 1
     ledger.hear('p1', {}, 0.1)
-    assert ledger.readers == 0
+    assert ledger.prefilling_peers == 0
     ledger.hear('p1', {'r0': Totals(reading=100)}, 0.2)
     ledger.forget_silent(10)
-    assert ledger.readers == 0
+    assert ledger.prefilling_peers == 0
--- a/packages/verbenahall/tests/placement/test_placement.py
+++ b/packages/verbenahall/tests/placement/test_placement.py
@@ -16,8 +16,8 @@
     place,
     plan_roles,
 )
-from verbenahall.placement._caches import PartCache
-from verbenahall.placement._speeds import ReadSpeed, RecentTime
+from verbenahall.placement._caches import PrefixCache
+from verbenahall.placement._speeds import DecayingAverage, PrefillSpeed
 from verbenahall.roster import Entry
 
 TRAITS = EngineTraits(
@@ -43,10 +43,10 @@
     )
 
 
-def make_engines(readers=6, generators=3):
+def make_engines(prefill_count=6, decode_count=3):
     return [
-        *(make_engine(f'r{n}') for n in range(readers)),
-        *(make_engine(f'g{n}', Role.DECODE) for n in range(generators)),
+        *(make_engine(f'r{n}') for n in range(prefill_count)),
+        *(make_engine(f'g{n}', Role.DECODE) for n in range(decode_count)),
     ]
 
 
@@ -65,27 +65,27 @@
     ).unwrap()
 
 
-def test_requests_with_a_shared_part_go_to_one_home():
+def test_requests_with_a_shared_part_go_to_one_engine():
     state = make_state()
     engines = make_engines()
-    homes = {
+    chosen_engines = {
         choose(state, make_work(own=f'o{n}'), engines).reader.name
         for n in range(20)
     }
-    assert len(homes) == 1
+    assert len(chosen_engines) == 1
 
 
-def test_instances_agree_on_homes():
+def test_instances_agree_on_preferred_engines():
     engines = make_engines()
     for number in range(20):
         work = make_work(shared=f'archive-{number}')
-        readers = {
+        chosen_names = {
             choose(make_state(), work, engines).reader.name for _ in range(5)
         }
-        assert len(readers) == 1
+        assert len(chosen_names) == 1
 
 
-def test_homes_are_spread_over_the_readers():
+def test_prefixes_are_spread_over_the_prefill_engines():
     state = make_state()
     engines = make_engines()
     works = [make_work(shared=f'a{n}') for n in range(300)]
@@ -93,7 +93,7 @@
     assert all(30 <= chosen.count(f'r{n}') <= 75 for n in range(6))
 
 
-def test_a_reader_that_goes_moves_only_its_own_parts():
+def test_lost_prefill_engine_moves_only_its_own_parts():
     # An engine leaves. If the others' parts moved too, the whole fleet would
     # read every archive again in the same second.
     state = make_state()
@@ -106,30 +106,30 @@
     assert set(moved) == {'r0'}
 
 
-def test_busy_home_gives_way_only_when_reading_again_costs_less():
+def test_busy_preferred_engine_is_left_only_if_that_costs_less():
     state = make_state()
     engines = make_engines()
     work = make_work()
-    home = choose(state, work, engines).reader
-    flight = state.ledger.open(home.name, Totals(reading=4_000))
-    assert choose(state, work, engines).reader == home
+    preferred = choose(state, work, engines).reader
+    flight = state.ledger.open(preferred.name, Totals(reading=4_000))
+    assert choose(state, work, engines).reader == preferred
     state.ledger.close(flight)
-    state.ledger.open(home.name, Totals(reading=80_000))
-    assert choose(state, work, engines).reader != home
+    state.ledger.open(preferred.name, Totals(reading=80_000))
+    assert choose(state, work, engines).reader != preferred
 
 
-def test_small_part_spills_over_early():
+def test_short_shared_part_spills_over_early():
     # Captions share little. Kept at a busy home they wait behind archives
     # that they have nothing to do with.
     state = make_state()
     engines = make_engines()
     work = make_work(shared_tokens=100)
-    home = choose(state, work, engines).reader
-    state.ledger.open(home.name, Totals(reading=12_000))
-    assert choose(state, work, engines).reader != home
+    preferred = choose(state, work, engines).reader
+    state.ledger.open(preferred.name, Totals(reading=12_000))
+    assert choose(state, work, engines).reader != preferred
 
 
-def test_generator_with_room_is_chosen():
+def test_decode_engine_with_room_is_chosen():
     state = make_state()
     engines = make_engines()
     state.ledger.open('g0', Totals(context=430_000, streams=20))
@@ -139,7 +139,7 @@
         assert plan.generator.name == 'g2'
 
 
-def test_streams_are_spread_over_the_generators():
+def test_streams_are_spread_over_the_decode_engines():
     state = make_state()
     engines = make_engines()
     chosen = []
@@ -152,7 +152,7 @@
     assert all(chosen.count(f'g{n}') >= 8 for n in range(3))
 
 
-def test_slow_generator_is_avoided():
+def test_slow_decode_engine_is_avoided():
     # An engine has turned slow and still answers its health check. Streams
     # there pause for longer than their callers bear.
     state = make_state()
@@ -164,7 +164,7 @@
         assert plan.generator.name != 'g0'
 
 
-def test_generator_near_the_reader_is_preferred():
+def test_decode_engine_in_the_same_data_centre_is_preferred():
     state = make_state()
     engines = [
         make_engine('r0'),
@@ -174,19 +174,19 @@
     assert choose(state, make_work(), engines).generator.name == 'near'
 
 
-def test_without_readers_generators_read_themselves():
+def test_without_prefill_engines_decode_engines_prefill():
     state = make_state()
-    engines = make_engines(readers=0)
+    engines = make_engines(prefill_count=0)
     plan = choose(state, make_work(), engines)
     assert plan.reader is None
     assert plan.generator.role is Role.DECODE
 
 
-def test_without_generators_nothing_is_placed():
+def test_without_decode_engines_nothing_is_placed():
     outcome = place(
         make_state(),
         PlacementRequest(make_work(), 0.25),
-        make_engines(generators=0),
+        make_engines(decode_count=0),
         TRAITS,
         0,
     )
@@ -202,63 +202,63 @@
     assert isinstance(outcome, Success)
 
 
-def test_cache_keeps_the_last_used_parts():
-    cache = PartCache(1000)
+def test_cache_evicts_the_least_recently_used_parts():
+    cache = PrefixCache(1000)
     cache.note([Part('a', 300), Part('b', 300)])
     cache.note([Part('a', 300), Part('c', 300)])
-    assert cache.count_kept([Part('a', 300), Part('c', 300)]) == 600
-    assert cache.count_kept([Part('a', 300), Part('b', 300)]) == 300
-    assert cache.count_kept([Part('b', 300)]) == 0
+    assert cache.count_cached_tokens([Part('a', 300), Part('c', 300)]) == 600
+    assert cache.count_cached_tokens([Part('a', 300), Part('b', 300)]) == 300
+    assert cache.count_cached_tokens([Part('b', 300)]) == 0
 
 
-def test_part_counts_only_behind_all_parts_before_it():
-    cache = PartCache(10_000)
+def test_part_counts_only_if_all_earlier_parts_are_cached():
+    cache = PrefixCache(10_000)
     cache.note([Part('a', 300), Part('b', 300)])
-    assert cache.count_kept([Part('x', 10), Part('b', 300)]) == 0
+    assert cache.count_cached_tokens([Part('x', 10), Part('b', 300)]) == 0
 
 
-def time_read(missing, kept):
+def model_prefill_s(missing, cached):
     """Return what a read takes on an engine like the users' ones."""
-    pairs = missing * (kept + missing / 2) / 1e6
+    pairs = missing * (cached + missing / 2) / 1e6
     return 0.08 + missing / 93_000 + pairs * 0.000_442
 
 
-def test_read_speed_is_learned():
-    speed = ReadSpeed()
-    source = random.Random(3)
+def test_prefill_speed_is_estimated():
+    speed = PrefillSpeed()
+    rng = random.Random(3)
     for _ in range(300):
-        missing = source.randint(400, 20_000)
-        kept = source.choice((0, 6_300, 13_300))
-        noise = source.expovariate(100)
-        speed.learn(missing, kept, time_read(missing, kept) + noise)
-    for missing, kept in ((1_110, 350), (3_720, 13_300), (17_000, 0)):
-        expected = speed.start_s + speed.expect(missing, kept)
-        assert 0.8 < expected / time_read(missing, kept) < 1.35
+        missing = rng.randint(400, 20_000)
+        cached = rng.choice((0, 6_300, 13_300))
+        noise = rng.expovariate(100)
+        speed.learn(missing, cached, model_prefill_s(missing, cached) + noise)
+    for missing, cached in ((1_110, 350), (3_720, 13_300), (17_000, 0)):
+        expected = speed.start_s + speed.predict_s(missing, cached)
+        assert 0.8 < expected / model_prefill_s(missing, cached) < 1.35
 
 
-def test_reads_that_waited_unseen_move_the_speed_little():
+def test_delayed_prefills_change_the_estimate_little():
     # Reads of instances that this one does not hear make some of its own
     # wait. Believed, engines would look slow and work be refused for nothing.
-    speed = ReadSpeed()
-    source = random.Random(4)
+    speed = PrefillSpeed()
+    rng = random.Random(4)
     for number in range(300):
-        missing = source.randint(400, 20_000)
+        missing = rng.randint(400, 20_000)
         waited = 0.5 if number % 4 == 0 else 0
-        speed.learn(missing, 0, time_read(missing, 0) + waited)
-    expected = speed.start_s + speed.expect(5_000, 0)
-    assert expected / time_read(5_000, 0) < 1.8
+        speed.learn(missing, 0, model_prefill_s(missing, 0) + waited)
+    expected = speed.start_s + speed.predict_s(5_000, 0)
+    assert expected / model_prefill_s(5_000, 0) < 1.8
 
 
-def test_step_time_fades_without_news():
-    step = RecentTime()
+def test_step_time_decays_without_samples():
+    step = DecayingAverage()
     for _ in range(30):
         step.note(0.05, now=10)
     assert step.read(10) > 0.04
     assert step.read(30) < 0.008
 
 
-def test_most_engines_read():
-    engines = make_engines(readers=4, generators=5)
+def test_most_engines_prefill():
+    engines = make_engines(prefill_count=4, decode_count=5)
     changes = plan_roles(engines, {})
     roles = [change.role for change in changes]
     assert roles == [Role.PREFILL, Role.PREFILL]
@@ -278,18 +278,18 @@
     Were those of the other one changed, it would have none, and every answer
     to its callers would come from afar.
     """
-    engines = spread(make_engines(readers=1, generators=6), 'aaaabaa')
+    engines = spread(make_engines(prefill_count=1, decode_count=6), 'aaaabaa')
     changes = plan_roles(engines, {})
     assert [change.engine.data_centre for change in changes] == ['a', 'a', 'a']
 
 
-def test_large_fleet_has_its_roles_soon():
+def test_large_fleet_reaches_its_roles_in_few_rounds():
     """Eighty engines start, most of them with the wrong role.
 
     Changed four at a time, each change taking seconds, they would be away by
     turns while the first callers wait.
     """
-    engines = make_engines(readers=20, generators=60)
+    engines = make_engines(prefill_count=20, decode_count=60)
     rounds = 0
     while changes := plan_roles(engines, {}):
         changed = {change.engine.name: change.role for change in changes}
@@ -302,68 +302,70 @@
 
 
 def test_planned_roles_need_no_change():
-    assert not plan_roles(make_engines(readers=6, generators=3), {})
-    assert not plan_roles(make_engines(readers=4, generators=2), {})
+    assert not plan_roles(make_engines(prefill_count=6, decode_count=3), {})
+    assert not plan_roles(make_engines(prefill_count=4, decode_count=2), {})
     assert not plan_roles([], {})
 
 
 def test_least_busy_engines_change():
     # A change waits for what runs and takes the engine away meanwhile.
-    engines = make_engines(readers=2, generators=4)
+    engines = make_engines(prefill_count=2, decode_count=4)
     busy = {'g0': 9, 'g1': 0, 'g2': 7, 'g3': 1}
     changes = plan_roles(engines, busy)
     assert [change.engine.name for change in changes] == ['g1', 'g3']
 
 
-def test_someone_always_generates():
-    for readers, generators in ((1, 0), (3, 0), (0, 1), (1, 1)):
-        engines = make_engines(readers, generators)
+def test_one_engine_always_decodes():
+    for prefill_count, decode_count in ((1, 0), (3, 0), (0, 1), (1, 1)):
+        engines = make_engines(prefill_count, decode_count)
         changes = plan_roles(engines, {})
         roles = [change.role for change in changes]
-        left = generators + roles.count(Role.DECODE)
+        left = decode_count + roles.count(Role.DECODE)
         assert left - roles.count(Role.PREFILL) >= 1
 
 
-def test_crashed_generators_are_waited_for():
+def test_crashed_decode_engines_are_not_replaced():
     # Two of three generators crash and are back in four seconds. Readers that
     # were changed in their place came three seconds later, were changed back
     # three more seconds after that, and the archives they kept were read
     # again: a day's goodput fell from 0.52 to 0.41 of what was owed.
-    engines = make_engines(readers=6, generators=1)
-    assert not plan_roles(engines, {}, away=2)
+    engines = make_engines(prefill_count=6, decode_count=1)
+    assert not plan_roles(engines, {}, recently_lost=2)
 
 
-def test_a_service_without_generators_gets_one():
-    engines = make_engines(readers=6, generators=0)
-    changes = plan_roles(engines, {}, away=3)
+def test_service_without_decode_engines_gets_one():
+    engines = make_engines(prefill_count=6, decode_count=0)
+    changes = plan_roles(engines, {}, recently_lost=3)
     assert [change.role for change in changes] == [Role.DECODE]
 
 
-def test_engines_that_have_left_are_made_up_for():
-    engines = make_engines(readers=6, generators=2)
+def test_removed_decode_engine_is_replaced():
+    engines = make_engines(prefill_count=6, decode_count=2)
     changes = plan_roles(engines, {})
     assert [change.role for change in changes] == [Role.DECODE]
 
 
-def test_few_reads_move_the_speed_little():
+def test_few_prefills_change_the_estimate_little():
     # An instance starts in the middle of a burst, and its first reads wait
     # behind others' that it has not heard of. Believed, it refuses callers
     # for waits that are none.
-    speed = ReadSpeed()
+    speed = PrefillSpeed()
     for _ in range(3):
         speed.learn(1_000, 0, 0.8)
-    assert speed.start_s + speed.expect(20_000, 0) < 0.6
+    assert speed.start_s + speed.predict_s(20_000, 0) < 0.6
 
 
-def test_what_others_have_learned_is_taken_over():
-    learned = ReadSpeed()
-    source = random.Random(5)
+def test_estimate_of_a_peer_is_adopted():
+    learned = PrefillSpeed()
+    rng = random.Random(5)
     for _ in range(200):
-        missing = source.randint(400, 20_000)
-        learned.learn(missing, 0, time_read(missing, 0))
-    fresh = ReadSpeed()
+        missing = rng.randint(400, 20_000)
+        learned.learn(missing, 0, model_prefill_s(missing, 0))
+    fresh = PrefillSpeed()
     fresh.adopt(learned.export())
-    assert abs(fresh.expect(9_000, 0) / learned.expect(9_000, 0) - 1) < 0.01
+    assert (
+        abs(fresh.predict_s(9_000, 0) / learned.predict_s(9_000, 0) - 1) < 0.01
+    )
     before = learned.export()
     learned.adopt(fresh.export())
     assert learned.export() == before
@@ -374,7 +376,7 @@
     return Work(parts, tokens, 90)
 
 
-def test_short_prompt_is_read_where_it_is_generated():
+def test_short_prompt_is_prefilled_by_the_decode_engine():
     # A prompt of some two hundred tokens takes a generator a moment to read.
     # Sent over a reader, its caller waits for two engines in place of one,
     # and for the long prompts that the reader has open.
@@ -383,7 +385,7 @@
     assert plan.reader is None
 
 
-def test_long_prompt_is_not_read_between_the_tokens_of_streams():
+def test_long_prompt_is_not_prefilled_by_a_busy_decode_engine():
     # A generator that reads a long prompt holds up each of its streams, whose
     # callers see a pause.
     state = make_state()
@@ -393,7 +395,7 @@
     assert choose(state, make_work(), engines).reader is not None
 
 
-def test_generator_helps_when_readers_are_behind():
+def test_decode_engine_prefills_when_prefill_engines_are_busy():
     state = make_state()
     engines = make_engines()
     for number in range(6):
@@ -401,19 +403,19 @@
     assert choose(state, make_work(), engines).reader is None
 
 
-def test_prompt_stays_at_its_home_while_others_wait():
+def test_prompt_stays_on_its_preferred_engine_while_others_wait():
     # Read again elsewhere, a prompt takes twice the time of an engine. With a
     # queue behind it, all who wait pay for that.
     state = make_state()
-    engines = make_engines(generators=1)
+    engines = make_engines(decode_count=1)
     work = make_work()
-    home = choose(state, work, engines).reader
+    preferred = choose(state, work, engines).reader
     state.ledger.open('g0', Totals(streams=8, context=8_000))
-    state.ledger.open(home.name, Totals(reading=50_000))
+    state.ledger.open(preferred.name, Totals(reading=50_000))
     spilled = place(
         state, PlacementRequest(work, 0.25), engines, TRAITS, 0
     ).unwrap()
     wanted = PlacementRequest(work, 0.25)
     stayed = place(state, wanted, engines, TRAITS, 0, waiting=10).unwrap()
-    assert spilled.reader != home
-    assert stayed.reader == home
+    assert spilled.reader != preferred
+    assert stayed.reader == preferred
--- a/packages/verbenahall/tests/scheduling/test_scheduler.py
+++ b/packages/verbenahall/tests/scheduling/test_scheduler.py
@@ -73,8 +73,8 @@
 
     assert reply.message.prefill == 'p0'
     assert reply.message.decode == 'd0'
-    assert state.placement.ledger.own_of('p0').reading == 3_000
-    assert state.placement.ledger.own_of('d0').streams == 1
+    assert state.placement.ledger.local_totals('p0').reading == 3_000
+    assert state.placement.ledger.local_totals('d0').streams == 1
 
 
 def test_prompts_of_many_instances_wait_for_one_engine(state):
@@ -122,7 +122,7 @@
     again = ask(state, make_request('a'), now=0.25)
 
     assert list(again) == list(first)
-    assert state.placement.ledger.own_of('d0').streams == 1
+    assert state.placement.ledger.local_totals('d0').streams == 1
 
 
 def test_request_that_waits_is_told_so_each_time(state):
@@ -185,8 +185,8 @@
     event = scheduling.FirstEvent('a', 0.1, 0.01)
     scheduling.note(state, event, service, 0.1)
 
-    assert not state.placement.ledger.own_of('p0').reading
-    assert state.placement.ledger.own_of('d0').streams == 1
+    assert not state.placement.ledger.local_totals('p0').reading
+    assert state.placement.ledger.local_totals('d0').streams == 1
 
 
 def test_late_message_of_an_ended_assignment_changes_nothing(state, service):
