--- a/packages/verbenahall/src/verbenahall/placement/_decisions.py
+++ b/packages/verbenahall/src/verbenahall/placement/_decisions.py
@@ -1,10 +1,11 @@
-"""Chooses the engines of a model request.
-
-Each way to serve it has a price in seconds: the wait until the first event,
-and the engine time that reading takes from everybody else. Requests that
-share a part gather on the part's homes among the engines that read, and spill
-over only when the wait at a home costs more than reading the part again
-elsewhere; who generates is chosen by how full and how near the engine is.
+"""Chooses the engines of a model request by their cost.
+
+Every way to serve a request has a cost in seconds: the time to the first
+event, and the engine time that its prefill takes from other requests. Requests
+with a common prefix go to the preferred engines of that prefix. They go to
+another engine only if waiting for a preferred one costs more than prefilling
+the prefix again. The decode engine is chosen by its load and by the transfer
+time of the KV cache.
 """
 
 import dataclasses
@@ -22,41 +23,43 @@
 from verbenahall.roster import Entry
 from verbenahall.routing import rank_by_rendezvous
 
-#: Homes of a part that are looked at.
+#: Engines that are considered for a prefix, in order of preference.
 _PREFERRED_ENGINES: Final = 3
-#: An engine that generates reads at half the speed of one that only reads,
-#: and in pieces between the tokens of others.
+#: A decode engine prefills at half the speed of a prefill engine, in chunks
+#: between the decode steps of its streams.
 _MIXED_SLOWDOWN: Final = 2.0
-#: Price of a second of an engine's time for reading, in seconds of wait, and
-#: the most that it is: each request that waits is put off by that second, and
-#: a hundred of them are not to send one across the fleet for a token.
+#: Cost of one second of prefill time, in seconds of wait, and its maximum.
+#: Each queued request adds one second, as it is delayed by that time. The
+#: maximum keeps a queue of a hundred requests from sending a prompt to a
+#: distant engine to save a single token.
 _ENGINE_TIME_COST: Final = 1.0
 _MAX_ENGINE_TIME_COST: Final = 8.0
-#: Price of a second that a prompt read between their tokens holds up each
-#: stream of an engine, in seconds of wait.
+#: Cost for each stream of an engine and second for which a prefill stalls it,
+#: in seconds of wait.
 _STREAM_STALL_COST: Final = 1.0
-#: A move between data centres takes twice as long as inside one.
+#: Transfer time between data centres relative to that inside one.
 _REMOTE_FACTOR: Final = 2.0
-#: Price of an engine's memory being full, in seconds: a request that finds
-#: no room waits for another one's end, or pushes it out to be read again.
+#: Cost of a full engine, in seconds: a request that finds no memory waits
+#: until another one ends, or evicts one that has to be prefilled again.
 _FULL_COST: Final = 2.0
-#: Price of an engine's fill as such, in seconds: it spreads streams over
-#: engines that are all far from full.
+#: Cost of the fill of an engine, in seconds. It spreads streams over engines
+#: that are all far from full.
 _FILL_COST: Final = 0.1
-#: Share of memory or places from which crowding is priced.
+#: Share of memory or slots above which the fill of an engine has a cost.
 _CONGESTION_THRESHOLD: Final = 0.7
-#: Share of the longest step that streams bear on time.
+#: Share of the longest acceptable step time above which a step has a cost.
 _STEP_THRESHOLD: Final = 0.6
-#: Price of a step time at the longest that streams bear, in seconds.
+#: Cost of the longest acceptable step time, in seconds.
 _STEP_COST: Final = 1.0
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class PlacementRequest:
-    """A request to place: its work and what its caller bears.
+    """A request to place, with its token counts and its limits.
 
-    ``gap_s`` is the longest pause between two events that is on time.
-    ``read_by`` is the engine that has read the prompt already, if there is.
+    ``gap_s`` is the longest pause in seconds between two events that still
+    counts as on time. ``read_by`` is the engine that has prefilled the prompt
+    already, if any.
     """
 
     work: Work
@@ -66,7 +69,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class _Option:
-    """One way to serve a request and its price."""
+    """A plan for a request and its cost in seconds."""
 
     plan: Plan
     cost: float
@@ -80,15 +83,18 @@
     now: float,
     waiting: int = 0,
 ) -> Result[Plan, Problem]:
-    """Choose where the prompt is read and where the answer is generated.
+    """Choose the engines that prefill and decode a request.
 
-    ``waiting`` requests wait for engines that read; they pay for each second
-    of an engine's time.
+    ``waiting`` is the number of requests queued for prefill. Each second of
+    engine time costs more the longer that queue is. Fails with ``NO_ENDPOINT``
+    if no engine can decode.
     """
     decode_engines = [one for one in engines if one.role is not Role.PREFILL]
     if not decode_engines:
         return Failure(
-            Problem(ErrorKind.NO_ENDPOINT, 'no engine generates now'),
+            Problem(
+                ErrorKind.NO_ENDPOINT, 'no engine of the service can decode'
+            ),
         )
     prefill_engines = [one for one in engines if one.role is Role.PREFILL]
     cost_model = _CostModel(state, request, traits, now, waiting)
@@ -103,13 +109,13 @@
 
 
 def find_preferred_engine(work: Work, prefill_engines: Sequence[Entry]) -> str:
-    """Return the engine that is thought to keep a prompt's shared parts."""
+    """Return the engine most likely to have the shared parts cached."""
     return _rank_preferred(work, prefill_engines)[0].name
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class _DecodeCandidate:
-    """An engine that could go on with a prompt that was read elsewhere."""
+    """A decode engine for a prompt that another engine prefills."""
 
     engine: Entry
     first_s: float
@@ -118,12 +124,16 @@
 
     @property
     def cost(self) -> float:
-        """The price in seconds; evenly good engines are filled evenly."""
+        """The cost in seconds.
+
+        It includes a small cost of the fill, which spreads streams evenly over
+        engines that are equal otherwise.
+        """
         return self.first_s + self.congestion_cost + _FILL_COST * self.fill
 
 
 class _CostModel:
-    """Prices the ways to serve one request."""
+    """Computes the cost of the ways to serve one request."""
 
     __slots__ = (
         '_state',
@@ -154,7 +164,7 @@
     def evaluate_mixed(
         self, decode_engines: Sequence[Entry]
     ) -> Iterator[_Option]:
-        """Price the engines that generate as readers of their own."""
+        """Yield plans by which a decode engine also prefills the prompt."""
         preferred = _rank_preferred(self._work, decode_engines)
         for rank, engine in enumerate(preferred):
             missing = self._count_missing(engine, rank)
@@ -179,7 +189,7 @@
         prefill_engines: Sequence[Entry],
         decode_engines: Sequence[Entry],
     ) -> Iterator[_Option]:
-        """Price reading on one engine and generating on another."""
+        """Yield plans with one engine for prefill and another for decode."""
         for rank, prefill_engine in enumerate(
             _rank_preferred(self._work, prefill_engines)
         ):
@@ -206,7 +216,7 @@
     def plan_decode(
         self, prefill_engine: Entry, decode_engines: Sequence[Entry]
     ) -> Plan:
-        """Choose who goes on with a prompt that ``prefill_engine`` has read."""
+        """Choose the decode engine of a prompt that is already prefilled."""
         decode = self._choose_decode_engine(prefill_engine, decode_engines)
         return Plan(prefill_engine, decode.engine, 0, decode.first_s, 'handle')
 
@@ -215,11 +225,11 @@
         return self._start_s + prefill_s + step_s
 
     def _stall_cost(self, engine: Entry, prefill_s: float) -> float:
-        """Return the price of a read between the tokens of streams.
+        """Return the cost of a prefill on an engine that decodes streams.
 
-        It holds up each of them for as long as it takes. Without this price
-        generators took reads that looked cheap, and streams were late by the
-        pauses in them.
+        All of its streams pause for the length of the prefill. Without this
+        cost, prefills that looked cheap were sent to decode engines, and
+        streams there missed their objective because of the pauses.
         """
         streams = self._state.ledger.totals(engine.name).streams
         return prefill_s * (
@@ -231,7 +241,7 @@
         prefill_engine: Entry,
         decode_engines: Sequence[Entry],
     ) -> _DecodeCandidate:
-        """Return the engine that goes on at the lowest price."""
+        """Return the decode engine with the lowest cost, transfer included."""
         if not self._candidates:
             self._candidates = [
                 self._evaluate_decode(one) for one in decode_engines
@@ -247,7 +257,7 @@
         return dataclasses.replace(best, first_s=best.first_s + transfer_s)
 
     def _evaluate_decode(self, engine: Entry) -> _DecodeCandidate:
-        """Price an engine without the move, which depends on the reader."""
+        """Evaluate an engine without the transfer from the prefill engine."""
         return _DecodeCandidate(
             engine,
             first_s=self._decode_wait_s(engine),
@@ -256,11 +266,13 @@
         )
 
     def _count_missing(self, engine: Entry, rank: int) -> int:
-        """Return the tokens that an engine would have to read.
+        """Return the tokens that an engine would have to prefill.
 
-        The first home is taken to keep what all instances send it, unless
-        all that it was sent is known: taken for kept, a long prefix that is
-        new looks like a short prompt, and others are sent behind it.
+        The first preferred engine is assumed to have all shared parts cached,
+        because all instances send it these parts. That doesn't hold for a
+        scheduler that has seen everything the engines have prefilled: there a
+        long prefix that is new would look like a short prompt, and other
+        requests would be queued behind it.
         """
         if rank == 0 and not self._state.caches_complete:
             cached = sum(part.tokens for part in self._work.shared)
@@ -271,10 +283,11 @@
 
     @property
     def _engine_time_cost(self) -> float:
-        """The price of engine time, which all who wait pay.
+        """The cost of one second of engine time, which rises with the queue.
 
-        With a fixed price, prompts are read again at engines without their
-        shared parts just when there is least time for it.
+        With a fixed cost, a busy queue moves prompts to engines that don't
+        have their shared parts cached, which takes more engine time just when
+        it is scarce.
         """
         return min(_ENGINE_TIME_COST + self._waiting, _MAX_ENGINE_TIME_COST)
 
@@ -297,15 +310,15 @@
         return factor * kv_bytes / self._traits.link_bytes_s
 
     def _decode_wait_s(self, engine: Entry) -> float:
-        """Return how long a read prompt waits to join an engine's batch.
+        """Return how long a prefilled prompt waits to join a decode batch.
 
-        Prompts that the engine reads itself go first, in pieces.
+        Prompts that the engine prefills itself go first, in chunks.
         """
         handover_s = self._state.handover.read(self._now)
         return handover_s + self._backlog_s(engine) * _MIXED_SLOWDOWN
 
     def _fill(self, engine: Entry) -> float:
-        """Return how full an engine would be, by memory and by places."""
+        """Return the fill of an engine with the request, by memory or slots."""
         totals = self._state.ledger.totals(engine.name)
         held_tokens = totals.context + self._work.context_tokens
         streams_after = totals.streams + 1
@@ -315,7 +328,7 @@
         )
 
     def _congestion_cost(self, engine: Entry) -> float:
-        """Return the price of joining an engine's batch, in seconds."""
+        """Return the cost in seconds of joining the batch of a busy engine."""
         fill = _relative_excess(self._fill(engine), _CONGESTION_THRESHOLD)
         step = self._state.step_of(engine.name).read(self._now)
         max_step_s = self._request.gap_s / self._traits.event_tokens
@@ -327,7 +340,7 @@
 
 
 def _relative_excess(value: float, bound: float) -> float:
-    """Return by how much of the rest a share lies above its bound."""
+    """Return how far a value is above a bound, relative to 1 - bound."""
     return max(0, value - bound) / (1 - bound)
 
 
