--- a/packages/verbenahall/src/verbenahall/placement/_dispatch.py
+++ b/packages/verbenahall/src/verbenahall/placement/_dispatch.py
@@ -1,9 +1,10 @@
-"""Whose prompt is prefilled next, who waits, and who is refused.
+"""Decides which prompt is prefilled next, and which requests are refused.
 
-An engine prefills side by side all prompts that it has admitted. When more
-come than the engines can prefill, every one of them ends late, though many of
-them could be on time. So only few prefills are open at an engine at a time,
-and the others wait here, ordered by urgency and by what can still be on time.
+An engine prefills all prompts that it has admitted concurrently. When more
+arrive than the engines can prefill, all of them end late, though many could
+have been on time. So only a few prefills are open at an engine at a time. The
+other requests wait in a queue, ordered by priority and by whether they can
+still be on time.
 """
 
 import random
@@ -22,13 +23,12 @@
 )
 from verbenahall.placement._slots import AdmissionSlots, Fleet
 
-#: Callers are never told to come back sooner than this, in seconds.
+#: Shortest retry time given to a caller, in seconds.
 _MIN_RETRY_S: Final = 0.2
-#: Share of a caller's time left that it is told to wait at most: it needs the
-#: rest to be served.
+#: Longest retry time as a share of the time until the caller leaves; the rest
+#: is needed to serve the retry.
 _MAX_RETRY_SHARE: Final = 1 / 3
-#: Callers that were refused together come back over this range of the time
-#: that they are told, as shares of it.
+#: Range of the random factor of the retry time.
 _RETRY_JITTER: Final = (0.75, 1.25)
 
 
@@ -39,10 +39,11 @@
     now: float,
     rng: random.Random,
 ) -> QueueEffects:
-    """Let a request wait, or refuse it at once.
+    """Add a request to the queue, or refuse it at once.
 
-    What cannot be on time gets the prefills that those on time leave. When
-    that would take longer than its caller stays, the caller hears so at once.
+    Requests that are past their objective get the prefills that those on time
+    leave over. One that would get none before its caller leaves is refused on
+    arrival.
     """
     match fleet.place(pending, now):
         case Success(plan):
@@ -52,7 +53,8 @@
             )
         case Failure(problem):
             return QueueEffects(refused=((pending, problem),))
-    # With nobody before it a request is tried, whatever the last ones met.
+    # With an empty queue a request is tried regardless of the delays that the
+    # last ones had.
     start = queue.predict_start(now) if queue.waiting else now
     if pending.will_expire(start + _estimate_wait_s(queue, pending, start)):
         return QueueEffects(
@@ -68,7 +70,7 @@
     now: float,
     rng: random.Random,
 ) -> QueueEffects:
-    """Admit requests while engines have room, and refuse hopeless ones."""
+    """Admit requests while engines have room; refuse those that expire."""
     if not fleet.can_decode:
         return _refuse_all(queue, fleet, now)
     start = queue.predict_start(now)
@@ -87,10 +89,10 @@
 
 
 def _refuse_all(queue: PrefillQueue, fleet: Fleet, now: float) -> QueueEffects:
-    """Refuse everybody once no decode engine is left.
+    """Refuse all requests when no decode engine is left.
 
-    They would wait until their callers leave; told now, these come back to an
-    instance that reaches other engines.
+    In the queue they would wait until their callers leave. Refused now,
+    callers can retry at an instance that reaches other engines.
     """
     refused = tuple(
         (pending, fleet.place(pending, now).failure())
@@ -106,9 +108,10 @@
     ranked: Sequence[QueuedRequest],
     now: float,
 ) -> Iterator[QueuedRequest]:
-    """Yield those whose callers will have left before they are admitted.
+    """Yield the requests whose callers will leave before admission.
 
-    ``now`` is when an engine would begin with one that goes now.
+    ``now`` is the time at which an engine would start on a request that is
+    sent now.
     """
     rate = queue.late_drain_rate.read(now)
     late = 0
@@ -125,7 +128,11 @@
     fleet: Fleet,
     now: float,
 ) -> Iterator[Admitted]:
-    """Admit in order those whose preferred engine has room, then others."""
+    """Admit in order the requests whose engine has room.
+
+    Those whose preferred engine has room come first; few others are placed
+    elsewhere.
+    """
     slots = AdmissionSlots(fleet)
     remaining = [pending for pending in ranked if not pending.will_expire(now)]
     for pending in slots.list_candidates(remaining):
@@ -137,7 +144,7 @@
 def _estimate_wait_s(
     queue: PrefillQueue, pending: QueuedRequest, now: float
 ) -> float:
-    """Return the wait of a request behind those that go before it."""
+    """Return how long the requests ahead in the queue take, in seconds."""
     late = pending.is_late(now)
     rate = (queue.late_drain_rate if late else queue.drain_rate).read(now)
     if not rate:
@@ -157,16 +164,17 @@
     now: float,
     rng: random.Random,
 ) -> Problem:
-    """Tell a caller when the queue before it will have drained.
+    """Return the refusal of a request, with the time after which to retry.
 
-    Callers that were refused together come back spread out.
+    That is the time in which the queue ahead of it drains, with jitter, so
+    that callers refused together don't return together.
     """
     wait_s = _estimate_wait_s(queue, pending, now)
     max_s = (pending.leaves_at - now) * _MAX_RETRY_SHARE
     retry_s = max(_MIN_RETRY_S, min(wait_s, max_s))
     return Problem(
         ErrorKind.OVERLOADED,
-        f'{len(queue.waiting)} wait to be read, it would take {wait_s:.1f} s',
+        f'{len(queue.waiting)} requests wait for prefill, about {wait_s:.1f} s',
         Ran.NO,
         retry_after_s=retry_s * rng.uniform(*_RETRY_JITTER),
     )
