--- a/packages/verbenahall/src/verbenahall/placement/_ledger.py
+++ b/packages/verbenahall/src/verbenahall/placement/_ledger.py
@@ -1,12 +1,12 @@
-"""What engines are thought to be busy with: own sends, and peers' words."""
+"""Open work at engines: exact for this instance, estimated for peers."""
 
 import dataclasses
 import itertools
 from collections.abc import Mapping
 from typing import Final, final
 
-#: A peer's word about its own sends counts for this long, in seconds. Peers
-#: speak several times a second; one that has stopped is gone or cut off.
+#: Seconds for which a peer's report counts. Peers report several times a
+#: second; one that has stopped is down or cut off.
 _REPORT_TTL_S: Final = 1.5
 
 
@@ -14,10 +14,10 @@
 class Totals:
     """Open work at one engine.
 
-    ``reading`` tokens are still to be read. An engine reads all prompts that
-    it has admitted side by side, so a request waits for all of them, whatever
-    their priority. ``context`` tokens are held in memory by ``streams`` that
-    are being generated.
+    ``reading`` is the number of tokens still to be prefilled. An engine
+    prefills all admitted prompts concurrently, so a request waits for all of
+    them, whatever their priority. ``context`` is the number of tokens held in
+    KV memory by ``streams`` that are being decoded.
     """
 
     reading: int = 0
@@ -33,7 +33,7 @@
         )
 
     def times(self, factor: float) -> 'Totals':
-        """Return the totals of so many times as many instances."""
+        """Return the totals multiplied by ``factor``, rounded down."""
         return Totals(
             int(self.reading * factor),
             int(self.context * factor),
@@ -54,7 +54,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class InFlight:
-    """One open send: its number, its engine, and what it occupies."""
+    """An open request at an engine: its number and what it occupies."""
 
     number: int
     engine: str
@@ -63,24 +63,24 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class _PeerReport:
-    """What a peer said of its own open sends, and when it was heard."""
+    """The open work that a peer reported, and when it was received."""
 
     loads: Mapping[str, Totals]
     received_at: float
 
     @property
     def is_prefilling(self) -> bool:
-        """Whether the peer has prompts being read."""
+        """Whether the peer has prompts in prefill."""
         return any(totals.reading for totals in self.loads.values())
 
 
 @final
 class Ledger:
-    """Open work by engine; own sends are exact, peers' are of their age.
+    """Open work by engine, of this instance and as reported by peers.
 
-    The sum over all peers is kept up as their words come and go: added up
-    anew for each engine of each choice, it took 60 instances more processor
-    time than all other work together.
+    The sum over all peers is updated with each report. Adding up the reports
+    for each engine of each decision took more processor time than all other
+    work with 60 instances.
     """
 
     __slots__ = (
@@ -94,11 +94,11 @@
     )
 
     def __init__(self) -> None:
-        """Start with nothing open.
+        """Start with no open work.
 
-        ``scale`` is how many instances there are for each one that speaks to
-        this one: in a large fleet only a part of them does, and the others
-        are taken to send alike.
+        ``scale`` is the number of instances for each one that reports to this
+        one. In a large fleet only a sample of the peers reports here, and the
+        others are assumed to send the same load.
         """
         self.scale: float = 1
         self._open_sends: dict[int, InFlight] = {}
@@ -109,19 +109,19 @@
         self._next_numbers = itertools.count()
 
     def open(self, engine: str, totals: Totals) -> InFlight:
-        """Note a send; close it with ``close``."""
+        """Add the work of a request; ``close`` removes it."""
         flight = InFlight(next(self._next_numbers), engine, totals)
         self._open_sends[flight.number] = flight
         _add(self._local, engine, totals)
         return flight
 
     def close(self, flight: InFlight) -> None:
-        """Note the end of a send; a second time changes nothing."""
+        """Remove the work of a request; does nothing if it is closed."""
         if self._open_sends.pop(flight.number, None) is not None:
             _subtract(self._local, flight.engine, flight.totals)
 
     def note_read(self, flight: InFlight) -> InFlight:
-        """Note that a send's prompt was read; return what is left of it."""
+        """Record the end of a prefill; return the work that is still open."""
         if not flight.totals.reading or flight.number not in self._open_sends:
             return flight
         self.close(flight)
@@ -131,7 +131,7 @@
         )
 
     def hear(self, peer: str, loads: Mapping[str, Totals], now: float) -> None:
-        """Take a peer's word in place of its last one."""
+        """Replace the report of a peer."""
         self._remove_report(peer)
         report = _PeerReport(loads, now)
         self._reports[peer] = report
@@ -140,21 +140,21 @@
             _add(self._peer_totals, engine, totals)
 
     def own(self) -> Mapping[str, Totals]:
-        """Return this instance's open work, to tell the peers."""
+        """Return the open work of this instance, as reported to peers."""
         return self._local
 
     def local_totals(self, engine: str) -> Totals:
-        """Return this instance's open work at an engine."""
+        """Return the open work of this instance at an engine."""
         return self._local.get(engine, NO_LOAD)
 
     @property
     def speakers(self) -> int:
-        """How many peers' words are counted on."""
+        """Number of peers whose reports are counted."""
         return len(self._reports)
 
     @property
     def prefilling_peers(self) -> int:
-        """How many peers have prompts being read, as far as is known."""
+        """Number of peers with prompts in prefill, estimated by ``scale``."""
         return int(self._prefilling * self.scale)
 
     def totals(self, engine: str) -> Totals:
@@ -165,7 +165,7 @@
         return total if self.scale == 1 else total.times(self.scale)
 
     def forget_silent(self, now: float) -> None:
-        """Forget the words of peers that have not spoken for a while."""
+        """Remove the reports of peers that have stopped reporting."""
         for peer, report in tuple(self._reports.items()):
             if now - report.received_at >= _REPORT_TTL_S:
                 self._remove_report(peer)
