--- a/packages/verbenahall/src/verbenahall/placement/_queue.py
+++ b/packages/verbenahall/src/verbenahall/placement/_queue.py
@@ -1,4 +1,4 @@
-"""Requests that wait to be prefilled, their order, and how they drain."""
+"""The queue of requests for prefill: their order and its drain rate."""
 
 import dataclasses
 from collections.abc import Sequence
@@ -10,10 +10,11 @@
 from verbenahall.placement._ledger import InFlight
 from verbenahall.placement._messages import Plan
 
-#: Weight of one first event in what is expected of the next ones.
+#: Weight of one first event in the smoothed delay.
 _SMOOTHING: Final = 0.1
-#: What was learned of first events halves in this time without any, in
-#: seconds: the patience of callers, so that none is refused twice by it.
+#: Half-life of the delay estimate without new first events, in seconds. It
+#: equals the time that callers wait, so that no caller is refused twice
+#: because of the same delays.
 _HALF_LIFE_S: Final = 2.0
 _NO_ENGINES: Final[frozenset[str]] = frozenset()
 
@@ -23,14 +24,15 @@
 @final
 @dataclasses.dataclass(slots=True, eq=False)
 class QueuedRequest:
-    """A request that waits to be prefilled; times are monotonic seconds.
-
-    It waits ``since`` then; ``due_at`` is when its first event would be late,
-    ``objective_s`` after its caller's first attempt, and ``leaves_at`` when
-    its caller leaves. ``returning`` callers were refused before, and the
-    engines named in ``tried`` have failed this request. ``lead_s`` is the
-    expected time to its first event on idle engines, and ``preferred_engine`` the engine
-    that is thought to keep its shared parts.
+    """A request that waits for prefill; times are monotonic seconds.
+
+    ``since`` is when it was queued, ``due_at`` when its first event is past
+    its objective, which is ``objective_s`` after the first attempt of its
+    caller, and ``leaves_at`` when its caller leaves. ``returning`` is true if
+    the caller was refused before. ``tried`` names the engines that have failed
+    this request. ``lead_s`` is the expected time to its first event on idle
+    engines, and ``preferred_engine`` the engine most likely to have its shared
+    parts cached.
     """
 
     request: str
@@ -46,22 +48,22 @@
     preferred_engine: str = ''
 
     def is_late(self, now: float) -> bool:
-        """Whether its first event cannot be on time any more."""
+        """Whether the first event can no longer be on time."""
         return now + self.lead_s > self.due_at
 
     def will_expire(self, now: float) -> bool:
-        """Whether the caller will have left before the first event."""
+        """Whether the caller leaves before the first event."""
         return now + self.lead_s > self.leaves_at
 
     def rank(self, now: float) -> _Rank:
-        """Return the place in the order; the lowest is next."""
+        """Return the sort key of the queue; the lowest is next."""
         late = self.is_late(now)
         return (self.priority, late, not self.returning, self.due_at)
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Admitted:
-    """A request that may be sent, its plan, and its work in the ledger."""
+    """A request that may be sent, its plan and its open work."""
 
     pending: QueuedRequest
     plan: Plan
@@ -70,7 +72,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class QueueEffects:
-    """Who is admitted, and who is refused."""
+    """The requests that are admitted, and those that are refused."""
 
     admitted: Sequence[Admitted] = ()
     refused: Sequence[tuple[QueuedRequest, Problem]] = ()
@@ -78,42 +80,44 @@
 
 @final
 class DelayEstimator:
-    """A time that most of the last ones did not exceed, in seconds.
+    """A bound in seconds that few of the recent delays exceeded.
 
-    As TCP does for its timeouts: a smoothed mean, and a mean deviation on top.
-    It fades while nothing is noted. An engine that was slow for a while would
-    else leave a bound by which every request is refused as hopeless, and no
-    request would ever show that the engine is well again.
+    It is the smoothed mean plus the smoothed mean deviation, as in the
+    retransmission timer of TCP. It decays while no delay is recorded. Without
+    that, engines that were slow for a while would leave a bound by which every
+    request is refused, and no request would ever show that they have
+    recovered.
     """
 
     __slots__ = ('_mean_s', '_deviation_s', '_observed_at')
 
     def __init__(self) -> None:
-        """Start from nothing."""
+        """Start with a bound of zero."""
         self._mean_s: float = 0
         self._deviation_s: float = 0
         self._observed_at: float = 0
 
     def note(self, seconds: float, now: float) -> None:
-        """Learn from one."""
+        """Record one delay."""
         error_s = seconds - self._mean_s
         self._mean_s += _SMOOTHING * error_s
         self._deviation_s += _SMOOTHING * (abs(error_s) - self._deviation_s)
         self._observed_at = now
 
     def read(self, now: float) -> float:
-        """Return the bound."""
+        """Return the bound in seconds."""
         decay = 0.5 ** (max(0, now - self._observed_at) / _HALF_LIFE_S)
         return (self._mean_s + self._deviation_s) * decay
 
 
 @final
 class PrefillQueue:
-    """The waiting requests of a service, and how fast they drain.
+    """The queued requests of a service, and how fast they are admitted.
 
-    ``drain_rate`` counts the admitted, ``late`` those of them that were late
-    already: what those on time leave. ``first_event_delay`` is how much longer than
-    expected first events take once they are admitted.
+    ``drain_rate`` measures all admissions a second, ``late_drain_rate`` those
+    of requests that are already past their objective. ``first_event_delay``
+    bounds how much longer than expected the first event of an admitted request
+    takes.
     """
 
     __slots__ = (
@@ -131,26 +135,31 @@
         self.first_event_delay = DelayEstimator()
 
     def predict_start(self, now: float) -> float:
-        """Return when an engine would begin with a request that goes now.
+        """Return when an engine would start on a request that is sent now.
 
-        Without what the last ones have met there, requests are admitted when
-        they are just on time, and all of them end just late.
+        It includes the delay that recent requests had. Without it, requests
+        would be admitted at the last moment at which they could be on time,
+        and all would be slightly late.
         """
         return now + self.first_event_delay.read(now)
 
     def note_first(
         self, pending: QueuedRequest, took_s: float, now: float
     ) -> None:
-        """Learn from the first event of a request that was admitted."""
+        """Record the time to the first event of an admitted request."""
         self.first_event_delay.note(max(0, took_s - pending.lead_s), now)
 
     def remove(self, pending: QueuedRequest) -> None:
-        """Take a request out, if it still waits."""
+        """Remove a request if it is still queued."""
         if pending in self.waiting:
             self.waiting.remove(pending)
 
     def update_rates(self, now: float, admissions: Sequence[Admitted]) -> None:
-        """Count the admitted; an empty queue drains as slow as it fills."""
+        """Count the admitted requests.
+
+        The rates are measured only while requests wait, since an empty queue
+        drains no faster than it fills.
+        """
         for meter in (self.drain_rate, self.late_drain_rate):
             if self.waiting:
                 meter.resume(now)
