--- a/packages/verbenahall/src/verbenahall/placement/_roles.py
+++ b/packages/verbenahall/src/verbenahall/placement/_roles.py
@@ -1,9 +1,8 @@
-"""Which engines should read and which should generate.
+"""Decides which engines of a service prefill and which decode.
 
-An engine that generates serves a whole batch of streams with each step; one
-that reads serves one prompt after the other, and its memory keeps the parts
-that prompts share. So most engines read, and as many generate as the streams
-need.
+A decode engine serves a whole batch of streams with each step. A prefill
+engine serves one prompt after the other, and its memory holds the prefix
+cache. So most engines prefill, and as many decode as the streams need.
 """
 
 import collections
@@ -15,19 +14,19 @@
 from verbenahall.fleet import Role
 from verbenahall.roster import Entry
 
-#: Share of the engines that generate as long as nothing is known of the
-#: traffic, rounded up.
+#: Share of the engines that decode, rounded up, while demand is unknown.
 _DECODE_SHARE: Final = 1 / 3
-#: Engines that are changed at once, at most, as a number and as a share of
-#: all: a change takes an engine recently_lost for seconds. With the number alone, the
-#: roles of a large fleet would be settled only long after its start.
+#: Largest number of engines changed at once, as a number and as a share of
+#: all; the greater of both applies. A change takes an engine out of service
+#: for seconds. With the number alone, a large fleet would take long to reach
+#: its roles after a start.
 _MAX_CHANGES: Final = 4
 _MAX_CHANGED_SHARE: Final = 1 / 6
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class RoleChange:
-    """One engine and the role that it should have."""
+    """An engine and the role that it is to change to."""
 
     engine: Entry
     role: Role
@@ -38,14 +37,14 @@
     busy: Mapping[str, int],
     recently_lost: int = 0,
 ) -> tuple[RoleChange, ...]:
-    """Return the changes that bring a service to its planned roles.
+    """Return the changes that give a service its planned roles.
 
-    ``busy`` is how many streams or reads are open at an engine; the least
-    busy ones are changed, since a change waits for what runs. ``recently_lost`` is how
-    many engines were lost lately without a word. They are mostly back about
-    when a change would be done, and changing to and fro takes two engines
-    recently_lost for seconds each; so meanwhile only a service that generates nothing
-    at all is mended.
+    ``busy`` is the number of streams or prefills open at an engine. The least
+    busy engines are changed, because a change waits for open work to end.
+    ``recently_lost`` is the number of engines that were lost without notice.
+    Most of them are back by the time a change would be done, and changing
+    roles back and forth takes two engines out of service for seconds each. So
+    with lost engines a change is made only if no decode engine is left.
     """
     decode_engines = [one for one in engines if one.role is Role.DECODE]
     prefill_engines = [one for one in engines if one.role is Role.PREFILL]
@@ -71,10 +70,10 @@
     count: int,
     busy: Mapping[str, int],
 ) -> tuple[RoleChange, ...]:
-    """Change the least busy engines, first where a role has most of them.
+    """Choose the least busy engines, first where most have the old role.
 
-    A data centre whose engines all have one role sends all prompts, or all
-    KV cache, to the others.
+    A data centre whose engines all have one role sends either all prompts or
+    all KV caches to other data centres.
     """
     ranked = sorted(
         engines,
