--- a/packages/verbenahall/src/verbenahall/placement/_slots.py
+++ b/packages/verbenahall/src/verbenahall/placement/_slots.py
@@ -1,4 +1,4 @@
-"""Which engines have room for one more prefill, and for whose."""
+"""Limits how many prefills are open at each engine."""
 
 import dataclasses
 from collections.abc import Iterator, Sequence
@@ -16,23 +16,28 @@
 from verbenahall.placement._state import PlacementState
 from verbenahall.roster import Entry
 
-#: Work that keeps an engine busy until the next read reaches it, in seconds,
-#: beside the start of a read: a round trip and a turn of this process.
+#: Prefill work that keeps an engine busy until the next prompt reaches it, in
+#: seconds, in addition to the fixed start time of a prefill: a network round
+#: trip and one iteration of the event loop.
 _MIN_QUEUE_S: Final = 0.02
-#: Share of a request's objective that the reads before it may take at an
-#: engine; the rest is for its own read and its first token.
+#: Share of a request's objective that the prefills ahead of it at an engine
+#: may take; the rest is for its own prefill and first token.
 _AHEAD_SHARE: Final = 0.5
-#: Share of that for a request that is late anyway, so that those on time that
-#: come next do not wait for it.
+#: Share of that limit for a request that is already past its objective, so
+#: that later requests that can be on time don't wait for it.
 _LATE_AHEAD_SHARE: Final = 0.5
-#: Waiting requests that are placed though their home has no room, at one
-#: look: placing is what a look at a long queue spends its time on.
+#: Most queued requests per dispatch that are placed although their preferred
+#: engine has no room. Placing takes most of the time of a dispatch with a long
+#: queue.
 _MAX_SPILLED: Final = 2
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Fleet:
-    """The engines of a service that may get work, and who waits for them."""
+    """The usable engines of a service.
+
+    ``waiting`` is the number of requests queued for them.
+    """
 
     state: PlacementState
     engines: Sequence[Entry]
@@ -41,7 +46,7 @@
 
     @property
     def prefill_engines(self) -> Sequence[Entry]:
-        """The engines that only read, or all if there is none."""
+        """The engines that only prefill, or all engines if there are none."""
         prefill_engines = [
             one for one in self.engines if one.role is Role.PREFILL
         ]
@@ -49,13 +54,13 @@
 
     @property
     def can_decode(self) -> bool:
-        """Whether any engine generates."""
+        """Whether any engine decodes."""
         return any(one.role is not Role.PREFILL for one in self.engines)
 
     def place(
         self, pending: QueuedRequest, now: float
     ) -> Result[Plan, Problem]:
-        """Choose engines for a request, other than those that failed it."""
+        """Choose engines for a request; avoids those that failed it."""
         usable = [one for one in self.engines if one.name not in pending.tried]
         engines = usable or self.engines
         return place(
@@ -70,7 +75,10 @@
 
 @final
 class AdmissionSlots:
-    """The engines that have room for one more prefill; ``engine_names`` are all."""
+    """The engines with room for one more prefill from this instance.
+
+    ``open_engines`` are those with room, ``engine_names`` all of them.
+    """
 
     __slots__ = (
         'engine_names',
@@ -81,7 +89,7 @@
     )
 
     def __init__(self, fleet: Fleet) -> None:
-        """Look at the engines once; ``reserve`` keeps the picture up."""
+        """Find the engines with room; ``reserve`` keeps the set current."""
         self._state = fleet.state
         self._min_queue_s = fleet.state.read_speed.start_s + _MIN_QUEUE_S
         self._local_share_s = self._min_queue_s / (
@@ -95,7 +103,7 @@
     def list_candidates(
         self, ranked: Sequence[QueuedRequest]
     ) -> Iterator[QueuedRequest]:
-        """Yield who may find room, in order, while there is any."""
+        """Yield the requests that may find room, in order."""
         spilled = 0
         for pending in ranked:
             if not self.open_engines:
@@ -110,7 +118,7 @@
             yield pending
 
     def has_room(self, pending: QueuedRequest, plan: Plan, now: float) -> bool:
-        """Whether the plan's engine still has a short backlog with it."""
+        """Whether the backlog of the planned engine is short enough."""
         name = _get_prefill_engine(plan)
         if not self._is_open(name):
             return False
@@ -120,7 +128,7 @@
         return plan.ahead_s < max(max_ahead_s, self._min_queue_s)
 
     def reserve(self, plan: Plan) -> InFlight:
-        """Count the plan's read."""
+        """Add the prefill of a plan to the ledger."""
         name = _get_prefill_engine(plan)
         flight = self._state.ledger.open(name, Totals(reading=plan.missing))
         if not self._is_open(name):
@@ -128,11 +136,12 @@
         return flight
 
     def _is_open(self, name: str) -> bool:
-        """Whether this instance may have one more read at an engine.
+        """Whether this instance may open one more prefill at an engine.
 
-        One, and more only as its share of what all may have: what peers tell
-        is a moment old, and with a common bound all instances see the same
-        engine idle and send it a prompt each.
+        It may always have one, and more only within its share of the common
+        limit. Reports of peers are slightly outdated: with a common limit
+        alone, all instances would see the same engine idle and send it a
+        prompt each.
         """
         local_tokens = self._state.ledger.local_totals(name).reading
         return (
@@ -141,5 +150,5 @@
 
 
 def _get_prefill_engine(plan: Plan) -> str:
-    """Return the engine that reads the prompt."""
+    """Return the name of the engine that prefills the prompt."""
     return (plan.reader or plan.generator).name
