--- a/packages/verbenahall/src/verbenahall/placement/_speeds.py
+++ b/packages/verbenahall/src/verbenahall/placement/_speeds.py
@@ -1,55 +1,56 @@
-"""How fast engines read and generate, learned from timed sends.
+"""Estimates of the prefill and decode speed of engines.
 
-Reading has a start that every prompt waits for, takes time for each token
-and, since each token attends to all before it, for each pair of tokens. The
-three are learned by recursive least squares that forget.
+A prefill has a fixed start time, a time for each token and, since each token
+attends to all before it, a time for each pair of tokens. The three
+coefficients are estimated by recursive least squares with a forgetting factor.
 """
 
 import operator
 from collections.abc import Sequence
 from typing import Final, final
 
-#: First guesses, until reads were timed: seconds before the first token, for
-#: a thousand tokens, and for a million pairs of tokens. The first is that of
-#: no waiting at all, so that an early error rather spreads work.
+#: Initial coefficients: seconds before the first token, for a thousand tokens,
+#: and for a million pairs of tokens. The first one is the time without any
+#: wait, so that an early error spreads the load rather than concentrating it.
 _INITIAL_COEFFICIENTS: Final = (0.05, 0.012, 0.0005)
-#: A thousand tokens take this long at least, in seconds: a slope near zero
-#: would send everything to one engine.
+#: Minimum time for a thousand tokens, in seconds. With a value near zero,
+#: every prompt would be sent to one engine.
 _MIN_THOUSAND_S: Final = 0.001
-#: How far the guesses may be off, in the same units.
+#: Standard deviations of the initial coefficients, in the same units.
 _INITIAL_DEVIATIONS: Final = (0.02, 0.004, 0.0003)
-#: One read's noise in seconds. Much of it is waits for reads that are not
-#: known here; a few reads must not move the slopes far: with 0.02 s, slopes of
-#: instances that had just started lay between a tenth and four times of what
-#: the others had learned, and they refused callers for waits that were none.
+#: Standard deviation of one measured prefill, in seconds. Most of it is
+#: waiting for prefills of other instances, and a few samples must not move the
+#: coefficients far: with 0.02 s, instances that had just started estimated
+#: between a tenth and four times of what the others did, and refused callers
+#: for waits that did not exist.
 _NOISE_S: Final = 0.05
 _THOUSAND: Final = 1000.0
 _MILLION: Final = 1_000_000.0
-#: Samples that another instance must have more to be believed at once.
+#: Samples that another instance must have more to be adopted from.
 _ADOPTION_SAMPLES: Final = 8
-#: How much slower the fastest read is thought to be after each further one,
-#: as a factor, so that engines that have turned slow are noticed.
+#: Factor by which the shortest measured prefill grows with each sample, so
+#: that engines that have become slower are noticed.
 _FASTEST_GROWTH: Final = 1.002
-#: Weight of what was learned before against one new read.
+#: Weight of the earlier samples relative to a new one.
 _FORGETTING_FACTOR: Final = 0.995
-#: A read that took longer than expected has mostly waited for others that
-#: this instance does not know of, so it counts for less.
+#: Weight of a prefill that took longer than expected. It has mostly waited for
+#: prefills that this instance is not aware of.
 _DELAYED_WEIGHT: Final = 0.15
-#: First guess of one step of generation, and weight of one timed gap.
+#: Initial decode step time in seconds, and weight of one new sample.
 _STEP_S: Final = 0.006
 _STEP_SMOOTHING: Final = 0.2
-#: A step time that is older than this has faded half way to the guess.
+#: Half-life in which the step time decays to its initial value, in seconds.
 _STEP_HALF_LIFE_S: Final = 2.0
 
 
 @final
 class PrefillSpeed:
-    """Learned cost of reading a prompt on an engine that only reads."""
+    """Estimated time to prefill a prompt on a prefill engine."""
 
     __slots__ = ('samples', '_coefficients', '_covariance', '_fastest_s')
 
     def __init__(self) -> None:
-        """Start from the guesses."""
+        """Start with the initial coefficients."""
         self.samples = 0
         self._fastest_s = float('inf')
         self._coefficients = list(_INITIAL_COEFFICIENTS)
@@ -63,34 +64,35 @@
 
     @property
     def start_s(self) -> float:
-        """What passes before the first token of any read."""
+        """Seconds before the first token of any prefill."""
         return max(0, min(self._coefficients[0], self._fastest_s))
 
     @property
     def token_s(self) -> float:
-        """Engine time that one token takes."""
+        """Engine time of one token, in seconds."""
         return max(_MIN_THOUSAND_S, self._coefficients[1]) / _THOUSAND
 
     def predict_s(self, missing: int, cached: int) -> float:
-        """Return the engine time for ``missing`` tokens after ``cached``.
+        """Return the engine time to prefill ``missing`` tokens, in seconds.
 
-        The start is not part of it: other reads go on meanwhile.
+        ``cached`` tokens precede them. The start time is not included, as
+        other prefills run during it.
         """
         pairs_s = count_pairs(missing, cached) * max(0, self._coefficients[2])
         return missing * self.token_s + pairs_s
 
     def export(self) -> tuple[float, ...]:
-        """Return the samples and the slopes, to tell other instances."""
+        """Return the sample count and the coefficients, to send to peers."""
         return (self.samples, self.start_s, *self._coefficients[1:])
 
     def adopt(self, exported: Sequence[float]) -> None:
-        """Take over what an instance with many more samples has learned."""
+        """Adopt the coefficients of an instance with many more samples."""
         samples, *coefficients = exported
         compatible = len(coefficients) == len(self._coefficients)
         if not compatible or samples < _ADOPTION_SAMPLES + 2 * self.samples:
             return
-        # Half of its samples: two instances never adopt from each other in
-        # turn.
+        # Counts half of the samples, so that two instances never adopt from
+        # each other in turn.
         self.samples = int(samples / 2)
         self._coefficients = list(coefficients)
         self._fastest_s = coefficients[0]
@@ -100,9 +102,9 @@
             ) ** 2
 
     def learn(self, missing: int, cached: int, seconds: float) -> None:
-        """Learn from a read that is thought to have waited for no other."""
+        """Update the estimate with a prefill that did not wait for others."""
         self.samples += 1
-        # No read is faster than its start; waits cannot hide that.
+        # No prefill is shorter than its start time, whatever it waited for.
         self._fastest_s = min(self._fastest_s * _FASTEST_GROWTH, seconds)
         features = (1, missing / _THOUSAND, count_pairs(missing, cached))
         residual = seconds - _dot(features, self._coefficients)
@@ -126,24 +128,27 @@
 
 @final
 class DecayingAverage:
-    """A short time, as that of a step of generation, by what was last seen."""
+    """Exponentially weighted mean of a duration, in seconds.
+
+    It decays to its initial value while no sample is recorded.
+    """
 
     __slots__ = ('_initial_s', '_mean_s', '_observed_at')
 
     def __init__(self, initial_s: float = _STEP_S) -> None:
-        """Start from the guess."""
+        """Start with the initial value."""
         self._initial_s = initial_s
         self._mean_s = initial_s
         self._observed_at = -float('inf')
 
     def note(self, seconds: float, now: float) -> None:
-        """Learn from one time that was seen."""
+        """Record one duration."""
         current = self.read(now)
         self._mean_s = current + _STEP_SMOOTHING * (seconds - current)
         self._observed_at = now
 
     def read(self, now: float) -> float:
-        """Return the expected time."""
+        """Return the expected duration in seconds."""
         age = now - self._observed_at
         decay = 0.5 ** (age / _STEP_HALF_LIFE_S)
         return self._initial_s + (self._mean_s - self._initial_s) * decay
@@ -158,5 +163,5 @@
 
 
 def count_pairs(missing: int, cached: int) -> float:
-    """Return the millions of token pairs that a read looks at."""
+    """Return the token pairs that a prefill attends to, in millions."""
     return missing * (cached + missing / 2) / _MILLION
