--- a/packages/verbenahall/src/verbenahall/placement/_state.py
+++ b/packages/verbenahall/src/verbenahall/placement/_state.py
@@ -1,4 +1,4 @@
-"""What placement remembers between requests."""
+"""The state that placement keeps between requests."""
 
 from collections.abc import Collection
 from typing import Final, final
@@ -10,16 +10,18 @@
 from verbenahall.placement._speeds import DecayingAverage, PrefillSpeed
 from verbenahall.roster import Entry
 
-#: Reads shorter than this tell more about the network, in tokens.
+#: Shortest prefill that is used to estimate the speed, in tokens. The time of
+#: shorter ones is mostly network time.
 _MIN_TIMED_TOKENS: Final = 400
-#: First guess of the time that a generator takes to go on with a prompt that
-#: another engine has read, in seconds: a round trip, a move and a step.
+#: Initial time in seconds from the request to a decode engine to its first
+#: event, for a prompt that another engine has prefilled: a round trip, a
+#: transfer and a decode step.
 _HANDOVER_S: Final = 0.01
 
 
 @final
 class PlacementState:
-    """Open work, kept parts, and how fast engines read and generate."""
+    """Open work, cached prompt parts, and the speed of engines."""
 
     __slots__ = (
         'caches_complete',
@@ -31,21 +33,22 @@
     )
 
     def __init__(self) -> None:
-        """Start without knowledge."""
-        #: Whether all that engines have read since long was noted here.
+        """Start with no open work and with initial estimates."""
+        #: Whether all recent prefills of the engines were recorded here.
         self.caches_complete = False
         self.ledger = Ledger()
         self.read_speed = PrefillSpeed()
-        #: From the send of a prompt that was read to its first event.
+        #: Time from the decode request to its first event, in seconds.
         self.handover = DecayingAverage(_HANDOVER_S)
         self._caches: dict[tuple[str, int], PrefixCache] = {}
         self._steps: dict[str, DecayingAverage] = {}
 
     def without_load(self) -> 'PlacementState':
-        """Return a state that shares what was learned, with nothing open.
+        """Return a state with the same estimates and no open work.
 
-        A scheduler counts the load of its group by itself. Added to what
-        peers tell of the same sends, each of them would count twice.
+        A scheduler counts the load of its group by itself. If the reports of
+        peers about the same requests were added, each request would count
+        twice.
         """
         other = PlacementState()
         other.read_speed = self.read_speed
@@ -55,7 +58,7 @@
         return other
 
     def cache_of(self, engine: Entry, kv_tokens: int) -> PrefixCache:
-        """Return what an engine is thought to keep since its start."""
+        """Return the estimated prefix cache of an engine since its start."""
         key = (engine.name, engine.born)
         cache = self._caches.get(key)
         if cache is None:
@@ -64,17 +67,17 @@
         return cache
 
     def note_kept(self, engine: Entry, work: Work, service: Service) -> None:
-        """Note that an engine has read a prompt and keeps its parts."""
+        """Record that an engine has prefilled a prompt and caches its parts."""
         if service.engine is not None:
             cache = self.cache_of(engine, service.engine.kv_tokens)
             cache.note(work.parts)
 
     def step_of(self, engine: str) -> DecayingAverage:
-        """Return the step time seen at an engine."""
+        """Return the estimated decode step time of an engine."""
         return self._steps.setdefault(engine, DecayingAverage())
 
     def keep_only(self, names: Collection[str]) -> None:
-        """Forget the engines that are no longer listed."""
+        """Remove the state of engines that are no longer listed."""
         for name in self._steps.keys() - names:
             self._steps.pop(name)
         for key in tuple(self._caches):
@@ -82,6 +85,6 @@
                 self._caches.pop(key)
 
     def learn_read(self, missing: int, cached: int, seconds: float) -> None:
-        """Learn from a read that waited for no other."""
+        """Update the prefill speed with a prefill that waited for no other."""
         if missing >= _MIN_TIMED_TOKENS and seconds > 0:
             self.read_speed.learn(missing, cached, seconds)
