--- a/packages/verbenahall/src/verbenahall/placement/_caches.py
+++ b/packages/verbenahall/src/verbenahall/placement/_caches.py
@@ -1,4 +1,4 @@
-"""Which parts of prompts engines are thought to keep."""
+"""Estimates which prompt parts an engine has in its prefix cache."""
 
 import collections
 from collections.abc import Sequence
@@ -6,28 +6,28 @@
 
 from verbenahall.placement._messages import Part
 
-#: Share of an engine's memory that is counted on for parts; the rest is
-#: held by requests that run.
+#: Share of an engine's KV memory that is assumed to hold cached parts; running
+#: requests occupy the rest.
 _CACHE_SHARE: Final = 0.7
 
 
 @final
 class PrefixCache:
-    """The parts that one engine was last sent, least recently used first."""
+    """The prompt parts last sent to one engine, in LRU order."""
 
     __slots__ = ('_parts', '_cached_tokens', '_capacity_tokens')
 
     def __init__(self, kv_tokens: int) -> None:
-        """Start empty; ``kv_tokens`` is the engine's whole memory."""
+        """Start empty; ``kv_tokens`` is the size of the engine's KV memory."""
         self._parts: collections.OrderedDict[str, int]
         self._parts = collections.OrderedDict()
         self._cached_tokens = 0
         self._capacity_tokens = int(kv_tokens * _CACHE_SHARE)
 
     def count_cached_tokens(self, parts: Sequence[Part]) -> int:
-        """Return the tokens kept from the start of a prompt.
+        """Return the length in tokens of the cached prefix of a prompt.
 
-        A part counts only when all parts before it are kept, too.
+        A part counts only if all parts before it are cached, too.
         """
         cached_tokens = 0
         for part in parts:
@@ -37,7 +37,7 @@
         return cached_tokens
 
     def note(self, parts: Sequence[Part]) -> None:
-        """Note that the engine has read these parts."""
+        """Record the parts of a prompt that the engine has prefilled."""
         for part in reversed(parts):
             self._cached_tokens += part.tokens - self._parts.pop(
                 part.identity, 0
