--- a/packages/verbenahall/src/verbenahall/placement/_messages.py
+++ b/packages/verbenahall/src/verbenahall/placement/_messages.py
@@ -1,4 +1,4 @@
-"""The work of a model request, and the plan for it; tokens and seconds."""
+"""The tokens of a model request, and the plan by which it is served."""
 
 import dataclasses
 
@@ -7,7 +7,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Part:
-    """A piece of a prompt; equal identities are equal text."""
+    """A part of a prompt; parts with equal identities have equal text."""
 
     identity: str
     tokens: int
@@ -15,10 +15,10 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Work:
-    """What a request asks of engines.
+    """The tokens that a request needs from engines.
 
-    ``parts`` make up the prompt in order; the last one is the request's own,
-    those before it are shared with other requests.
+    ``parts`` make up the prompt in order. The last one is specific to the
+    request; the parts before it are shared with other requests.
     """
 
     parts: tuple[Part, ...] = ()
@@ -27,29 +27,29 @@
 
     @property
     def shared(self) -> tuple[Part, ...]:
-        """The parts that other requests have in common with this one."""
+        """The parts that other requests share with this one."""
         return self.parts[:-1]
 
     @property
     def home_key(self) -> str:
-        """The part by which requests gather on an engine."""
+        """The part that selects the preferred engines of the prompt."""
         chosen = self.shared or self.parts
         return chosen[-1].identity if chosen else ''
 
     @property
     def context_tokens(self) -> int:
-        """Tokens in an engine's memory when the answer is complete."""
+        """Tokens in KV memory when the answer is complete."""
         return self.prompt_tokens + self.output_tokens
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Plan:
-    """Where a request goes, with the inputs that decided it.
+    """The engines of a request, and the estimates behind the choice.
 
-    ``reader`` is None when the generating engine reads the prompt itself.
-    ``missing`` is how many tokens are thought to be read anew, ``wait_s``
-    the expected time to the first event, of which ``ahead_s`` is for reads
-    that the engine has admitted before.
+    ``reader`` prefills the prompt; it is None if ``generator``, which decodes,
+    prefills as well. ``missing`` is the estimated number of tokens to prefill,
+    ``wait_s`` the expected time to the first event in seconds, and ``ahead_s``
+    the part of it for prefills that the engine has already admitted.
     """
 
     reader: Entry | None
