--- a/packages/verbenahall/src/verbenahall/placement/__init__.py
+++ b/packages/verbenahall/src/verbenahall/placement/__init__.py
@@ -1,4 +1,4 @@
-"""Where a prompt is read and where its answer is generated, and why."""
+"""Chooses the engines that prefill and decode a model request."""
 
 from verbenahall.placement._decisions import PlacementRequest, place
 from verbenahall.placement._dispatch import dispatch, enqueue
