--- a/packages/verbenahall/tests/placement/test_bursts.py
+++ b/packages/verbenahall/tests/placement/test_bursts.py
@@ -1,27 +1,27 @@
-"""Bursts of prompts beyond what engines read, replayed without sockets."""
+"""Simulated bursts of prompts beyond the capacity of the engines."""
 
 import functools
 
 from verbenahall_standins.replay import Load, Replay
 
 OBJECTIVE_S = 0.15
-#: Four engines that read and two that help them end some 380 of these a second.
+#: Four prefill and two decode engines prefill about 380 of these a second.
 HIGH_LOAD = Load(rate=300, seconds=3)
 OVERLOAD = Load(rate=600, seconds=3)
 
 
 @functools.cache
 def replay_overload():
-    """Play twice what the engines read, once for all that look at it."""
+    """Replay the overload once for all tests that check its outcome."""
     replay = Replay()
     replay.play([OVERLOAD])
     return replay
 
 
 def test_queued_prompts_are_on_time_more_often_than_unqueued():
-    # Callers ask for twice what the engines read. Sent at once, all prompts
-    # share the engines and end together, long after their objective: callers
-    # see nothing but late answers, though half of them could be in time.
+    # Callers send twice what the engines can prefill. Sent at once, all
+    # prompts share the engines and end together, long past their objective,
+    # although half of them could have been on time.
     unqueued = Replay().play([OVERLOAD], queued=False)
     queued_outcome = replay_overload().outcome
     assert (
@@ -34,17 +34,17 @@
 
 
 def test_no_request_is_refused_below_capacity():
-    # A queue that turns callers away while engines have time to spare would
-    # be worse than none: callers are refused for nothing.
+    # A queue that refuses callers while engines have capacity is worse than
+    # none.
     outcome = Replay().play([Load(rate=220, seconds=3)])
     assert not outcome.refused
     assert outcome.on_time(OBJECTIVE_S) > 0.85 * len(outcome.waits)
 
 
 def test_few_prefills_are_open_at_an_engine():
-    # Instances hear of each other's reads a tenth of a second later. All that
-    # saw an engine idle sent it what waited, 18 prompts at once, and the
-    # first of them ended when the last one did.
+    # Instances receive each other's open prefills a tenth of a second late.
+    # All that saw an engine idle sent it what they had queued, 18 prompts at
+    # once, and the first of them ended when the last one did.
     replay = Replay()
     open_counts = []
     original_watch = replay.watch
@@ -59,34 +59,34 @@
 
 
 def test_retry_after_leaves_time_for_the_retry():
-    # Callers that are refused at their deadline, or told to come back after
-    # it, have lost their request without a word.
+    # A caller that is refused at its deadline, or has to retry after it, has
+    # lost its request.
     outcome = replay_overload().outcome
     assert outcome.refused
     for problem, left_s in outcome.refused:
-        told_s = problem.retry_after_s
-        assert 0.1 < told_s <= max(0.25, 0.5 * left_s)
+        hint_s = problem.retry_after_s
+        assert 0.1 < hint_s <= max(0.25, 0.5 * left_s)
         assert problem.answer.ran.value == 'no'
 
 
 def test_retry_after_is_spread():
-    # Callers that are all told the same time come back as one more burst.
+    # Callers with the same retry time come back as one more burst.
     outcome = replay_overload().outcome
     retry_times = {round(one.retry_after_s, 3) for one, _ in outcome.refused}
     assert len(retry_times) > len(outcome.refused) / 5
 
 
 def test_most_refusals_come_early():
-    # A caller that waits for most of its time and is refused then has no time
-    # left to try again.
+    # A caller that is refused after most of its time has passed cannot retry
+    # elsewhere.
     outcome = replay_overload().outcome
-    held = sorted(outcome.held)
-    assert held[len(held) // 2] < 0.5
+    wait_times = sorted(outcome.held)
+    assert wait_times[len(wait_times) // 2] < 0.5
 
 
 def test_urgent_requests_go_before_less_urgent_ones():
-    # A burst of ordinary requests fills the queue; urgent ones that come
-    # behind them must not wait for it to drain.
+    # A burst of ordinary requests fills the queue; urgent ones that arrive
+    # later must not wait for it to drain.
     urgent = Load(rate=40, seconds=3, priority=0)
     ordinary = Load(rate=560, seconds=3, priority=1)
     outcome = Replay().play([urgent, ordinary])
@@ -95,9 +95,9 @@
 
 
 def test_overload_keeps_prompts_on_preferred_engines():
-    # Under a burst each home of a shared part is busy. Prompts that move to
-    # engines without the part are read whole, twice the work or more, just
-    # when there is no time for it, and all wait for longer.
+    # In a burst all preferred engines of a shared part are busy. Prompts that
+    # move to engines without that part are prefilled whole, twice the work or
+    # more, which makes all other requests wait longer.
     engines = replay_overload().engines.values()
     read = sum(engine.read for engine in engines)
     whole = sum(engine.whole for engine in engines)
