--- a/packages/verbenahall/tests/placement/test_dispatch.py
+++ b/packages/verbenahall/tests/placement/test_dispatch.py
@@ -1,4 +1,4 @@
-"""Whose prompt is read next, and what callers are told that must wait."""
+"""Order of the prefill queue, admission, and refusals."""
 
 import random
 
@@ -43,11 +43,11 @@
     )
 
 
-def fill_queue(fleet, queue, *queues, now=0):
-    """Let requests wait behind a read that the instance has open."""
+def fill_queue(fleet, queue, *requests, now=0):
+    """Queue requests behind a prefill that the instance has open."""
     for engine in fleet.engines:
         fleet.state.ledger.open(engine.name, Totals(reading=200_000))
-    for pending in queues:
+    for pending in requests:
         enqueue(queue, pending, fleet, now, RNG)
 
 
@@ -75,8 +75,9 @@
 
 
 def test_order_is_priority_then_on_time_then_returning():
-    # A caller that was refused and came back is late already. Behind every
-    # newcomer that is late as well, it would be refused once more.
+    # A caller that was refused and returns is past its objective already.
+    # Behind all new requests that are past theirs as well, it would be refused
+    # again.
     queue = PrefillQueue()
     fleet = make_fleet(queue)
     fill_queue(
@@ -98,8 +99,8 @@
 
 
 def test_expiring_request_is_refused_at_once():
-    # Its caller leaves before the first event can come; held back, it would
-    # hear of it only at its deadline.
+    # Its caller leaves before the first event can arrive. If it were queued,
+    # the caller would get the refusal only at its deadline.
     queue = PrefillQueue()
     fleet = make_fleet(queue)
     pending = make_queued()
@@ -121,8 +122,9 @@
 
 
 def test_late_check_includes_recent_first_event_delays():
-    # Engines are slower than they were learned to be. Requests that are given
-    # their turn at the last moment by the old figure would all be late.
+    # Engines are slower than estimated. By the old estimate, requests would be
+    # admitted at the last moment, and all of them would be past their
+    # objective.
     queue = PrefillQueue()
     pending = make_queued(due=0.3)
     fleet = make_fleet(queue)
@@ -154,8 +156,8 @@
 
 @pytest.mark.parametrize('waiting', [0, 5, 40])
 def test_retry_after_follows_the_queue_and_leaves_time(waiting):
-    # A caller that is told to come back when its time is over has lost its
-    # request; one that is told to come back at once finds the same queue.
+    # A retry time after the caller's deadline loses the request; one that is
+    # too short finds the same queue again.
     queue = PrefillQueue()
     fleet = make_fleet(queue)
     for number in range(waiting):
@@ -167,9 +169,9 @@
 
 
 def test_prefills_of_peers_reduce_the_share():
-    # Alone, an instance may have a second read open at an engine, so that
-    # the engine never waits for it. With five others that do the same, the
-    # reads of all would stand in each other's way.
+    # Alone, an instance may have a second prefill open at an engine, so that
+    # the engine never idles between the two. With five peers that do the same,
+    # the prefills of all would slow each other down.
     alone = PrefillQueue()
     with_peers = PrefillQueue()
     counts = []
@@ -197,9 +199,9 @@
 
 
 def test_queue_is_refused_when_the_last_decode_engine_is_lost():
-    # The only engine that generates crashes while requests wait. Nothing can
-    # serve them here; held until they are hopeless, callers would lose two
-    # seconds that they need to be served elsewhere.
+    # The only decode engine crashes while requests are queued. They cannot be
+    # served here; held until they expire, callers would lose two seconds that
+    # they need to be served elsewhere.
     queue = PrefillQueue()
     fleet = make_fleet(queue)
     fill_queue(fleet, queue, make_queued('a'), make_queued('b'))
@@ -222,14 +224,14 @@
 
 
 def test_a_look_at_a_long_queue_costs_little():
-    # Two hundred requests wait for full engines, and there are some hundred
-    # looks a second. Placing each one at each look took an instance's whole
-    # processor time: it read its callers' requests a second late, and sent
-    # the requests of some that had left by then.
+    # Two hundred requests wait for busy engines, and there are about a hundred
+    # dispatches a second. Placing each request at each dispatch took all
+    # processor time of an instance: it parsed new requests a second late, and
+    # sent some whose callers had left.
     queue = PrefillQueue()
     fleet = make_fleet(queue, prefill_count=4, decode_count=2)
-    queues = [make_queued(f't{number}') for number in range(200)]
-    fill_queue(fleet, queue, *queues)
+    requests = [make_queued(f't{number}') for number in range(200)]
+    fill_queue(fleet, queue, *requests)
     counting = CountingFleet(fleet.state, fleet.engines, TRAITS, 200)
     CountingFleet.place_calls = 0
     dispatch(queue, counting, 0.1, RNG)
@@ -237,9 +239,10 @@
 
 
 def test_slow_first_events_do_not_send_callers_away_that_stay():
-    # Reads of long prompts take a tenth of a second and more, and first
-    # events come late by as much. Counted twice, that had callers refused
-    # that had half of their time left: one in six on a day of crashes.
+    # Prefills of long prompts take a tenth of a second and more, and first
+    # events are delayed by as much. With that delay counted twice, callers
+    # were refused that had half of their time left: one in six on a day with
+    # crashes.
     queue = PrefillQueue()
     fleet = make_fleet(queue)
     pending = make_queued()
@@ -251,9 +254,9 @@
 
 
 def test_engines_that_were_slow_are_tried_again():
-    # Engines were so slow for a while that first events came after callers
-    # had left. By what was learned then every later request is hopeless, and
-    # refused ones show nothing of engines that are well again: an instance
+    # Engines were so slow for a while that first events came after callers had
+    # left. By that delay estimate every later request would expire, and
+    # refused requests don't show that the engines have recovered: an instance
     # would refuse all callers for ever in front of idle engines.
     queue = PrefillQueue()
     fleet = make_fleet(queue)
