--- a/packages/verbenahall/tests/placement/test_fleets.py
+++ b/packages/verbenahall/tests/placement/test_fleets.py
@@ -1,4 +1,4 @@
-"""One load at each engine, from few instances and from many."""
+"""The same load per engine, through few and through many instances."""
 
 import functools
 
@@ -6,15 +6,18 @@
 from verbenahall_standins.replay import Load, Replay
 
 OBJECTIVE_S = 0.15
-#: Engines that prefill and that decode, and what arrives at each of the first.
+#: Prefill and decode engines, and requests a second for each prefill engine.
 ENGINES = (12, 6)
 RATE = 60
 SECONDS = 2
 
 
 @functools.cache
-def play(instances, rate=RATE, *, scheduled):
-    """Return the share on time; many instances hear a fifth of the others."""
+def replay_share_on_time(instances, rate=RATE, *, scheduled):
+    """Return the share of requests on time.
+
+    Many instances receive the reports of a fifth of the others.
+    """
     many = instances > 20
     replay = Replay(
         instances,
@@ -31,24 +34,24 @@
 
 @pytest.mark.parametrize('instances', [24, 200])
 def test_many_instances_with_a_scheduler_serve_as_few_do(instances):
-    """The same engines get the same load through six or two hundred instances.
+    """The same engines get the same load through six or 200 instances.
 
-    Each of two hundred has a request or two a second of its own, and hears of
-    a fifth of the others' sends, half a second late. Deciding by that, they
-    send one engine the prompts of many and leave others idle: callers see
-    late answers while three quarters of the engines' time is unused.
+    Each of 200 instances has a request or two a second, and receives the load
+    reports of a fifth of the others, half a second late. If each decides
+    alone, one engine gets the prompts of many instances and others stay idle:
+    answers are late while three quarters of the engine time is unused.
     """
-    few = play(6, scheduled=False)
-    assert play(instances, scheduled=True) > 0.9 * few
-    assert play(instances, scheduled=False) < 0.9 * few
+    few = replay_share_on_time(6, scheduled=False)
+    assert replay_share_on_time(instances, scheduled=True) > 0.9 * few
+    assert replay_share_on_time(instances, scheduled=False) < 0.9 * few
 
 
 @pytest.mark.parametrize('instances', [24, 200])
 def test_scheduler_is_worth_most_when_load_is_highest(instances):
-    """More arrives than the engines prefill in time.
+    """More prompts arrive than the engines can prefill in time.
 
-    With one queue those that can still be on time go first; without, nearly
-    all end late.
+    With one queue, requests that can still be on time go first; without it,
+    nearly all of them end late.
     """
-    many = play(instances, 2 * RATE, scheduled=True)
-    assert many > 2 * play(instances, 2 * RATE, scheduled=False)
+    many = replay_share_on_time(instances, 2 * RATE, scheduled=True)
+    assert many > 2 * replay_share_on_time(instances, 2 * RATE, scheduled=False)
