--- a/packages/verbenahall/tests/placement/test_ledger.py
+++ b/packages/verbenahall/tests/placement/test_ledger.py
@@ -1,11 +1,11 @@
-"""Open work at engines, by own sends and peers' words."""
+"""The ledger of open work, of this instance and of its peers."""
 
 from verbenahall.placement import Ledger, Totals
 
 
 def test_prefill_of_a_decode_engine_ends_with_its_first_event():
-    # Counted until the stream's end, a read looked to the other instances
-    # like a prompt that they would have to wait for.
+    # Counted until the end of the stream, the prefill looked to other
+    # instances like a prompt that they would have to wait for.
     ledger = Ledger()
     totals = Totals(reading=3_000, context=9_000, streams=1)
     flight = ledger.open('g0', totals)
