--- a/packages/verbenahall/tests/placement/test_placement.py
+++ b/packages/verbenahall/tests/placement/test_placement.py
@@ -1,4 +1,4 @@
-"""Where prompts are read and generated, and what is learned of engines."""
+"""Choice of engines, planned roles, and speed estimates."""
 
 import dataclasses
 import random
@@ -94,8 +94,8 @@
 
 
 def test_lost_prefill_engine_moves_only_its_own_parts():
-    # An engine leaves. If the others' parts moved too, the whole fleet would
-    # read every archive again in the same second.
+    # An engine leaves. If the parts of the others moved too, the whole fleet
+    # would prefill every shared prefix again in the same second.
     state = make_state()
     engines = make_engines()
     works = [make_work(shared=f'a{n}') for n in range(100)]
@@ -119,8 +119,8 @@
 
 
 def test_short_shared_part_spills_over_early():
-    # Captions share little. Kept at a busy home they wait behind archives
-    # that they have nothing to do with.
+    # Short prompts share little. Kept on a busy preferred engine, they would
+    # wait behind long prompts of another prefix.
     state = make_state()
     engines = make_engines()
     work = make_work(shared_tokens=100)
@@ -153,8 +153,8 @@
 
 
 def test_slow_decode_engine_is_avoided():
-    # An engine has turned slow and still answers its health check. Streams
-    # there pause for longer than their callers bear.
+    # An engine has become slow but passes its health check. Pauses in its
+    # streams are longer than the callers' limit.
     state = make_state()
     engines = make_engines()
     for _ in range(20):
@@ -218,7 +218,7 @@
 
 
 def model_prefill_s(missing, cached):
-    """Return what a read takes on an engine like the users' ones."""
+    """Return the prefill time of an engine like those of the deployment."""
     pairs = missing * (cached + missing / 2) / 1e6
     return 0.08 + missing / 93_000 + pairs * 0.000_442
 
@@ -237,8 +237,9 @@
 
 
 def test_delayed_prefills_change_the_estimate_little():
-    # Reads of instances that this one does not hear make some of its own
-    # wait. Believed, engines would look slow and work be refused for nothing.
+    # Prefills of instances that don't report to this one delay some of its
+    # own. Taken at face value, engines would look slow and requests would be
+    # refused for nothing.
     speed = PrefillSpeed()
     rng = random.Random(4)
     for number in range(300):
@@ -265,7 +266,7 @@
 
 
 def spread(engines, data_centres):
-    """Place engines in data centres by turns."""
+    """Assign engines to data centres, one letter each."""
     return [
         dataclasses.replace(engine, data_centre=data_centres[number])
         for number, engine in enumerate(engines)
@@ -273,10 +274,10 @@
 
 
 def test_roles_change_where_a_role_has_most_engines():
-    """Five of six decode engines stand in one data centre.
+    """Five of six decode engines are in one data centre.
 
-    Were those of the other one changed, it would have none, and every answer
-    to its callers would come from afar.
+    If the one in the other data centre were changed, that would have none
+    left, and all of its answers would come from the other data centre.
     """
     engines = spread(make_engines(prefill_count=1, decode_count=6), 'aaaabaa')
     changes = plan_roles(engines, {})
@@ -286,8 +287,8 @@
 def test_large_fleet_reaches_its_roles_in_few_rounds():
     """Eighty engines start, most of them with the wrong role.
 
-    Changed four at a time, each change taking seconds, they would be away by
-    turns while the first callers wait.
+    Changed four at a time, each change taking seconds, engines would be out of
+    service in turn while the first callers wait.
     """
     engines = make_engines(prefill_count=20, decode_count=60)
     rounds = 0
@@ -308,7 +309,8 @@
 
 
 def test_least_busy_engines_change():
-    # A change waits for what runs and takes the engine away meanwhile.
+    # A change waits for open work to end, and the engine is out of service
+    # meanwhile.
     engines = make_engines(prefill_count=2, decode_count=4)
     busy = {'g0': 9, 'g1': 0, 'g2': 7, 'g3': 1}
     changes = plan_roles(engines, busy)
@@ -325,10 +327,11 @@
 
 
 def test_crashed_decode_engines_are_not_replaced():
-    # Two of three generators crash and are back in four seconds. Readers that
-    # were changed in their place came three seconds later, were changed back
-    # three more seconds after that, and the archives they kept were read
-    # again: a day's goodput fell from 0.52 to 0.41 of what was owed.
+    # Two of three decode engines crash and are back in four seconds. Prefill
+    # engines that were changed in their place were ready after three seconds,
+    # were changed back three seconds later, and the prefixes they had cached
+    # were prefilled again: goodput of a day fell from 0.52 to 0.41 of what was
+    # owed.
     engines = make_engines(prefill_count=6, decode_count=1)
     assert not plan_roles(engines, {}, recently_lost=2)
 
@@ -346,9 +349,9 @@
 
 
 def test_few_prefills_change_the_estimate_little():
-    # An instance starts in the middle of a burst, and its first reads wait
-    # behind others' that it has not heard of. Believed, it refuses callers
-    # for waits that are none.
+    # An instance starts in the middle of a burst, and its first prefills wait
+    # behind those of instances whose reports it has not received. Taken at
+    # face value, it would refuse callers for waits that don't exist.
     speed = PrefillSpeed()
     for _ in range(3):
         speed.learn(1_000, 0, 0.8)
@@ -377,17 +380,17 @@
 
 
 def test_short_prompt_is_prefilled_by_the_decode_engine():
-    # A prompt of some two hundred tokens takes a generator a moment to read.
-    # Sent over a reader, its caller waits for two engines in place of one,
-    # and for the long prompts that the reader has open.
+    # A decode engine prefills about two hundred tokens in a moment. Over a
+    # prefill engine, the caller would wait for two engines in place of one,
+    # and for the long prompts open there.
     state = make_state()
     plan = choose(state, make_small(), make_engines())
     assert plan.reader is None
 
 
 def test_long_prompt_is_not_prefilled_by_a_busy_decode_engine():
-    # A generator that reads a long prompt holds up each of its streams, whose
-    # callers see a pause.
+    # The prefill of a long prompt on a decode engine stalls all of its
+    # streams.
     state = make_state()
     engines = make_engines()
     for number in range(3):
@@ -404,8 +407,8 @@
 
 
 def test_prompt_stays_on_its_preferred_engine_while_others_wait():
-    # Read again elsewhere, a prompt takes twice the time of an engine. With a
-    # queue behind it, all who wait pay for that.
+    # Prefilled on another engine, a prompt takes twice the engine time. All
+    # requests in the queue wait longer for that.
     state = make_state()
     engines = make_engines(decode_count=1)
     work = make_work()
