--- a/packages/verbenahall/src/verbenahall/scheduling/_decisions.py
+++ b/packages/verbenahall/src/verbenahall/scheduling/_decisions.py
@@ -1,7 +1,8 @@
-"""What a scheduler does with requests, and what it learns of them.
+"""The scheduler's decisions: queue, assign, reject, and record progress.
 
-All instances' requests to a group pass one queue, so its load is exact but
-for the datagrams under way, and their order is that of urgency and due time.
+All requests of all instances to a group pass one queue. So the load of the
+group is known exactly, except for datagrams under way, and requests are
+ordered by priority and due time.
 """
 
 import random
@@ -36,11 +37,12 @@
     Waiting,
 )
 
-#: A scheduler has seen what engines keep after this time, in seconds. Before,
-#: it may follow another one, under which they have read most prefixes.
-_KNOWS_CACHES_S: Final = 5.0
-#: An instance that died tells of no end. What it had open is forgotten this
-#: long after the deadline, in seconds.
+#: Seconds after which a scheduler has recorded what engines have cached.
+#: Before that, it may have replaced another scheduler, under which the engines
+#: have prefilled most prefixes.
+_CACHES_COMPLETE_S: Final = 5.0
+#: An instance that died reports no end of its requests. Their load is released
+#: this long after the deadline, in seconds.
 _GRACE_S: Final = 0.5
 
 Replies = Sequence[Reply]
@@ -53,25 +55,25 @@
     caller: str,
     fleet: Fleet,
     now: float,
-    source: random.Random,
+    rng: random.Random,
 ) -> Replies:
-    """Take a request, or answer a copy of it as before.
+    """Add a request to the queue, or answer a copy of it as before.
 
-    What is neither refused nor known is answered by the next ``look``, which
-    goes through the whole queue: one look serves all that have come together.
-    An instance that waits asks again now and then, to learn that its
-    scheduler still runs and to hear an answer that got lost.
+    A new request that is not rejected is answered by the next ``look``. That
+    one goes through the whole queue once for all requests that have arrived
+    together. An instance repeats its request while it waits, to check that the
+    scheduler still runs and to get an answer that was lost.
     """
     assigned = state.assigned.get(request.key)
     if assigned is not None:
         return (Reply(caller, assigned.answer),)
     if request.key in state.waiting:
         return (Reply(caller, Queued(request.key)),)
-    known = now - state.since > _KNOWS_CACHES_S
-    state.placement.caches_complete = known
+    complete = now - state.started_at > _CACHES_COMPLETE_S
+    state.placement.caches_complete = complete
     waiting = _make_waiting(request, caller, now)
     state.waiting[request.key] = waiting
-    effects = enqueue(state.queue, waiting.pending, fleet, now, source)
+    effects = enqueue(state.queue, waiting.pending, fleet, now, rng)
     return tuple(_apply(state, effects))
 
 
@@ -79,16 +81,16 @@
     state: SchedulerState,
     fleet: Fleet,
     now: float,
-    source: random.Random,
+    rng: random.Random,
 ) -> Replies:
-    """Assign engines that have room, and reject what waits in vain.
+    """Assign requests to engines with room; reject those that would expire.
 
-    Those that go on waiting are told so once.
+    Requests that stay in the queue are answered with ``Queued`` once.
     """
     if not state.queue.waiting:
         return ()
-    effects = dispatch(state.queue, fleet, now, source)
-    return (*_apply(state, effects), *_tell_waiting(state))
+    effects = dispatch(state.queue, fleet, now, rng)
+    return (*_apply(state, effects), *_notify_waiting(state))
 
 
 def note(
@@ -97,10 +99,11 @@
     service: Service,
     now: float,
 ) -> None:
-    """Learn how an assignment goes; one that is not known changes nothing."""
+    """Record the progress of an assignment; ignores unknown ones."""
     waiting = state.waiting.pop(progress.key, None)
     if waiting is not None:
-        # The caller left, or the instance has decided by itself meanwhile.
+        # The caller left, or the instance has chosen engines by itself in the
+        # meantime.
         state.queue.remove(waiting.pending)
     assigned = state.assigned.get(progress.key)
     if assigned is None:
@@ -108,9 +111,9 @@
     state.placement.ledger.close(assigned.prefill)
     match progress:
         case Prefilled(seconds=seconds):
-            _learn_prefill(state, assigned, seconds, service)
+            _record_prefill(state, assigned, seconds, service)
         case FirstEvent():
-            _learn_first_event(state, assigned, progress, service, now)
+            _record_first_event(state, assigned, progress, service, now)
         case Released(step_s=step_s):
             _release(state, assigned)
             if step_s:
@@ -119,7 +122,7 @@
 
 
 def expire(state: SchedulerState, now: float) -> None:
-    """Forget the assignments whose instances have never told of an end."""
+    """Release the assignments whose instances have not reported an end."""
     overdue = [
         assigned
         for assigned in state.assigned.values()
@@ -129,10 +132,10 @@
         _release(state, assigned)
 
 
-def _tell_waiting(state: SchedulerState) -> Iterator[Reply]:
+def _notify_waiting(state: SchedulerState) -> Iterator[Reply]:
     for key, waiting in state.waiting.items():
-        if not waiting.told:
-            waiting.told = True
+        if not waiting.notified:
+            waiting.notified = True
             yield Reply(waiting.caller, Queued(key))
 
 
@@ -172,7 +175,7 @@
     waiting: Waiting,
     admitted: Admitted,
 ) -> Reply:
-    """Hold what the request will occupy, from now until it is released."""
+    """Add the load of a request to the ledger until it is released."""
     plan = admitted.plan
     key = admitted.pending.request
     decode = state.placement.ledger.open(
@@ -210,7 +213,7 @@
     )
 
 
-def _learn_prefill(
+def _record_prefill(
     state: SchedulerState,
     assigned: Assigned,
     seconds: float,
@@ -219,12 +222,12 @@
     plan = assigned.plan
     work = assigned.waiting.pending.wanted.work
     if not plan.ahead_s:
-        kept = work.prompt_tokens - plan.missing
-        state.placement.learn_read(plan.missing, kept, seconds)
+        cached = work.prompt_tokens - plan.missing
+        state.placement.learn_read(plan.missing, cached, seconds)
     state.placement.note_kept(plan.reader or plan.generator, work, service)
 
 
-def _learn_first_event(
+def _record_first_event(
     state: SchedulerState,
     assigned: Assigned,
     event: FirstEvent,
--- a/packages/verbenahall/src/verbenahall/scheduling/_state.py
+++ b/packages/verbenahall/src/verbenahall/scheduling/_state.py
@@ -1,4 +1,4 @@
-"""What a scheduler keeps of one service in one group."""
+"""The state of a scheduler for one service in one group."""
 
 import dataclasses
 from typing import final
@@ -15,7 +15,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Reply:
-    """A message to the instance that ``caller`` names."""
+    """A message to the instance with the address ``caller``."""
 
     caller: str
     message: Message
@@ -23,20 +23,20 @@
 
 @dataclasses.dataclass(slots=True)
 class Waiting:
-    """A request in the queue, and who asked for it.
+    """A request in the queue, and the instance that sent it.
 
-    ``told`` is whether the caller knows that it waits.
+    ``notified`` is true once that instance has been sent ``Queued``.
     """
 
     pending: QueuedRequest
     caller: str
     deadline: float
-    told: bool = False
+    notified: bool = False
 
 
 @dataclasses.dataclass(slots=True)
 class Assigned:
-    """An assignment and what it holds at the engines until released."""
+    """An assignment, and its open work at the engines until released."""
 
     waiting: Waiting
     plan: Plan
@@ -47,13 +47,13 @@
 
 @final
 class SchedulerState:
-    """The queue, the open assignments, and the load that they make."""
+    """The queue, the open assignments, and their load."""
 
-    __slots__ = ('assigned', 'placement', 'queue', 'since', 'waiting')
+    __slots__ = ('assigned', 'placement', 'queue', 'started_at', 'waiting')
 
-    def __init__(self, placement: PlacementState, since: float) -> None:
-        """Start with nothing open; ``placement`` holds no load of others."""
-        self.since = since
+    def __init__(self, placement: PlacementState, started_at: float) -> None:
+        """Start with nothing open; ``placement`` has no other open work."""
+        self.started_at = started_at
         self.placement = placement
         self.queue = PrefillQueue()
         self.waiting: dict[str, Waiting] = {}
