--- a/packages/verbenahall/src/verbenahall/scheduling/_groups.py
+++ b/packages/verbenahall/src/verbenahall/scheduling/_groups.py
@@ -1,8 +1,8 @@
-"""Which engines form a group, and which instance schedules it.
+"""Divides engines into groups and ranks the instances that schedule them.
 
-Every instance works both out from the engines that it knows and from its
-peers. Two that know different ones may use two schedulers for one group for
-a while: each of these sees a part of the load only, and no request is lost.
+Every instance computes both from the engines and the peers that it knows. Two
+instances that know different ones may use two schedulers for one group for a
+while. Each of these then sees only a part of the load, but no request is lost.
 """
 
 import collections
@@ -18,33 +18,38 @@
 from verbenahall.roster import Entry
 from verbenahall.routing import rank_by_rendezvous
 
-#: Up to so many peers, each is told of a send within a fifth of a second, and
-#: an own choice is as good as a scheduler's without the way to it.
+#: Up to this number of peers, a load report reaches all of them within a fifth
+#: of a second. Then an instance chooses as well by itself as a scheduler
+#: would, without the round trip to it.
 _FEW_PEERS: Final = 10
-#: Engines that one instance schedules at most, about. With more of them,
+#: Approximate maximum of engines scheduled by one instance. With more engines,
 #: choosing among them would take a noticeable part of its processor time.
-_MOST_ENGINES: Final = 32
-#: Engines of a data centre that are a group of their own, at least on average;
-#: fewer would leave a burst no engine to spill over to.
-_FEWEST_ENGINES: Final = 6
-#: Stands for the data centre of a group that spans all of them.
-_ANYWHERE: Final = ''
-#: Groups by prefix that a request may go to: the one that keeps its prefix,
-#: and one more when that one is overloaded or out of reach.
-_GROUPS: Final = 2
-#: A peer of the own data centre that was not heard for this long schedules
-#: nothing, in seconds: twice the longest pause between two words.
-_HEARD_S: Final = 1.3
+_MAX_GROUP_ENGINES: Final = 32
+#: Minimum average of engines for each data centre at which data centres have
+#: groups of their own. With fewer engines, a burst would find no engine to
+#: spill over to.
+_MIN_GROUP_ENGINES: Final = 6
+#: The data centre of a group that spans all of them.
+_ALL_DATA_CENTRES: Final = ''
+#: Groups that a request may go to because of its prefix: the one that has it
+#: cached, and another one if the first is overloaded or unreachable.
+_CANDIDATE_GROUPS: Final = 2
+#: Seconds without a heartbeat after which a peer of the local data centre is
+#: not used as a scheduler: twice the longest interval between heartbeats.
+_HEARTBEAT_TIMEOUT_S: Final = 1.3
 
 
 def needs_scheduler(book: PeerBook) -> bool:
-    """Whether the fleet is too large for each instance to decide by itself."""
+    """Whether the fleet is too large for instances to choose by themselves."""
     return len(book.peers) > _FEW_PEERS
 
 
 def is_near(group: str, book: PeerBook) -> bool:
-    """Whether a group's schedulers are heard, as those of the own centre."""
-    return _find_centre(group) in {book.data_centre, _ANYWHERE}
+    """Whether heartbeats of the schedulers of a group are received here."""
+    return _get_group_data_centre(group) in {
+        book.data_centre,
+        _ALL_DATA_CENTRES,
+    }
 
 
 def rank_groups(
@@ -52,22 +57,24 @@
     engines: Sequence[Entry],
     data_centre: str = '',
 ) -> Sequence[str]:
-    """Return the groups for a prompt, the one that keeps its prefix first.
+    """Return the groups for a prompt, the one that has its prefix cached first.
 
-    A group counts by its engines, so that each gets its share, and only one
-    that has a decode engine can serve. The last one is of the own data
-    centre: when that is cut off, it is the only one within reach.
+    Groups are weighted by their number of prefill engines, and only those with
+    a decode engine can serve. The last one is in the local data centre, for
+    the case that this data centre is cut off from all others.
     """
     names = _name_groups(engines)
-    serving = {names[one.name] for one in engines if one.role is Role.DECODE}
+    decoding = {names[one.name] for one in engines if one.role is Role.DECODE}
     prefilling = [one.name for one in engines if one.role is Role.PREFILL]
-    keeping = [name for name in prefilling if names[name] in serving]
-    ranked = rank_by_rendezvous(work.home_key, keeping)
+    holders = [name for name in prefilling if names[name] in decoding]
+    ranked = rank_by_rendezvous(work.home_key, holders)
     groups = dict.fromkeys(names[name] for name in ranked)
-    ordered = [*groups, *sorted(serving - groups.keys())]
-    near = [one for one in ordered if _find_centre(one) == data_centre]
-    chosen = (*ordered[:_GROUPS], *near[:1])
-    return list(dict.fromkeys(chosen))
+    ordered = [*groups, *sorted(decoding - groups.keys())]
+    local = [
+        one for one in ordered if _get_group_data_centre(one) == data_centre
+    ]
+    selected = (*ordered[:_CANDIDATE_GROUPS], *local[:1])
+    return list(dict.fromkeys(selected))
 
 
 def list_group(group: str, engines: Sequence[Entry]) -> Sequence[Entry]:
@@ -82,71 +89,82 @@
     now: float,
     avoided: Collection[str] = (),
 ) -> Sequence[str]:
-    """Return who may schedule a group: instances of its data centre.
+    """Return the instances that may schedule a group, preferred ones first.
 
-    Those with the fastest processors stand first, as a scheduler needs some
-    of it beside its own callers. Any may schedule a group that spans all.
-    Those of other data centres are not heard, so they are believed to run
-    unless they are in ``avoided``.
+    They are in the data centre of the group; any instance may schedule a group
+    that spans all data centres. Instances with more processor capacity come
+    first, because scheduling takes some of it in addition to the work for
+    their own callers. No heartbeats are received from other data centres, so
+    instances there are assumed to run unless they are in ``avoided``.
     """
-    data_centre = _find_centre(group)
+    data_centre = _get_group_data_centre(group)
     if is_near(group, book):
-        found: Iterable[str] = [book.name, *find_heard(book, now, _HEARD_S)]
+        instance_names: Iterable[str] = [
+            book.name,
+            *find_heard(book, now, _HEARTBEAT_TIMEOUT_S),
+        ]
     else:
-        found = book.peers
+        instance_names = book.peers
     candidates = [
         name
-        for name in found
+        for name in instance_names
         if name not in avoided
-        and data_centre in {_find_home(book, name), _ANYWHERE}
+        and data_centre
+        in {_get_instance_data_centre(book, name), _ALL_DATA_CENTRES}
     ]
     ranked = rank_by_rendezvous(group, candidates)
-    return sorted(ranked, key=lambda name: -_find_cores(book, name))
+    return sorted(ranked, key=lambda name: -_round_cores(book, name))
 
 
-def _find_cores(book: PeerBook, name: str) -> float:
-    """Return an instance's processor, without differences of no account."""
+def _round_cores(book: PeerBook, name: str) -> float:
+    """Return the processor capacity of an instance, rounded to whole cores."""
     peer = book.peers.get(name)
     return round(book.cores if peer is None else peer.cores)
 
 
-def _find_centre(group: str) -> str:
-    """Return the data centre of a group."""
+def _get_group_data_centre(group: str) -> str:
+    """Return the data centre of a group, empty if it spans all."""
     return group.rpartition('/')[0]
 
 
-def _find_home(book: PeerBook, name: str) -> str:
+def _get_instance_data_centre(book: PeerBook, name: str) -> str:
     """Return the data centre of an instance."""
     peer = book.peers.get(name)
     return book.data_centre if peer is None else peer.data_centre
 
 
 def _name_groups(engines: Sequence[Entry]) -> dict[str, str]:
-    """Return each engine's group, named after its data centre.
+    """Return the group of each engine, named after its data centre.
 
     A service with few engines is one group. The number of groups in a data
-    centre is a power of two, so that it seldom changes as engines come and
-    go.
+    centre is a power of two, so that it rarely changes when engines join or
+    leave.
     """
     counts = collections.Counter(one.data_centre for one in engines)
-    if len(engines) < _FEWEST_ENGINES * len(counts):
-        # Every data centre's few engines are needed by all.
-        homes = dict.fromkeys(counts, _ANYWHERE)
-        counts = collections.Counter({_ANYWHERE: len(engines)})
+    if len(engines) < _MIN_GROUP_ENGINES * len(counts):
+        # The few engines of each data centre are needed by all callers.
+        group_data_centres = dict.fromkeys(counts, _ALL_DATA_CENTRES)
+        counts = collections.Counter({_ALL_DATA_CENTRES: len(engines)})
     else:
-        homes = {name: name for name in counts}
-    splits = {name: _count_groups(count) for name, count in counts.items()}
+        group_data_centres = {name: name for name in counts}
+    group_counts = {
+        name: _count_groups(count) for name, count in counts.items()
+    }
     return {
-        one.name: _name_group(one.name, homes[one.data_centre], splits)
+        one.name: _name_group(
+            one.name, group_data_centres[one.data_centre], group_counts
+        )
         for one in engines
     }
 
 
 def _count_groups(engines: int) -> int:
-    wanted = max(1, engines / _MOST_ENGINES)
-    return 1 << math.ceil(math.log2(wanted))
+    target = max(1, engines / _MAX_GROUP_ENGINES)
+    return 1 << math.ceil(math.log2(target))
 
 
-def _name_group(engine: str, home: str, splits: Mapping[str, int]) -> str:
-    number = xxhash.xxh64_intdigest(engine.encode()) % splits[home]
-    return f'{home}/{number}'
+def _name_group(
+    engine: str, data_centre: str, group_counts: Mapping[str, int]
+) -> str:
+    number = xxhash.xxh64_intdigest(engine.encode()) % group_counts[data_centre]
+    return f'{data_centre}/{number}'
