--- a/packages/verbenahall/src/verbenahall/scheduling/_health.py
+++ b/packages/verbenahall/src/verbenahall/scheduling/_health.py
@@ -1,43 +1,43 @@
-"""Which schedulers, or groups of them, have not answered lately."""
+"""Tracks the schedulers and groups that have not answered recently."""
 
 from typing import Final, final
 
-#: A scheduler that did not answer is left out for this long, in seconds: the
-#: first time, and the longest after several times in a row. One that is gone
-#: for good costs one request its wait at the end of each such time.
-_FIRST_S: Final = 2.0
-_LONGEST_S: Final = 32.0
+#: Backoff after a timeout, in seconds: the first one, and the maximum after
+#: several in a row. A scheduler that is gone for good costs one request its
+#: wait after each backoff.
+_MIN_BACKOFF_S: Final = 2.0
+_MAX_BACKOFF_S: Final = 32.0
 
 
 @final
 class SchedulerHealth:
-    """Silent ones by name, left out for longer and longer.
+    """Unresponsive schedulers or groups, with exponential backoff.
 
-    ``longest_s`` bounds the time for which one is left out, in seconds.
+    ``max_backoff_s`` is the maximum backoff in seconds.
     """
 
-    __slots__ = ('_longest_s', '_pauses')
+    __slots__ = ('_max_backoff_s', '_backoffs')
 
-    def __init__(self, longest_s: float = _LONGEST_S) -> None:
-        """Start with nothing against anyone."""
-        self._longest_s = longest_s
-        self._pauses: dict[str, tuple[float, float]] = {}
+    def __init__(self, max_backoff_s: float = _MAX_BACKOFF_S) -> None:
+        """Start with no timeouts recorded."""
+        self._max_backoff_s = max_backoff_s
+        self._backoffs: dict[str, tuple[float, float]] = {}
 
     def note_answer(self, name: str) -> None:
-        """Note that one answered."""
-        self._pauses.pop(name, None)
+        """Record an answer, which ends the backoff."""
+        self._backoffs.pop(name, None)
 
     def note_silence(self, name: str, now: float) -> None:
-        """Note that it did not answer in time."""
-        pause_s, until = self._pauses.get(name, (0, now))
+        """Record that an answer has timed out."""
+        backoff_s, until = self._backoffs.get(name, (0, now))
         if now < until:
-            # Several requests waited for the same silence.
+            # Another request has timed out on the same failure.
             return
-        pause_s = min(max(_FIRST_S, 2 * pause_s), self._longest_s)
-        self._pauses[name] = (pause_s, now + pause_s)
+        backoff_s = min(max(_MIN_BACKOFF_S, 2 * backoff_s), self._max_backoff_s)
+        self._backoffs[name] = (backoff_s, now + backoff_s)
 
     def list_silent(self, now: float) -> frozenset[str]:
-        """Return those that are left out now."""
+        """Return the names that are not to be used now."""
         return frozenset(
-            name for name, (_, until) in self._pauses.items() if now < until
+            name for name, (_, until) in self._backoffs.items() if now < until
         )
