--- a/packages/verbenahall/src/verbenahall/scheduling/_messages.py
+++ b/packages/verbenahall/src/verbenahall/scheduling/_messages.py
@@ -1,4 +1,4 @@
-"""The datagrams between an instance that has a request and its scheduler."""
+"""Datagrams between an instance with a request and its scheduler."""
 
 import dataclasses
 from collections.abc import Callable, Mapping
@@ -11,19 +11,20 @@
 from verbenahall import wire
 from verbenahall.placement import Part, Work
 
-#: Names the kind of a message, and tells it from the words between peers.
+#: Key for the kind of a message. Peer messages on the same socket don't have
+#: it.
 _TYPE: Final = 'type'
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class ScheduleRequest:
-    """A model request that waits to be placed on engines of a group.
+    """A model request that is to be placed on engines of a group.
 
-    ``key`` begins with the caller's identity of the request and is never used
-    for another one, so that a copy is known as such. Times are seconds from
-    the sending: ``due_s`` until the first event is late, ``leaves_s`` until
+    ``key`` begins with the caller's identity of the request and is never
+    reused, so that copies are recognized. Times are seconds from sending:
+    ``due_s`` until the first event is past its objective, ``leaves_s`` until
     the caller leaves without one, ``deadline_s`` until the whole answer is of
-    no use any more. ``tried`` names the engines that have failed the request.
+    no use. ``tried`` names the engines that have failed the request.
     """
 
     key: str
@@ -42,18 +43,19 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Queued:
-    """The request waits; its scheduler will answer again."""
+    """The request is queued; the scheduler will answer again."""
 
     key: str
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Assignment:
-    """The engines that a request is sent to now.
+    """The engines to which a request is sent now.
 
-    ``prefill`` is empty when the decode engine reads the prompt itself.
-    ``missing`` tokens are expected to be prefilled, the first event after
-    ``wait_s``, of which ``ahead_s`` is for prefills that go before.
+    ``prefill`` is empty when the decode engine prefills the prompt itself.
+    ``missing`` is the expected number of tokens to prefill, ``wait_s`` the
+    expected time to the first event, and ``ahead_s`` the part of it for
+    prefills that go first.
     """
 
     key: str
@@ -67,7 +69,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Rejection:
-    """The request cannot be served; ``kind`` is an error kind's word."""
+    """The request cannot be served; ``kind`` is the value of an ErrorKind."""
 
     key: str
     kind: str
@@ -77,14 +79,14 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Declined:
-    """The instance schedules nothing now: it starts or stops."""
+    """The instance does not schedule now, because it starts or stops."""
 
     key: str
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Prefilled:
-    """The prompt was prefilled; the call took ``seconds``."""
+    """The prompt was prefilled; the call to the engine took ``seconds``."""
 
     key: str
     seconds: float
@@ -94,8 +96,9 @@
 class FirstEvent:
     """The first event came ``seconds`` after the assignment.
 
-    ``handover_s`` is the part of it since the decode engine was asked to go
-    on with the KV cache, 0 when it has prefilled the prompt itself.
+    ``handover_s`` is the part of it since the request to the decode engine to
+    continue from the KV cache, 0 if that engine has prefilled the prompt
+    itself.
     """
 
     key: str
@@ -105,10 +108,10 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Released:
-    """Nothing of the request is open at the engines any more.
+    """No work of the request is open at the engines any more.
 
-    ``step_s`` is the step time seen in its stream, 0 if unknown, ``refused``
-    the engine that took no work, if one did.
+    ``step_s`` is the decode step time measured in its stream, 0 if unknown,
+    and ``refused`` the name of the engine that refused the work, if one did.
     """
 
     key: str
@@ -127,10 +130,10 @@
     | Released
 )
 _Table = Mapping[str, Any]
-_Reader = Callable[[_Table], Message]
+_Parser = Callable[[_Table], Message]
 
 
-def _read_request(table: _Table) -> ScheduleRequest:
+def _parse_request(table: _Table) -> ScheduleRequest:
     parts = tuple(
         Part(str(identity), int(tokens)) for identity, tokens in table['parts']
     )
@@ -150,7 +153,7 @@
     )
 
 
-def _read_assignment(table: _Table) -> Assignment:
+def _parse_assignment(table: _Table) -> Assignment:
     return Assignment(
         key=str(table['key']),
         prefill=str(table['prefill']),
@@ -162,7 +165,7 @@
     )
 
 
-def _read_rejection(table: _Table) -> Rejection:
+def _parse_rejection(table: _Table) -> Rejection:
     return Rejection(
         key=str(table['key']),
         kind=str(table['kind']),
@@ -171,7 +174,7 @@
     )
 
 
-def _read_first_event(table: _Table) -> FirstEvent:
+def _parse_first_event(table: _Table) -> FirstEvent:
     return FirstEvent(
         str(table['key']),
         float(table['seconds']),
@@ -179,7 +182,7 @@
     )
 
 
-def _read_released(table: _Table) -> Released:
+def _parse_released(table: _Table) -> Released:
     return Released(
         str(table['key']),
         float(table['step_s']),
@@ -187,22 +190,22 @@
     )
 
 
-_READERS: Final[Mapping[str, _Reader]] = MappingProxyType(
+_PARSERS: Final[Mapping[str, _Parser]] = MappingProxyType(
     {
-        'schedule': _read_request,
+        'schedule': _parse_request,
         'queued': lambda table: Queued(str(table['key'])),
-        'assignment': _read_assignment,
-        'rejection': _read_rejection,
+        'assignment': _parse_assignment,
+        'rejection': _parse_rejection,
         'declined': lambda table: Declined(str(table['key'])),
         'prefilled': lambda table: Prefilled(
             str(table['key']),
             float(table['seconds']),
         ),
-        'first_event': _read_first_event,
-        'released': _read_released,
+        'first_event': _parse_first_event,
+        'released': _parse_released,
     },
 )
-_NAMES: Final[Mapping[type, str]] = MappingProxyType(
+_TYPE_NAMES: Final[Mapping[type, str]] = MappingProxyType(
     {
         ScheduleRequest: 'schedule',
         Queued: 'queued',
@@ -227,23 +230,23 @@
         table['parts'] = [(one.identity, one.tokens) for one in work.parts]
         table['prompt'] = work.prompt_tokens
         table['output'] = work.output_tokens
-    return wire.encode({_TYPE: _NAMES[type(message)], **table})
+    return wire.encode({_TYPE: _TYPE_NAMES[type(message)], **table})
 
 
 def decode(datagram: bytes) -> Maybe[Message]:
-    """Decode a datagram; Nothing when it is no message of this slice."""
+    """Decode a datagram; Nothing if it is no valid scheduling message."""
     match wire.decode_table(datagram):
-        case Success({'type': str(name), **table}) if name in _READERS:
-            return _read(_READERS[name], table)
+        case Success({'type': str(name), **table}) if name in _PARSERS:
+            return _parse(_PARSERS[name], table)
         case _:
             return Nothing
 
 
-def _read(
-    reader: _Reader,
+def _parse(
+    parser: _Parser,
     table: _Table,
 ) -> Maybe[Message]:
     try:
-        return Some(reader(table))
+        return Some(parser(table))
     except (KeyError, TypeError, ValueError):
         return Nothing
