--- a/packages/verbenahall/src/verbenahall/scheduling/__init__.py
+++ b/packages/verbenahall/src/verbenahall/scheduling/__init__.py
@@ -1,12 +1,13 @@
-"""One queue for a group of engines, kept by one instance for all others.
+"""Central queues: one instance schedules a group of engines for all others.
 
-In a small fleet every instance hears every other one, and each decides by
-itself. In a large one each sees a small sample of the load: engines that look
-idle get the prompts of many instances at once, and no queue has an order. So
-the engines are divided into groups, and one instance schedules each group:
-the others ask it by datagram where a prompt is prefilled and decoded, and
-tell it how that went. They send the request themselves, so a scheduler that
-dies loses no request, and whoever gets no answer decides by itself.
+In a small fleet every instance receives the load reports of all others and
+chooses engines by itself. In a large fleet each one sees a small sample of the
+load: engines that look idle get the prompts of many instances at once, and the
+requests have no common order. So the engines are divided into groups, and one
+instance schedules each group. The others ask it by datagram where to prefill
+and decode a request, and report the progress. They send the request to the
+engines themselves, so no request is lost with a scheduler, and an instance
+that gets no answer chooses engines by itself.
 """
 
 from verbenahall.scheduling._decisions import (
