--- a/packages/verbenahall/tests/scheduling/test_groups.py
+++ b/packages/verbenahall/tests/scheduling/test_groups.py
@@ -1,4 +1,4 @@
-"""Which engines form a group, and who schedules it."""
+"""Groups of engines, and the instances that schedule them."""
 
 import collections
 
@@ -14,7 +14,7 @@
     rank_schedulers,
 )
 
-CENTRES = ('ain', 'sidi', 'fes')
+DATA_CENTRES = ('ain', 'sidi', 'fes')
 
 
 def make_engine(name, data_centre, role=Role.PREFILL):
@@ -23,14 +23,14 @@
     )
 
 
-def make_engines(centres=CENTRES, prefill=6, decode=3):
+def make_engines(data_centres=DATA_CENTRES, prefill=6, decode=3):
     return [
         make_engine(
-            f'{centre}-{number}',
-            centre,
+            f'{data_centre}-{number}',
+            data_centre,
             Role.PREFILL if number < prefill else Role.DECODE,
         )
-        for centre in centres
+        for data_centre in data_centres
         for number in range(prefill + decode)
     ]
 
@@ -42,7 +42,7 @@
 def test_small_data_centre_is_one_group():
     engines = make_engines()
 
-    sizes = {len(list_group(f'{one}/0', engines)) for one in CENTRES}
+    sizes = {len(list_group(f'{one}/0', engines)) for one in DATA_CENTRES}
 
     assert sizes == {9}
 
@@ -60,7 +60,7 @@
 
 
 def test_large_data_centre_is_split():
-    """A scheduler that chose among all of them would be too slow."""
+    """A scheduler that chooses among 240 engines would be too slow."""
     engines = make_engines(('ain',), 160, 80)
     sizes = [len(list_group(f'ain/{one}', engines)) for one in range(8)]
 
@@ -69,7 +69,7 @@
 
 
 def test_requests_of_a_prefix_go_to_one_group_and_prefixes_spread():
-    """Each group keeps its share of the prefixes."""
+    """Each group caches its share of the prefixes."""
     engines = make_engines()
     firsts = collections.Counter(
         rank_groups(make_work(f'prefix-{number}'), engines)[0]
@@ -86,8 +86,8 @@
 def test_group_without_a_decode_engine_is_left_out():
     """All decode engines of a data centre crashed.
 
-    Sent there all the same, every third request would be told that nothing
-    serves it.
+    If requests were sent there, every third one would be answered that no
+    engine serves it.
     """
     engines = [
         *make_engines(('ain', 'sidi')),
@@ -98,8 +98,8 @@
         assert sorted(groups) == ['ain/0', 'sidi/0']
 
 
-def test_own_data_centre_is_the_last_resort():
-    """The own data centre is cut off, and both groups by prefix are outside.
+def test_local_data_centre_is_the_last_candidate():
+    """The local data centre is cut off; both groups by prefix are outside.
 
     Its own engines are the only ones that its callers can reach.
     """
@@ -111,8 +111,8 @@
         assert groups[:2] == rank_groups(make_work(f'prefix-{number}'), engines)
 
 
-def test_group_that_only_decodes_may_serve():
-    """No engine prefills apart; decode engines read prompts themselves."""
+def test_group_without_prefill_engines_may_serve():
+    """Decode engines prefill as well if there are no prefill engines."""
     engines = make_engines(('ain',), prefill=0, decode=6)
 
     assert rank_groups(make_work(), engines) == ['ain/0']
@@ -120,29 +120,29 @@
 
 @pytest.fixture
 def book():
-    """What an instance of one data centre knows of all instances."""
+    """The peers as known to an instance of one data centre."""
     book = PeerBook('ain-0', 'ain')
-    for centre in CENTRES:
+    for data_centre in DATA_CENTRES:
         for number in range(8):
-            name = f'{centre}-{number}'
-            greet(book, name, f'10.0.0.{number}:7380', centre)
-            if centre == 'ain':
+            name = f'{data_centre}-{number}'
+            greet(book, name, f'10.0.0.{number}:7380', data_centre)
+            if data_centre == 'ain':
                 hear(book, name, 1, 0)
     return book
 
 
 def test_scheduler_is_of_the_group_s_data_centre(book):
-    for centre in CENTRES:
-        ranked = rank_schedulers(f'{centre}/0', book, 0)
+    for data_centre in DATA_CENTRES:
+        ranked = rank_schedulers(f'{data_centre}/0', book, 0)
         assert len(ranked) == 8
-        assert {name.partition('-')[0] for name in ranked} == {centre}
+        assert {name.partition('-')[0] for name in ranked} == {data_centre}
 
 
-def test_fast_machine_schedules_before_slow_ones(book):
+def test_faster_instances_schedule_first(book):
     """Two of eight machines have four times the processor of the others.
 
-    On a slow one the decisions of a burst take all of it; its answers come
-    late, and its own callers wait.
+    On a slow one, scheduling a burst takes all processor time; its answers
+    come late, and its own callers wait.
     """
     for name in ('ain-3', 'fes-5'):
         greet(book, name, book.peers[name].address, name[:3], 2.15)
@@ -153,8 +153,8 @@
     assert rank_schedulers('fes/0', book, 0)[0] == 'fes-5'
 
 
-def test_peer_that_is_not_heard_schedules_nothing(book):
-    """A peer of the own data centre died; the next one takes its place."""
+def test_peer_without_heartbeats_schedules_nothing(book):
+    """A peer of the local data centre died; the next one replaces it."""
     first, second, *_ = rank_schedulers('ain/0', book, 0)
     for name in set(book.peers) - {first}:
         hear(book, name, 2, 2)
@@ -164,17 +164,17 @@
     assert rank_schedulers('ain/0', book, 2)[0] == second
 
 
-def test_silent_scheduler_is_left_out_for_longer_and_longer(book):
+def test_unresponsive_scheduler_is_skipped_with_growing_backoff(book):
     """An instance of another data centre is gone for good.
 
-    Asked for each request, it would cost each of them a wait.
+    If it were asked for each request, each of them would wait for a timeout.
     """
     health = SchedulerHealth()
     first, second, *_ = rank_schedulers('fes/0', book, 0)
     health.note_silence(first, 0)
 
-    silent = health.list_silent(1)
-    assert rank_schedulers('fes/0', book, 1, silent)[0] == second
+    unresponsive = health.list_silent(1)
+    assert rank_schedulers('fes/0', book, 1, unresponsive)[0] == second
     assert not health.list_silent(2)
 
     health.note_silence(first, 2)
@@ -182,7 +182,7 @@
     assert not health.list_silent(6)
 
 
-def test_requests_that_met_one_silence_count_once():
+def test_concurrent_timeouts_count_once():
     """Ten requests were waiting when the scheduler died."""
     health = SchedulerHealth()
     for _ in range(10):
@@ -191,18 +191,18 @@
     assert not health.list_silent(2)
 
 
-def test_silence_of_a_group_is_soon_forgotten():
+def test_backoff_of_a_group_is_bounded():
     """A data centre is cut off for some seconds; then its engines are back."""
     health = SchedulerHealth(4.0)
-    for moment in (0, 10, 20, 30):
-        health.note_silence('ain/0', moment)
+    for time_s in (0, 10, 20, 30):
+        health.note_silence('ain/0', time_s)
 
     assert health.list_silent(33)
     assert not health.list_silent(34)
 
 
-def test_scheduler_that_answers_again_is_trusted_again():
-    """It was frozen for a while."""
+def test_answer_resets_the_backoff():
+    """The scheduler was frozen for a while."""
     health = SchedulerHealth()
     health.note_silence('front-1', 0)
     health.note_answer('front-1')
