--- a/packages/verbenahall/tests/scheduling/test_messages.py
+++ b/packages/verbenahall/tests/scheduling/test_messages.py
@@ -37,14 +37,14 @@
 @pytest.mark.parametrize(
     'message', MESSAGES, ids=lambda one: type(one).__name__
 )
-def test_message_survives_the_wire(message):
+def test_message_round_trip(message):
     assert scheduling.decode(scheduling.encode(message)) == Some(message)
 
 
 @pytest.mark.parametrize(
     'message', MESSAGES, ids=lambda one: type(one).__name__
 )
-def test_message_is_no_word_of_a_peer(message):
+def test_message_is_no_peer_message(message):
     """Both kinds of datagrams arrive at one socket."""
     assert decode_message(scheduling.encode(message)) is Nothing
 
@@ -62,27 +62,26 @@
         b'{"type":"assignment","key":"k","prefill":"p"}',
     ],
 )
-def test_other_datagrams_are_no_messages(datagram):
-    """An instance of another version, or a stranger, sends something else.
+def test_malformed_datagrams_decode_to_nothing(datagram):
+    """An instance of another version, or an unrelated host, sends other data.
 
-    Raised in the socket's callback, the error would end up in no line of the
-    log.
+    An exception in the callback of the socket would not appear in the log.
     """
     assert scheduling.decode(datagram) is Nothing
 
 
 @pytest.mark.parametrize('field', ['parts', 'priority', 'due_s', 'tried'])
-def test_request_with_an_odd_field_is_no_message(field):
-    """One field has another form than this version's."""
+def test_request_with_an_invalid_field_decodes_to_nothing(field):
+    """One field has a form that this version does not accept."""
     whole = scheduling.encode(REQUEST).decode()
     start = whole.index(f'"{field}":') + len(field) + 3
-    odd = f'{whole[:start]}null,"ignored":{whole[start:]}'
+    invalid = f'{whole[:start]}null,"ignored":{whole[start:]}'
 
-    assert scheduling.decode(odd.encode()) is Nothing
+    assert scheduling.decode(invalid.encode()) is Nothing
 
 
 def test_request_fits_a_datagram():
-    """A longer one is cut in pieces on the way, and lost with any of them."""
+    """A longer datagram is fragmented, and lost with any of its fragments."""
     parts = tuple(Part(f'{number:08x}', 9999) for number in range(20))
     work = Work(parts, 200_000, 500)
     long = dataclasses.replace(REQUEST, work=work, tried=('e' * 20,) * 3)
