--- a/packages/verbenahall/src/verbenahall/admission/_rates.py
+++ b/packages/verbenahall/src/verbenahall/admission/_rates.py
@@ -1,63 +1,64 @@
-"""Rates measured over short stretches of time."""
+"""Event rates, measured over short time windows."""
 
 from typing import Final, final
 
-_STRETCH_S: Final = 0.5
-#: Weight of the newest stretch.
-_WEIGHT: Final = 0.4
-#: After this time without a full stretch the old rate is doubted.
-_DOUBT_S: Final = 1.0
+#: Minimum length of a window, in seconds.
+_WINDOW_S: Final = 0.5
+#: Weight of the newest window in the rate.
+_SMOOTHING: Final = 0.4
+#: Length of an open window, in seconds, from which its count bounds the rate.
+_STALE_S: Final = 1.0
 
 
 @final
 class RateMeter:
-    """Events a second; None until a first stretch was measured."""
+    """Events a second; None until the first window has ended."""
 
-    __slots__ = ('_rate', '_since', '_count')
+    __slots__ = ('_rate', '_window_start', '_count')
 
     def __init__(self) -> None:
         """Start paused."""
         self._rate: float | None = None
-        self._since: float | None = None
+        self._window_start: float | None = None
         self._count = 0
 
     def resume(self, now: float) -> None:
-        """Begin a stretch unless one is open."""
-        if self._since is None:
-            self._since = now
+        """Start a window unless one is open."""
+        if self._window_start is None:
+            self._window_start = now
             self._count = 0
 
     def pause(self) -> None:
-        """Drop the open stretch; the rate stays."""
-        self._since = None
+        """Discard the open window; the rate stays."""
+        self._window_start = None
 
     def count(self, now: float) -> None:
-        """Count one event; outside a stretch it does not count."""
-        if self._since is None:
+        """Count one event; ignored while paused."""
+        if self._window_start is None:
             return
         self._count += 1
-        seconds = now - self._since
-        if seconds >= _STRETCH_S:
-            self._learn(self._count / seconds)
-            self._since = now
+        elapsed_s = now - self._window_start
+        if elapsed_s >= _WINDOW_S:
+            self._update(self._count / elapsed_s)
+            self._window_start = now
             self._count = 0
 
     def scale(self, factor: float) -> None:
-        """Expect the rate to change by a factor."""
+        """Multiply the rate by a factor that is expected to change it."""
         if self._rate is not None:
             self._rate *= factor
 
     def read(self, now: float) -> float | None:
-        """Return the rate, or less when events have since stayed away."""
-        if self._rate is None or self._since is None:
+        """Return the rate, or less if few events have come since."""
+        if self._rate is None or self._window_start is None:
             return self._rate
-        seconds = now - self._since
-        if seconds < _DOUBT_S:
+        elapsed_s = now - self._window_start
+        if elapsed_s < _STALE_S:
             return self._rate
-        return min(self._rate, (self._count + 1) / seconds)
+        return min(self._rate, (self._count + 1) / elapsed_s)
 
-    def _learn(self, rate: float) -> None:
+    def _update(self, rate: float) -> None:
         if self._rate is None:
             self._rate = rate
         else:
-            self._rate += _WEIGHT * (rate - self._rate)
+            self._rate += _SMOOTHING * (rate - self._rate)
