--- a/packages/verbenahall/src/verbenahall/admission/__init__.py
+++ b/packages/verbenahall/src/verbenahall/admission/__init__.py
@@ -1,10 +1,10 @@
-"""Who runs, who waits and who is given up, in which order."""
+"""Admission: which requests run, wait or are rejected, and in which order."""
 
 from verbenahall.admission._decisions import (
-    ask,
     expire,
     finish,
     resize,
+    submit,
     withdraw,
 )
 from verbenahall.admission._messages import (
@@ -30,9 +30,9 @@
     'LOWEST_PRIORITY',
     'Ticket',
     'WorkspaceBounds',
-    'ask',
     'expire',
     'finish',
     'resize',
+    'submit',
     'withdraw',
 )
--- a/packages/verbenahall/src/verbenahall/admission/_decisions.py
+++ b/packages/verbenahall/src/verbenahall/admission/_decisions.py
@@ -1,8 +1,9 @@
-"""Strict order between priorities, fair shares inside one, shedding at once.
+"""Strict priorities, fair shares between workspaces, and early load shedding.
 
-Flags have slots of their own beyond the others', and go before all others
-for the common ones, so they wait for nothing but other flags. Whoever cannot
-be served within the deadline hears it on arrival, not when it has passed.
+Flags, the highest priority, have slots of their own in addition to the common
+ones, for which they also go first, so they only wait for other flags. A
+request that cannot run before its deadline is rejected on arrival, not when
+the deadline has passed.
 """
 
 from collections.abc import Iterator
@@ -12,67 +13,79 @@
 from verbenahall.admission._state import AdmissionLimits, AdmissionState
 from verbenahall.errors import ErrorKind, Problem, Ran
 
-#: However many higher ones arrive, a queue is thought to keep this share.
-_LEAST_LEFT: Final = 0.01
-_SHORTEST_RETRY_S: Final = 0.1
-_LONGEST_RETRY_S: Final = 60.0
-#: Hint before anything has drained, in seconds.
-_UNKNOWN_RETRY_S: Final = 1.0
+#: Minimum share of the drain rate that is assumed for a queue, whatever the
+#: arrival rates of higher priorities.
+_MIN_REMAINING_SHARE: Final = 0.01
+#: Bounds of the retry time given to callers, in seconds.
+_MIN_RETRY_S: Final = 0.1
+_MAX_RETRY_S: Final = 60.0
+#: Retry time before a drain rate was measured, in seconds.
+_DEFAULT_RETRY_S: Final = 1.0
 
 
-def ask(state: AdmissionState, ticket: Ticket, now: float) -> Effects:
-    """Let a request run, wait, or be given up, itself or a lower one."""
-    arrivals = state.arrivals[ticket.priority]
-    arrivals.resume(now)
-    arrivals.count(now)
-    if _has_slot(state, ticket.priority) and not _waits_before(state, ticket):
+def submit(state: AdmissionState, ticket: Ticket, now: float) -> Effects:
+    """Admit, queue or reject a request.
+
+    If the queue is full, a waiting request of lower priority is rejected in its
+    place.
+    """
+    meter = state.arrival_rates[ticket.priority]
+    meter.resume(now)
+    meter.count(now)
+    if _has_slot(state, ticket.priority) and not _has_queue_ahead(
+        state, ticket
+    ):
         _start(state, ticket)
         return Effects(admitted=(ticket,))
-    if _is_hopeless(state, ticket, now):
-        return _refuse(state, ticket, ErrorKind.OVERLOADED, now)
+    if _will_expire(state, ticket, now):
+        return _reject(state, ticket, ErrorKind.OVERLOADED, now)
     effects = _enqueue(state, ticket, now)
     if state.waiting:
-        # Only a lane with a queue drains as fast as it can.
-        state.drained.resume(now)
+        # The drain rate is measured only while requests wait: an idle lane
+        # drains no faster than requests arrive.
+        state.drain_rate.resume(now)
     return effects
 
 
 def finish(state: AdmissionState, request: str, now: float) -> Effects:
-    """End a running request and start whoever is next."""
+    """End a running request and admit the next ones."""
     ticket = state.running.pop(request, None)
     if ticket is None:
         return Effects()
     state.flags_running -= ticket.priority == FLAG_PRIORITY
     if state.waiting:
-        state.drained.count(now)
+        state.drain_rate.count(now)
     return Effects(admitted=tuple(_start_next(state)))
 
 
 def withdraw(state: AdmissionState, ticket: Ticket) -> bool:
-    """Take a waiting request out, as when its caller has gone."""
+    """Remove a waiting request, for example when its caller has left."""
     return state.queues[ticket.priority].remove(ticket)
 
 
 def expire(state: AdmissionState, now: float) -> Effects:
-    """Give up who has waited too long, or has no chance any more.
+    """Reject requests whose deadline has passed or will pass in the queue.
 
-    A queue that higher priorities have cut off is emptied at once: its
-    callers would otherwise wait for their deadlines and come back all
-    together.
+    A queue that is starved by higher priorities is rejected at once. Otherwise
+    its callers would wait until their deadlines and then all retry together.
     """
-    given_up = []
+    rejected = []
     for priority, queue in enumerate(state.queues):
-        for late in queue.pop_late(now):
-            given_up.append((late, _describe_late(state, late, now)))
-        for cut_off in _pop_cut_off(state, priority, now):
-            problem = _describe_full(state, cut_off, ErrorKind.OVERLOADED, now)
-            given_up.append((cut_off, problem))
-    return Effects(given_up=tuple(given_up))
+        for expired in queue.pop_expired(now):
+            rejected.append(
+                (expired, _make_expired_problem(state, expired, now))
+            )
+        for starved in _pop_starved(state, priority, now):
+            problem = _make_capacity_problem(
+                state, starved, ErrorKind.OVERLOADED, now
+            )
+            rejected.append((starved, problem))
+    return Effects(rejected=tuple(rejected))
 
 
 def resize(state: AdmissionState, limits: AdmissionLimits) -> Effects:
-    """Take other limits, as when engines come or go."""
-    state.drained.scale(limits.slots / state.limits.slots)
+    """Change the limits, for example when engines join or leave."""
+    state.drain_rate.scale(limits.slots / state.limits.slots)
     state.limits = limits
     return Effects(admitted=tuple(_start_next(state)))
 
@@ -81,13 +94,13 @@
     limits = state.limits
     if priority == FLAG_PRIORITY:
         return len(state.running) < limits.slots + limits.flag_slots
-    # Flags that run in their own slots take none of the others'.
-    over = max(0, state.flags_running - limits.flag_slots)
+    # Flags in their own slots use none of the common slots.
+    excess_flags = max(0, state.flags_running - limits.flag_slots)
     others = len(state.running) - state.flags_running
-    return others + over < limits.slots
+    return others + excess_flags < limits.slots
 
 
-def _waits_before(state: AdmissionState, ticket: Ticket) -> bool:
+def _has_queue_ahead(state: AdmissionState, ticket: Ticket) -> bool:
     ahead = state.queues[: ticket.priority + 1]
     return any(queue.size for queue in ahead)
 
@@ -104,15 +117,15 @@
             _start(state, ticket)
             yield ticket
     if not state.waiting:
-        state.drained.pause()
+        state.drain_rate.pause()
 
 
 def _enqueue(state: AdmissionState, ticket: Ticket, now: float) -> Effects:
     queue = state.queues[ticket.priority]
     if queue.size >= state.limits.queue_per_priority:
-        return _refuse(state, ticket, ErrorKind.OVERLOADED, now)
+        return _reject(state, ticket, ErrorKind.OVERLOADED, now)
     workspace = ticket.workspace
-    if _count_workspace(state, ticket) >= state.bound_of(workspace):
+    if _count_workspace(state, ticket) >= state.find_queue_bound(workspace):
         return _displace(state, ticket, workspace, now)
     if state.waiting >= state.limits.queue_total:
         return _displace(state, ticket, '', now)
@@ -126,25 +139,27 @@
     workspace: str,
     now: float,
 ) -> Effects:
-    """Give up the newest of the lowest priority in the ticket's favour."""
+    """Reject the newest request of the lowest priority to make room."""
     for queue in reversed(state.queues[ticket.priority + 1 :]):
         if queue.size and (not workspace or workspace in queue.waiting):
-            shed = queue.pop_newest(workspace)
+            displaced = queue.pop_newest(workspace)
             state.queues[ticket.priority].push(ticket)
-            problem = _describe_full(state, shed, ErrorKind.OVERLOADED, now)
-            return Effects(given_up=((shed, problem),))
+            problem = _make_capacity_problem(
+                state, displaced, ErrorKind.OVERLOADED, now
+            )
+            return Effects(rejected=((displaced, problem),))
     kind = ErrorKind.QUOTA_EXCEEDED if workspace else ErrorKind.OVERLOADED
-    return _refuse(state, ticket, kind, now)
+    return _reject(state, ticket, kind, now)
 
 
-def _refuse(
+def _reject(
     state: AdmissionState,
     ticket: Ticket,
     kind: ErrorKind,
     now: float,
 ) -> Effects:
-    problem = _describe_full(state, ticket, kind, now)
-    return Effects(given_up=((ticket, problem),))
+    problem = _make_capacity_problem(state, ticket, kind, now)
+    return Effects(rejected=((ticket, problem),))
 
 
 def _count_workspace(state: AdmissionState, ticket: Ticket) -> int:
@@ -152,57 +167,57 @@
     return sum(counts)
 
 
-def _estimate_wait(
+def _estimate_wait_s(
     state: AdmissionState,
     priority: int,
     now: float,
 ) -> float | None:
-    """Return the wait in seconds of one who comes last, if known.
+    """Return the wait of the last request of a queue, if it is known.
 
-    Higher priorities go first also when they come later, so only what the
-    lane drains beyond their arrivals is left for the others.
+    Higher priorities go first even if they arrive later. So only the part of
+    the drain rate that exceeds their arrival rates is left for this priority.
     """
-    drained = state.drained.read(now)
-    if drained is None:
+    drain_rate = state.drain_rate.read(now)
+    if drain_rate is None:
         return None
     queues = state.queues[: priority + 1]
     ahead = sum(queue.size for queue in queues)
-    return (ahead + 1) / _find_left(state, priority, drained, now)
+    return (ahead + 1) / _find_remaining_rate(state, priority, drain_rate, now)
 
 
-def _find_left(
+def _find_remaining_rate(
     state: AdmissionState,
     priority: int,
-    drained: float,
+    drain_rate: float,
     now: float,
 ) -> float:
-    higher = state.arrivals[:priority]
+    higher = state.arrival_rates[:priority]
     rates = [meter.read(now) for meter in higher]
-    arrived = sum(rate for rate in rates if rate)
-    return max(drained - arrived, drained * _LEAST_LEFT)
+    arrival_rate = sum(rate for rate in rates if rate)
+    return max(drain_rate - arrival_rate, drain_rate * _MIN_REMAINING_SHARE)
 
 
-def _is_hopeless(state: AdmissionState, ticket: Ticket, now: float) -> bool:
-    """Whether a request would wait beyond its deadline; flags always wait."""
-    wait = _estimate_wait(state, ticket.priority, now)
-    if wait is None or ticket.priority == FLAG_PRIORITY:
+def _will_expire(state: AdmissionState, ticket: Ticket, now: float) -> bool:
+    """Whether the deadline passes in the queue; never true for flags."""
+    wait_s = _estimate_wait_s(state, ticket.priority, now)
+    if wait_s is None or ticket.priority == FLAG_PRIORITY:
         return False
-    return now + wait > ticket.deadline
+    return now + wait_s > ticket.deadline
 
 
-def _pop_cut_off(
+def _pop_starved(
     state: AdmissionState,
     priority: int,
     now: float,
 ) -> list[Ticket]:
-    drained = state.drained.read(now)
-    if drained is None or priority == FLAG_PRIORITY:
+    drain_rate = state.drain_rate.read(now)
+    if drain_rate is None or priority == FLAG_PRIORITY:
         return []
-    left = _find_left(state, priority, drained, now)
-    return state.queues[priority].pop_hopeless(now, 1 / left)
+    remaining_rate = _find_remaining_rate(state, priority, drain_rate, now)
+    return state.queues[priority].pop_expiring(now, 1 / remaining_rate)
 
 
-def _describe_full(
+def _make_capacity_problem(
     state: AdmissionState,
     ticket: Ticket,
     kind: ErrorKind,
@@ -210,13 +225,13 @@
 ) -> Problem:
     return Problem(
         kind,
-        f'no room for priority {ticket.priority} now',
+        f'no capacity for a request of priority {ticket.priority}',
         Ran.NO,
-        _hint_retry(state, ticket, now),
+        _estimate_retry_s(state, ticket, now),
     )
 
 
-def _describe_late(
+def _make_expired_problem(
     state: AdmissionState,
     ticket: Ticket,
     now: float,
@@ -225,12 +240,14 @@
         ErrorKind.DEADLINE_EXCEEDED,
         'the deadline passed while the request waited',
         Ran.NO,
-        _hint_retry(state, ticket, now),
+        _estimate_retry_s(state, ticket, now),
     )
 
 
-def _hint_retry(state: AdmissionState, ticket: Ticket, now: float) -> float:
-    wait = _estimate_wait(state, ticket.priority, now)
-    if wait is None:
-        return _UNKNOWN_RETRY_S
-    return min(_LONGEST_RETRY_S, max(_SHORTEST_RETRY_S, wait))
+def _estimate_retry_s(
+    state: AdmissionState, ticket: Ticket, now: float
+) -> float:
+    wait_s = _estimate_wait_s(state, ticket.priority, now)
+    if wait_s is None:
+        return _DEFAULT_RETRY_S
+    return min(_MAX_RETRY_S, max(_MIN_RETRY_S, wait_s))
--- a/packages/verbenahall/src/verbenahall/admission/_messages.py
+++ b/packages/verbenahall/src/verbenahall/admission/_messages.py
@@ -1,4 +1,4 @@
-"""What admission is asked and what it decides."""
+"""Input and results of the admission decisions."""
 
 import dataclasses
 from typing import Final
@@ -11,7 +11,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Ticket:
-    """One request that wants to run; ``deadline`` is in monotonic seconds."""
+    """A request that is to run; ``deadline`` is in monotonic seconds."""
 
     request: str
     priority: int
@@ -21,7 +21,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Effects:
-    """Requests that may run now, and those given up with the reason."""
+    """Requests that may run now, and rejected ones with the reason."""
 
     admitted: tuple[Ticket, ...] = ()
-    given_up: tuple[tuple[Ticket, Problem], ...] = ()
+    rejected: tuple[tuple[Ticket, Problem], ...] = ()
--- a/packages/verbenahall/src/verbenahall/admission/_shell.py
+++ b/packages/verbenahall/src/verbenahall/admission/_shell.py
@@ -1,4 +1,4 @@
-"""Waits on admission: one lane for each model and each plain service."""
+"""Admission for asyncio: one lane for each model and each plain service."""
 
 import asyncio
 from collections.abc import Callable
@@ -17,17 +17,18 @@
 from verbenahall.clock import Clock, monotonic
 from verbenahall.errors import Problem
 
+#: Interval of the checks for expired requests, in seconds.
 _EXPIRE_PERIOD_S: Final = 0.05
 
-_Verdict = Result[None, Problem]
+_Outcome = Result[None, Problem]
 
 
 @final
 class RateLimiter:
-    """Admits requests lane by lane.
+    """Admits requests to lanes.
 
-    ``limits_of(lane)`` gives a lane's bounds at its first use, and again
-    whenever ``refresh`` is called.
+    ``limits_of(lane)`` returns the limits of a lane. It is called on first use
+    of the lane and by ``refresh``.
     """
 
     def __init__(
@@ -40,54 +41,57 @@
         self._clock = clock
         self._lanes: dict[str, AdmissionState] = {}
         self._workspaces: Workspaces = {}
-        self._waits: dict[str, asyncio.Future[_Verdict]] = {}
+        self._pending: dict[str, asyncio.Future[_Outcome]] = {}
 
-    async def enter(self, lane: str, ticket: Ticket) -> _Verdict:
-        """Wait until the request may run; it must ``leave`` afterwards."""
-        state = self._find_lane(lane)
-        effects = _decisions.ask(state, ticket, self._clock())
+    async def enter(self, lane: str, ticket: Ticket) -> _Outcome:
+        """Wait until the request may run; call ``leave`` after it.
+
+        Returns the problem if the request is rejected.
+        """
+        state = self._get_lane(lane)
+        effects = _decisions.submit(state, ticket, self._clock())
         if ticket in effects.admitted:
             return Success(None)
-        wait = asyncio.get_running_loop().create_future()
-        self._waits[ticket.request] = wait
+        future = asyncio.get_running_loop().create_future()
+        self._pending[ticket.request] = future
         self._apply(effects)
         try:
-            return await wait
+            return await future
         except asyncio.CancelledError:
-            # The caller went away. Left in place, its ticket would be
-            # admitted to nobody and hold a slot for ever.
+            # The caller left. If its ticket stayed queued, it would be
+            # admitted later and hold a slot for ever.
             if not _decisions.withdraw(state, ticket):
                 self.leave(lane, ticket)
             raise
         finally:
-            self._waits.pop(ticket.request, None)
+            self._pending.pop(ticket.request, None)
 
     def leave(self, lane: str, ticket: Ticket) -> None:
-        """End an admitted request and let the next ones in."""
-        state = self._find_lane(lane)
+        """End an admitted request and admit the next ones."""
+        state = self._get_lane(lane)
         self._apply(_decisions.finish(state, ticket.request, self._clock()))
 
     def apply_workspaces(self, workspaces: Workspaces) -> None:
-        """Take the workspaces' shares and bounds for all lanes."""
+        """Set the shares and bounds of workspaces for all lanes."""
         self._workspaces = workspaces
         for state in self._lanes.values():
             state.workspaces = workspaces
 
     def refresh(self) -> None:
-        """Take the lanes' present limits."""
+        """Update the limits of all lanes."""
         for lane, state in self._lanes.items():
             limits = self._limits_of(lane)
             self._apply(_decisions.resize(state, limits))
 
     async def run(self) -> None:
-        """Give up requests whose deadline passes while they wait."""
+        """Reject requests that expire while they wait, and update metrics."""
         while True:
             await asyncio.sleep(_EXPIRE_PERIOD_S)
             for state in self._lanes.values():
                 self._apply(_decisions.expire(state, self._clock()))
-            self._show()
+            self._export_metrics()
 
-    def _find_lane(self, lane: str) -> AdmissionState:
+    def _get_lane(self, lane: str) -> AdmissionState:
         state = self._lanes.get(lane)
         if state is None:
             limits = self._limits_of(lane)
@@ -97,17 +101,17 @@
 
     def _apply(self, effects: Effects) -> None:
         for ticket in effects.admitted:
-            self._settle(ticket, Success(None))
-        for ticket, problem in effects.given_up:
+            self._resolve(ticket, Success(None))
+        for ticket, problem in effects.rejected:
             metrics.SHED.add(str(ticket.priority))
-            self._settle(ticket, Failure(problem))
+            self._resolve(ticket, Failure(problem))
 
-    def _settle(self, ticket: Ticket, verdict: _Verdict) -> None:
-        wait = self._waits.get(ticket.request)
-        if wait is not None and not wait.done():
-            wait.set_result(verdict)
+    def _resolve(self, ticket: Ticket, outcome: _Outcome) -> None:
+        future = self._pending.get(ticket.request)
+        if future is not None and not future.done():
+            future.set_result(outcome)
 
-    def _show(self) -> None:
+    def _export_metrics(self) -> None:
         lanes = self._lanes.values()
         running = sum(len(lane.running) for lane in lanes)
         waiting = sum(lane.waiting for lane in lanes)
--- a/packages/verbenahall/src/verbenahall/admission/_state.py
+++ b/packages/verbenahall/src/verbenahall/admission/_state.py
@@ -1,4 +1,4 @@
-"""Queues of one lane: a model, or a plain service."""
+"""State of a lane: its queues, running requests and rates."""
 
 import collections
 import dataclasses
@@ -10,14 +10,17 @@
 from verbenahall.admission._messages import LOWEST_PRIORITY, Ticket
 from verbenahall.admission._rates import RateMeter
 
-#: A share of nothing would stop the workspace's queue for ever.
-_LEAST_SHARE: Final = 0.001
+#: A share of 0 would block the queue of a workspace for ever.
+_MIN_SHARE: Final = 0.001
 _PRIORITIES: Final = LOWEST_PRIORITY + 1
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class AdmissionLimits:
-    """Bounds of a lane; ``flag_slots`` lie beyond ``slots``, for flags only."""
+    """Limits of a lane.
+
+    ``flag_slots`` are for flags only, in addition to ``slots``.
+    """
 
     slots: int
     flag_slots: int
@@ -28,9 +31,9 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class WorkspaceBounds:
-    """A workspace's weight, and how many of its requests may wait.
+    """The weight of a workspace, and how many of its requests may wait.
 
-    A ``queue`` of zero stands for the lane's own bound.
+    With ``queue`` 0 the limit of the lane applies.
     """
 
     share: float = 1
@@ -39,16 +42,17 @@
 
 Workspaces = Mapping[str, WorkspaceBounds]
 _NO_BOUNDS: Final[Workspaces] = MappingProxyType({})
-_USUAL: Final = WorkspaceBounds()
+_DEFAULT_BOUNDS: Final = WorkspaceBounds()
 
 
 @final
 class FairQueue:
     """The waiting tickets of one priority, first in first out by workspace.
 
-    ``passes`` is each workspace's virtual time: it moves by one over its
-    share for each ticket served, and the least goes next, so workspaces are
-    served in proportion to their shares however much each of them asks.
+    It schedules by stride: ``passes`` is the virtual time of each workspace,
+    which advances by 1 / share for each ticket served. The workspace with the
+    least is served next. So workspaces are served in proportion to their
+    shares, however many requests each of them sends.
     """
 
     __slots__ = ('waiting', 'passes', 'virtual_time', 'size')
@@ -62,76 +66,79 @@
 
     def push(self, ticket: Ticket) -> None:
         """Add a ticket behind those of its workspace."""
-        row = self.waiting.get(ticket.workspace)
-        if row is None:
-            row = collections.deque()
-            self.waiting[ticket.workspace] = row
+        backlog = self.waiting.get(ticket.workspace)
+        if backlog is None:
+            backlog = collections.deque()
+            self.waiting[ticket.workspace] = backlog
             self.passes[ticket.workspace] = self.virtual_time
-        row.append(ticket)
+        backlog.append(ticket)
         self.size += 1
 
     def pop(self, workspaces: Workspaces) -> Ticket:
-        """Take the next ticket of the workspace that is furthest behind."""
+        """Remove the next ticket, from the workspace with the least pass."""
         workspace = min(self.waiting, key=self.passes.__getitem__)
         self.virtual_time = self.passes[workspace]
-        share = workspaces.get(workspace, _USUAL).share
-        self.passes[workspace] += 1 / max(share, _LEAST_SHARE)
+        share = workspaces.get(workspace, _DEFAULT_BOUNDS).share
+        self.passes[workspace] += 1 / max(share, _MIN_SHARE)
         ticket = self.waiting[workspace].popleft()
-        self._settle(workspace)
+        self._account_removal(workspace)
         return ticket
 
     def pop_newest(self, workspace: str = '') -> Ticket:
-        """Take the last ticket of a workspace, by default the longest row."""
+        """Remove the newest ticket of a workspace.
+
+        By default that is the workspace with the most tickets.
+        """
         chosen = workspace or max(
             self.waiting,
             key=lambda name: len(self.waiting[name]),
         )
         ticket = self.waiting[chosen].pop()
-        self._settle(chosen)
+        self._account_removal(chosen)
         return ticket
 
     def remove(self, ticket: Ticket) -> bool:
-        """Take one ticket out; False when it does not wait here."""
-        row = self.waiting.get(ticket.workspace)
-        if row is None or ticket not in row:
+        """Remove a ticket; return False if it is not in the queue."""
+        backlog = self.waiting.get(ticket.workspace)
+        if backlog is None or ticket not in backlog:
             return False
-        row.remove(ticket)
-        self._settle(ticket.workspace)
+        backlog.remove(ticket)
+        self._account_removal(ticket.workspace)
         return True
 
-    def pop_late(self, now: float) -> list[Ticket]:
-        """Take out the tickets whose deadline has passed."""
-        rows = self.waiting.values()
-        tickets = itertools.chain.from_iterable(rows)
-        late = [ticket for ticket in tickets if ticket.deadline <= now]
-        for ticket in late:
+    def pop_expired(self, now: float) -> list[Ticket]:
+        """Remove the tickets whose deadline has passed."""
+        backlogs = self.waiting.values()
+        tickets = itertools.chain.from_iterable(backlogs)
+        expired = [ticket for ticket in tickets if ticket.deadline <= now]
+        for ticket in expired:
             self.remove(ticket)
-        return late
+        return expired
 
-    def pop_hopeless(self, now: float, seconds_each: float) -> list[Ticket]:
-        """Take out the tickets whose turn comes after their deadline.
+    def pop_expiring(self, now: float, ticket_s: float) -> list[Ticket]:
+        """Remove the tickets that would start after their deadline.
 
-        ``seconds_each`` is the time in which one ticket is served. Workspaces
-        are taken to go in turn, whatever their shares.
+        ``ticket_s`` is the time in which one ticket is served, in seconds.
+        Workspaces are assumed to alternate, whatever their shares.
         """
-        seconds_a_round = seconds_each * len(self.waiting)
-        hopeless: list[Ticket] = []
-        for row in self.waiting.values():
-            turn = now + seconds_each
-            for ticket in row:
-                if turn > ticket.deadline:
-                    hopeless.append(ticket)
+        round_s = ticket_s * len(self.waiting)
+        expiring: list[Ticket] = []
+        for backlog in self.waiting.values():
+            start_at = now + ticket_s
+            for ticket in backlog:
+                if start_at > ticket.deadline:
+                    expiring.append(ticket)
                 else:
-                    turn += seconds_a_round
-        for ticket in hopeless:
+                    start_at += round_s
+        for ticket in expiring:
             self.remove(ticket)
-        return hopeless
+        return expiring
 
     def count(self, workspace: str) -> int:
-        """Return how many tickets of a workspace wait."""
+        """Return the number of waiting tickets of a workspace."""
         return len(self.waiting.get(workspace, ()))
 
-    def _settle(self, workspace: str) -> None:
+    def _account_removal(self, workspace: str) -> None:
         self.size -= 1
         if not self.waiting[workspace]:
             self.waiting.pop(workspace)
@@ -140,11 +147,11 @@
 
 @final
 class AdmissionState:
-    """One lane: what runs by priority, what waits, and how fast it drains.
+    """State of one lane.
 
-    ``workspaces`` gives some of them other bounds. ``drained`` measures how
-    many requests a second end while others wait, ``arrivals`` how many come,
-    by priority.
+    ``workspaces`` has the bounds of workspaces that differ from the default.
+    ``drain_rate`` measures the requests a second that end while others wait,
+    ``arrival_rates`` those that arrive, by priority.
     """
 
     __slots__ = (
@@ -153,8 +160,8 @@
         'running',
         'flags_running',
         'workspaces',
-        'drained',
-        'arrivals',
+        'drain_rate',
+        'arrival_rates',
     )
 
     def __init__(
@@ -162,21 +169,21 @@
         limits: AdmissionLimits,
         workspaces: Workspaces = _NO_BOUNDS,
     ) -> None:
-        """Start with nothing running."""
+        """Start with no running requests."""
         self.limits = limits
         self.queues = tuple(FairQueue() for _ in range(_PRIORITIES))
         self.running: dict[str, Ticket] = {}
         self.flags_running = 0
         self.workspaces = workspaces
-        self.drained = RateMeter()
-        self.arrivals = tuple(RateMeter() for _ in range(_PRIORITIES))
+        self.drain_rate = RateMeter()
+        self.arrival_rates = tuple(RateMeter() for _ in range(_PRIORITIES))
 
-    def bound_of(self, workspace: str) -> int:
-        """Return how many requests of a workspace may wait here."""
-        own = self.workspaces.get(workspace, _USUAL).queue
-        return own or self.limits.queue_per_workspace
+    def find_queue_bound(self, workspace: str) -> int:
+        """Return how many requests of a workspace may wait."""
+        workspace_bound = self.workspaces.get(workspace, _DEFAULT_BOUNDS).queue
+        return workspace_bound or self.limits.queue_per_workspace
 
     @property
     def waiting(self) -> int:
-        """How many tickets wait in all queues."""
+        """Number of tickets in all queues."""
         return sum(queue.size for queue in self.queues)
--- a/packages/verbenahall/tests/admission/test_decisions.py
+++ b/packages/verbenahall/tests/admission/test_decisions.py
@@ -1,4 +1,4 @@
-"""Admission against a naive queue, its bounds and its order."""
+"""Admission: its order compared with a naive queue, and its limits."""
 
 import collections
 
@@ -11,15 +11,15 @@
     AdmissionState,
     Ticket,
     WorkspaceBounds,
-    ask,
     expire,
     finish,
     resize,
+    submit,
     withdraw,
 )
 from verbenahall.errors import ErrorKind, Ran
 
-ROOMY = AdmissionLimits(
+LARGE_LIMITS = AdmissionLimits(
     slots=2,
     flag_slots=1,
     queue_per_priority=1000,
@@ -40,14 +40,14 @@
     return Ticket(f'r{number}', priority, workspace, deadline)
 
 
-def find_only(effects):
-    """Return the one request given up, and why."""
-    assert len(effects.given_up) == 1
-    return effects.given_up[0]
+def get_only_rejected(effects):
+    """Return the only rejected request, and its problem."""
+    assert len(effects.rejected) == 1
+    return effects.rejected[0]
 
 
 class NaiveQueue:
-    """Scan all, sort by priority and arrival, first come first served."""
+    """Reference: scans all, sorts by priority and arrival."""
 
     def __init__(self):
         self.running = []
@@ -67,20 +67,20 @@
 
 @given(STEPS)
 def test_order_equals_the_naive_queue(steps):
-    """Requests come, end and are taken back in any order. A caller must be
-    served just when a naive queue that sorts everything would serve it.
+    """Requests are submitted, end and are withdrawn in any order. Each must be
+    admitted exactly when a naive queue that sorts everything would admit it.
     """
-    state, naive = AdmissionState(ROOMY), NaiveQueue()
-    for number, (act, argument) in enumerate(steps):
+    state, naive = AdmissionState(LARGE_LIMITS), NaiveQueue()
+    for number, (action, argument) in enumerate(steps):
         admitted = ()
-        if act == 'ask':
+        if action == 'ask':
             ticket = make_ticket(number, argument)
             naive.waiting.append(ticket)
-            admitted = ask(state, ticket, 0).admitted
-        elif act == 'finish' and naive.running:
+            admitted = submit(state, ticket, 0).admitted
+        elif action == 'finish' and naive.running:
             ticket = naive.running.pop(argument % len(naive.running))
             admitted = finish(state, ticket.request, 0).admitted
-        elif act == 'withdraw' and naive.waiting:
+        elif action == 'withdraw' and naive.waiting:
             ticket = naive.waiting.pop(argument % len(naive.waiting))
             assert withdraw(state, ticket)
         assert list(admitted) == naive.fill()
@@ -88,7 +88,7 @@
 
 
 def drain(state, count):
-    """End the running request ``count`` times; return who started."""
+    """End the running request ``count`` times; return the requests admitted."""
     started = []
     for _ in range(count):
         running = next(iter(state.running))
@@ -97,16 +97,17 @@
 
 
 def test_workspaces_share_by_weight_whatever_they_ask():
-    """One workspace asks ten times as much as another one and would starve
-    it. Both must be served in proportion to their shares, each in order.
+    """One workspace sends ten times as many requests as another and would
+    starve it. Both must be served in proportion to their shares, each in
+    order.
     """
     limits = AdmissionLimits(1, 0, 1000, 1000, 4000)
     state = AdmissionState(limits)
     state.workspaces = {'calm': WorkspaceBounds(share=2)}
     for number in range(200):
-        ask(state, make_ticket(number, workspace='loud'), 0)
+        submit(state, make_ticket(number, workspace='loud'), 0)
     for number in range(200, 220):
-        ask(state, make_ticket(number, workspace='calm'), 0)
+        submit(state, make_ticket(number, workspace='calm'), 0)
     started = drain(state, 30)
     served = collections.Counter(ticket.workspace for ticket in started)
     assert served['calm'] == 20
@@ -118,23 +119,24 @@
 def fill(limits, *priorities):
     state = AdmissionState(limits)
     for number, priority in enumerate(priorities):
-        ask(state, make_ticket(number, priority), 0)
+        submit(state, make_ticket(number, priority), 0)
     return state
 
 
 def test_lowest_is_shed_first_at_once_with_a_hint():
-    """The queues are full and a higher request comes. The newest of the
-    lowest priority hears at once that nothing ran and when to come back.
+    """The queues are full when a request of higher priority arrives. The
+    newest of the lowest priority is rejected at once as not run, with a retry
+    time.
     """
     limits = AdmissionLimits(1, 0, 10, 10, 3)
     state = fill(limits, 2, 3, 3, 2)
-    effects = ask(state, make_ticket(9, 1), 0)
-    shed, problem = find_only(effects)
+    effects = submit(state, make_ticket(9, 1), 0)
+    shed, problem = get_only_rejected(effects)
     assert shed == make_ticket(2, 3)
     assert problem.kind is ErrorKind.OVERLOADED
     assert problem.answer.ran is Ran.NO
     assert problem.answer.retry_after_s > 0
-    refused, _ = find_only(ask(state, make_ticket(10, 3), 0))
+    refused, _ = get_only_rejected(submit(state, make_ticket(10, 3), 0))
     assert refused == make_ticket(10, 3)
 
 
@@ -147,48 +149,48 @@
     ),
 )
 def test_each_queue_is_bounded(limits, kind):
-    """A caller floods one queue. Memory must not grow with it; what goes
-    beyond the bound is refused, by its own quota where that is the bound.
+    """A caller floods one queue. Memory must not grow with it: requests beyond
+    the limit are rejected, with the quota as reason where that is the limit.
     """
     state = fill(limits, 2, 2, 2)
-    _, problem = find_only(ask(state, make_ticket(9), 0))
+    _, problem = get_only_rejected(submit(state, make_ticket(9), 0))
     assert problem.kind is kind
     assert state.waiting == 2
 
 
-def test_flag_waits_for_nothing_but_flags():
-    """Every slot and queue is full of long work when an inspector's flag
-    comes. It starts at once, in a slot that is kept for it.
+def test_flag_waits_only_for_flags():
+    """All slots and queues are full of long requests when a flag arrives. It
+    starts at once, in a slot that is reserved for flags.
     """
     limits = AdmissionLimits(1, 1, 2, 2, 2)
     state = fill(limits, 3, 3, 3)
     flag = make_ticket(9, 0)
-    assert ask(state, flag, 0).admitted == (flag,)
+    assert submit(state, flag, 0).admitted == (flag,)
     later = make_ticket(10, 0)
-    assert later not in ask(state, later, 0).admitted
+    assert later not in submit(state, later, 0).admitted
     assert finish(state, 'r0', 0).admitted == (later,)
 
 
 def test_hint_follows_the_drain_rate():
-    """A caller is refused and told when to come back. The hint must be the
-    time that the queue before it needs at the measured rate, not a guess.
+    """The retry time of a rejected request must be the time in which the queue
+    ahead of it drains at the measured rate, not a constant.
     """
     limits = AdmissionLimits(1, 0, 5, 100, 100)
     state = fill(limits, 2, 2, 2, 2, 2, 2)
     for number in range(40):
         finish(state, next(iter(state.running)), 0.25 * (number + 1))
-        ask(state, make_ticket(100 + number), 0.25 * (number + 1))
-    _, problem = find_only(ask(state, make_ticket(999), 10))
+        submit(state, make_ticket(100 + number), 0.25 * (number + 1))
+    _, problem = get_only_rejected(submit(state, make_ticket(999), 10))
     assert problem.retry_after_s == pytest.approx(6 / 4, rel=0.05)
 
 
 def measure_hint(resized, pause_s):
-    """Drain at 4 a second, leave the lane idle, refuse one; return its hint."""
+    """Drain 4 a second, idle, reject one request; return its retry time."""
     state = fill(AdmissionLimits(2, 0, 5, 100, 100), 2, 2, 2, 2, 2, 2, 2)
     for number in range(40):
         now = 0.25 * (number + 1)
         finish(state, next(iter(state.running)), now)
-        ask(state, make_ticket(100 + number), now)
+        submit(state, make_ticket(100 + number), now)
     if pause_s:
         waiting = [state.queues[2].pop({}) for _ in range(5)]
         assert waiting
@@ -197,9 +199,9 @@
     if resized:
         resize(state, AdmissionLimits(resized, 0, 5, 100, 100))
     for number in range(20):
-        effects = ask(state, make_ticket(200 + number), now + pause_s)
-        if effects.given_up:
-            return find_only(effects)[1].retry_after_s
+        effects = submit(state, make_ticket(200 + number), now + pause_s)
+        if effects.rejected:
+            return get_only_rejected(effects)[1].retry_after_s
     return None
 
 
@@ -207,57 +209,57 @@
     ('resized', 'pause_s', 'hint_s'),
     ((0, 0, 6 / 4), (0, 60, 6 / 4), (8, 0, 6 / 16)),
 )
-def test_rate_is_that_of_a_busy_lane(resized, pause_s, hint_s):
-    """A lane has drained four a second and then lay idle for a minute, or
-    got four times the engines. A rush must not be refused on account of what
-    was drained while nobody came, or of engines that were few before.
+def test_drain_rate_is_measured_under_load(resized, pause_s, hint_s):
+    """A lane has drained four a second and was then idle for a minute, or got
+    four times the engines. A burst must not be rejected because of the low
+    rate of the idle time or of the fewer engines before.
     """
     hint = measure_hint(resized, pause_s)
     assert hint == pytest.approx(hint_s, rel=0.1)
 
 
-def test_hopeless_request_is_refused_on_arrival():
-    """The queue needs 1.5 s and a caller waits for 1 s only. It must hear
-    that at once and not when its time is over; a patient one may wait.
+def test_expiring_request_is_rejected_on_arrival():
+    """The queue takes 1.5 s and a caller waits for 1 s only. It must be
+    rejected at once, not at its deadline; one with a later deadline may wait.
     """
     limits = AdmissionLimits(1, 0, 100, 100, 100)
     state = fill(limits, 2, 2, 2, 2, 2, 2)
     for number in range(40):
         finish(state, next(iter(state.running)), 0.25 * (number + 1))
-        ask(state, make_ticket(100 + number), 0.25 * (number + 1))
-    hopeless = make_ticket(997, deadline=11)
-    given_up, problem = find_only(ask(state, hopeless, 10))
-    assert (given_up, problem.answer.ran) == (hopeless, Ran.NO)
-    assert not ask(state, make_ticket(998, deadline=12), 10).given_up
+        submit(state, make_ticket(100 + number), 0.25 * (number + 1))
+    expiring = make_ticket(997, deadline=11)
+    rejected, problem = get_only_rejected(submit(state, expiring, 10))
+    assert (rejected, problem.answer.ran) == (expiring, Ran.NO)
+    assert not submit(state, make_ticket(998, deadline=12), 10).rejected
 
 
-def test_late_request_is_given_up_as_not_run():
-    """A deadline passes while a request waits. Its caller learns that it
-    did not run, and it never starts afterwards.
+def test_expired_request_is_rejected_as_not_run():
+    """A deadline passes while a request waits. It is rejected as not run, and
+    it never starts afterwards.
     """
     state = AdmissionState(AdmissionLimits(1, 0, 9, 9, 9))
-    ask(state, make_ticket(0), 0)
-    ask(state, make_ticket(1, deadline=5), 0)
-    assert not expire(state, 4.9).given_up
-    _, problem = find_only(expire(state, 5))
+    submit(state, make_ticket(0), 0)
+    submit(state, make_ticket(1, deadline=5), 0)
+    assert not expire(state, 4.9).rejected
+    _, problem = get_only_rejected(expire(state, 5))
     assert problem.kind is ErrorKind.DEADLINE_EXCEEDED
     assert problem.answer.ran is Ran.NO
     assert not finish(state, 'r0', 6).admitted
 
 
-def test_queue_that_higher_ones_cut_off_is_given_up():
-    """Higher requests begin to come as fast as the lane drains, so those of
-    the lowest priority have no chance any more. They hear so soon, long
-    before their deadlines, and the first of them may still hope.
+def test_starved_queue_is_rejected():
+    """Requests of higher priority begin to arrive as fast as the lane drains,
+    which starves the lowest priority. Its requests are rejected early, long
+    before their deadlines; the first ones may still be served.
     """
     state = fill(AdmissionLimits(1, 0, 100, 100, 100), 3, 3, 3, 3, 3, 3)
-    given_up = []
+    rejected = []
     for number in range(40):
         now = 0.25 * (number + 1)
-        ask(state, make_ticket(100 + number, 1, deadline=now + 60), now)
+        submit(state, make_ticket(100 + number, 1, deadline=now + 60), now)
         finish(state, next(iter(state.running)), now)
-        given_up += expire(state, now).given_up
-    assert {ticket.priority for ticket, _ in given_up} <= {3}
-    assert not given_up
+        rejected += expire(state, now).rejected
+    assert {ticket.priority for ticket, _ in rejected} <= {3}
+    assert not rejected
     late = make_ticket(999, 3, deadline=30)
-    assert find_only(ask(state, late, 10))[0] == late
+    assert get_only_rejected(submit(state, late, 10))[0] == late
