--- a/packages/verbenahall/src/verbenahall/platform/_calls.py
+++ b/packages/verbenahall/src/verbenahall/platform/_calls.py
@@ -95,10 +95,10 @@
                 role=Role(fields.text(table, 'stage')),
                 changing=table.get('busy') is True,
                 # Not the count in the store's entry, which has other causes.
-                orders=fields.whole(table, 'seq'),
-                waiting=fields.whole(table, 'waiting', 0),
-                running=fields.whole(table, 'running', 0),
-                kv_used=fields.whole(table, 'kvUsed', 0),
+                orders=fields.integer(table, 'seq'),
+                waiting=fields.integer(table, 'waiting', 0),
+                running=fields.integer(table, 'running', 0),
+                kv_used=fields.integer(table, 'kvUsed', 0),
             ),
         )
     except (KeyError, TypeError, ValueError):
--- a/packages/verbenahall/src/verbenahall/platform/_entries.py
+++ b/packages/verbenahall/src/verbenahall/platform/_entries.py
@@ -50,13 +50,13 @@
         # The wire's zone is our data centre.
         data_centre=fields.text(table, 'zone'),
         leaving=_LEAVING[fields.text(table, 'state')],
-        slots=max(1, fields.whole(table, 'slots', 1)),
+        slots=max(1, fields.integer(table, 'slots', 1)),
         role=None if stage is None else _ROLES[stage],
         # The Unix millisecond of the endpoint's start, from its own clock:
         # it tells two starts apart and says nothing about our time.
-        born=fields.whole(table, 'born', 0),
+        born=fields.integer(table, 'born', 0),
         # Counts the entry's changes, not the orders that were accepted.
-        change=fields.whole(table, 'seq', 0),
+        change=fields.integer(table, 'seq', 0),
         cold_s=fields.seconds(table, 'coldLeftMs', 0),
         spot=table.get('spot') is True,
     )
--- a/packages/verbenahall/src/verbenahall/platform/_fields.py
+++ b/packages/verbenahall/src/verbenahall/platform/_fields.py
@@ -33,7 +33,7 @@
     return found
 
 
-def whole(
+def integer(
     table: dict[str, Any],
     name: str,
     default: Any = _REQUIRED,
--- a/packages/verbenahall/src/verbenahall/platform/_manifest.py
+++ b/packages/verbenahall/src/verbenahall/platform/_manifest.py
@@ -56,7 +56,7 @@
 def _build(table: dict[str, Any]) -> Catalog:
     services = [_build_service(row) for row in table['services']]
     return Catalog(
-        version=fields.whole(table, 'version'),
+        version=fields.integer(table, 'version'),
         routes=_build_routes(table['routes']),
         services={service.name: service for service in services},
         limits=_build_limits(table['limits']),
@@ -85,9 +85,9 @@
         shares=_build_shares(row),
         timeout_s=fields.seconds(row, 'timeoutMs'),
         objective_s=objective_s,
-        priority=fields.whole(row, 'priority', 0),
+        priority=fields.integer(row, 'priority', 0),
         # The wire counts endpoints that one request may be sent to.
-        max_attempts=max(1, fields.whole(row, 'maxAttempts', 1)),
+        max_attempts=max(1, fields.integer(row, 'maxAttempts', 1)),
         resumable=row.get('resumable') is True,
         gap_s=gap_s,
         public=row.get('public') is True,
@@ -122,8 +122,8 @@
 def _build_scaling(row: dict[str, Any] | None) -> ScalingRules | None:
     if not row:
         return None
-    least = fields.whole(row, 'min')
-    most = fields.whole(row, 'max')
+    least = fields.integer(row, 'min')
+    most = fields.integer(row, 'max')
     if least > most:
         raise ValueError(f'autoscale.min {least} is above its max {most}')
     return ScalingRules(
@@ -144,20 +144,20 @@
 def _build_traits(engine: dict[str, Any]) -> EngineTraits:
     megabits = fields.number(engine, 'linkMbps')
     return EngineTraits(
-        slots=fields.whole(engine, 'slots'),
-        kv_tokens=fields.whole(engine, 'kvCapacity'),
-        kv_token_bytes=fields.whole(engine, 'kvTokenBytes'),
+        slots=fields.integer(engine, 'slots'),
+        kv_tokens=fields.integer(engine, 'kvCapacity'),
+        kv_token_bytes=fields.integer(engine, 'kvTokenBytes'),
         link_bytes_s=megabits * _BITS_IN_MEGABIT / _BITS_IN_BYTE,
         # The wire's stride is how many tokens are put into one event.
-        event_tokens=max(1, fields.whole(engine, 'stride', 1)),
+        event_tokens=max(1, fields.integer(engine, 'stride', 1)),
         role_change_s=fields.number(engine, 'stageSwitchS', 0),
     )
 
 
 def _build_limits(row: dict[str, Any]) -> Limits:
     return Limits(
-        header_bytes=fields.whole(row, 'maxHeaderBytes'),
-        body_bytes=fields.whole(row, 'maxBodyBytes'),
+        header_bytes=fields.integer(row, 'maxHeaderBytes'),
+        body_bytes=fields.integer(row, 'maxBodyBytes'),
         header_timeout_s=fields.seconds(row, 'headerTimeoutMs'),
         idle_timeout_s=fields.seconds(row, 'idleTimeoutMs'),
     )
@@ -187,5 +187,5 @@
         # The message goes into logs, so it does not quote what was found.
         raise TypeError(f'tenants[{place}].apiKeys must be a list of texts')
     has_priority = row.get('priority') is not None
-    priority = fields.whole(row, 'priority') if has_priority else None
+    priority = fields.integer(row, 'priority') if has_priority else None
     return Workspace(fields.text(row, 'name'), priority), keys
--- a/packages/verbenahall/src/verbenahall/platform/_store.py
+++ b/packages/verbenahall/src/verbenahall/platform/_store.py
@@ -254,14 +254,14 @@
         (
             fields.text(row, 'key'),
             base64.b64decode(fields.text(row, 'value')),
-            fields.whole(row, 'offset'),
+            fields.integer(row, 'offset'),
         )
         for row in table['items']
     ]
     newest = Newest(
         items={key: content for key, content, _ in rows},
         offsets={key: offset for key, _, offset in rows},
-        end=fields.whole(table, 'end'),
+        end=fields.integer(table, 'end'),
     )
     # Raises IndexError where more follows and no key is there to go on from.
     after = rows[-1][0] if table.get('hasMore') else ''
