--- a/packages/verbenahall/src/verbenahall/platform/__init__.py
+++ b/packages/verbenahall/src/verbenahall/platform/__init__.py
@@ -1,4 +1,7 @@
-"""The adapter to the users' platform: the only place that knows its wire."""
+"""Adapter to the users' platform.
+
+No other package depends on the platform's headers, paths or JSON keys.
+"""
 
 from verbenahall.platform._calls import (
     EngineReport,
