--- a/packages/verbenahall/src/verbenahall/platform/_calls.py
+++ b/packages/verbenahall/src/verbenahall/platform/_calls.py
@@ -1,4 +1,4 @@
-"""Calls to engines that no caller asked for, and their answers."""
+"""Control calls to engines: reports, role orders and KV cache handles."""
 
 import dataclasses
 from typing import Any
@@ -14,7 +14,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class ReadPrompt:
-    """A prompt that an engine has read: where its KV cache lies."""
+    """The result of a prefill: the handle of the KV cache and its tokens."""
 
     handle: str
     tokens: int
@@ -22,10 +22,11 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class EngineReport:
-    """What an engine says of itself, some hundred milliseconds old.
+    """The state that an engine reports, some hundred milliseconds old.
 
-    ``orders`` counts the orders that it accepted since its start; a further
-    order names it, so that one that arrives late changes nothing.
+    ``orders`` counts the role orders that the engine has accepted since its
+    start. The next order carries this count, so that the engine ignores an
+    order that arrives late.
     """
 
     role: Role
@@ -38,7 +39,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class RoleOrder:
-    """An order for a role, under a fencing token."""
+    """An order to an engine to change its role, with a fencing token."""
 
     role: Role
     holder: str
@@ -47,7 +48,7 @@
 
 
 def decode_read_prompt(body: bytes) -> Maybe[ReadPrompt]:
-    """Decode the answer to a prompt that was read."""
+    """Decode an engine's answer to a prefill; Nothing if it is malformed."""
     match wire.decode_table(body):
         case Success({'kvHandle': str(handle), 'tokens': int(tokens)}):
             return Some(ReadPrompt(handle, tokens))
@@ -56,7 +57,7 @@
 
 
 def decode_report(body: bytes) -> Maybe[EngineReport]:
-    """Decode an engine's report."""
+    """Decode an engine's report; Nothing if it is malformed."""
     match wire.decode_table(body):
         case Success(table):
             return _build_report(table)
@@ -65,26 +66,26 @@
 
 
 def encode_order(order: RoleOrder) -> bytes:
-    """Encode an order for a role."""
+    """Encode a role order as the JSON body of a call."""
     return wire.encode(
         {
             'op': 'stage',
             'stage': order.role.value,
             'holder': order.holder,
             'fence': order.token,
-            # The report's count of accepted orders, by the wire's name.
+            # The engine compares this with its own count of accepted orders.
             'expect': order.orders,
         },
     )
 
 
 def name_handle(address: str, handle: str) -> str:
-    """Return how a send names KV cache that lies at an engine."""
+    """Return the header value that locates KV cache: ``address/handle``."""
     return f'{address}/{handle}'
 
 
 def handle_path(handle: str) -> str:
-    """Return the path under which a handle is freed."""
+    """Return the path of the call that releases a KV cache handle."""
     return names.KV_HANDLE + handle
 
 
@@ -94,7 +95,8 @@
             EngineReport(
                 role=Role(fields.text(table, 'stage')),
                 changing=table.get('busy') is True,
-                # Not the count in the store's entry, which has other causes.
+                # The store's entry has a field ``seq`` too, which counts the
+                # changes of the entry and not the accepted orders.
                 orders=fields.integer(table, 'seq'),
                 waiting=fields.integer(table, 'waiting', 0),
                 running=fields.integer(table, 'running', 0),
