--- a/packages/verbenahall/src/verbenahall/platform/_connections.py
+++ b/packages/verbenahall/src/verbenahall/platform/_connections.py
@@ -1,9 +1,9 @@
-"""Connections to endpoints and to the store, through the HTTP library.
+"""HTTP connections to endpoints and to the store.
 
-The library takes whatever comes next on a connection for the answer to its
-last request, and an answer without a length for whole however it ended.
-Endpoints may send a late second answer, and connections may be reset, so
-both are checked here, below the library's own reading.
+aiohttp takes the next message on a connection for the answer to its last
+request, and takes an answer without a length for complete however the
+connection ended. Endpoints may send a late second answer, and connections
+may be reset, so this module checks both below aiohttp's response parsing.
 """
 
 import asyncio
@@ -18,26 +18,27 @@
 from verbenahall import metrics
 from verbenahall.platform import _names as names
 
-#: Unanswered probes show a silent connection after two to three seconds,
-#: within the time for which callers wait for an event.
-_PROBE_AFTER_S: Final = 1
-_PROBE_EVERY_S: Final = 1
-_PROBES: Final = 2
-#: Longest time for bytes to be acknowledged, in milliseconds. A machine
-#: without power acknowledges nothing and resets nothing.
-_UNACKNOWLEDGED_MS: Final = 1500
-#: Longest time for a connection. Inside of a region one is there within some
-#: milliseconds; a lost first packet would be sent again after a second, and
-#: another endpoint answers sooner than that.
+#: TCP keepalive in seconds: the probes detect a dead connection after two to
+#: three seconds, within the time for which callers wait for an event.
+_KEEPALIVE_IDLE_S: Final = 1
+_KEEPALIVE_INTERVAL_S: Final = 1
+_KEEPALIVE_PROBES: Final = 2
+#: TCP_USER_TIMEOUT in milliseconds: the longest time for sent bytes to be
+#: acknowledged. A machine that lost power neither acknowledges nor resets.
+_USER_TIMEOUT_MS: Final = 1500
+#: Timeout for opening a connection, in seconds. Within a region this takes
+#: some milliseconds. A lost first packet would be sent again after a second;
+#: trying another endpoint is faster.
 CONNECT_S: Final = 0.4
-#: Idle time after which a connection is not used again when the endpoint
-#: names none, and the margin before the time that it names, in seconds. A
-#: request that crosses the endpoint's close may or may not have run.
-_IDLE_S: Final = 4.0
+#: A connection is not used again after this idle time in seconds, unless the
+#: endpoint states a ``Keep-Alive`` timeout, from which the margin is taken
+#: off. If the endpoint closes a connection while a request is on its way, the
+#: request may or may not have run.
+_DEFAULT_IDLE_LIMIT_S: Final = 4.0
 _IDLE_MARGIN_S: Final = 0.5
-#: Every way in which a call may end without a whole answer.
+#: All exceptions of a call that ends without a complete answer.
 CALL_FAILURES: Final = (aiohttp.ClientError, OSError, TimeoutError)
-#: Of these, the ones by which nothing has left this instance.
+#: Those of them after which no byte of the request was sent.
 CONNECT_FAILURES: Final = (
     aiohttp.ClientConnectorError,
     aiohttp.ConnectionTimeoutError,
@@ -48,48 +49,49 @@
 
 @final
 class EndpointConnection(ResponseHandler):
-    """One connection; passes on only the answer to the request just sent."""
+    """A connection that returns only the answer to the current request."""
 
     def __init__(self, loop: asyncio.AbstractEventLoop) -> None:
-        """Start without a request."""
+        """Create a connection that has sent no request yet."""
         super().__init__(loop=loop)
-        self.expected = ''
+        self.expected_id = ''
         self._idle_since = float('inf')
-        self._idle_limit_s = _IDLE_S
+        self._idle_limit_s = _DEFAULT_IDLE_LIMIT_S
 
     def is_connected(self) -> bool:
         """Whether the next request may be sent on this connection."""
         idle_s = self._loop.time() - self._idle_since
         return super().is_connected() and idle_s < self._idle_limit_s
 
-    def expect(self, request: str) -> None:
-        """Take only the answer to this request from now on."""
-        self.expected = request
+    def expect(self, request_id: str) -> None:
+        """Accept only answers to this request id from now on."""
+        self.expected_id = request_id
         self._idle_since = float('inf')
 
     async def read(self) -> Any:
         """Return the next answer that belongs to the expected request.
 
-        An endpoint may answer twice; the second answer then lies where the
-        next one is expected, and a caller would get somebody else's.
+        An endpoint may answer a request twice. The second answer would then
+        be read as that of the next request, and reach another caller.
         """
         while True:
             message, payload = await super().read()
-            named = message.headers.get(names.REQUEST_ID)
-            if named in {None, self.expected}:
+            answered_id = message.headers.get(names.REQUEST_ID)
+            if answered_id in {None, self.expected_id}:
                 break
             metrics.DROPPED_ANSWERS.add('other_request')
             await payload.read()
-        self._note_keep_alive(message.headers.get('Keep-Alive', ''))
-        payload.on_eof(self._note_idle)
+        self._update_idle_limit(message.headers.get('Keep-Alive', ''))
+        payload.on_eof(self._mark_idle)
         return message, payload
 
     def data_received(self, data: bytes) -> None:
-        """Keep a whole answer when bytes of no answer come right behind it.
+        """Keep a complete answer that is followed by stray bytes.
 
-        The library reads such a piece in one go and, at the stray bytes,
-        drops what it has read of it. A caller would get an error in place of
-        an answer that has run and is here. So the head goes in by itself.
+        aiohttp parses each chunk in one go and drops an answer from the
+        chunk when it fails at stray bytes behind it, so that a caller would
+        get an error although the request has run. The headers are therefore
+        passed on separately.
         """
         head, end, rest = data.partition(_HEAD_END)
         if rest and (self._payload is None or self._payload.is_eof()):
@@ -101,37 +103,37 @@
     def connection_lost(self, exc: BaseException | None) -> None:
         """Fail an answer whose connection was reset before its end.
 
-        An answer without a length ends with its connection. After a reset
-        the library would take what has come for the whole of it.
+        An answer without a length ends when its connection closes; aiohttp
+        would take what came before a reset for the complete answer.
         """
         payload = self._payload
         if exc is not None and payload is not None and not payload.is_eof():
             payload.set_exception(aiohttp.ClientPayloadError('reset'))
         super().connection_lost(exc)
 
-    def _note_keep_alive(self, text: str) -> None:
+    def _update_idle_limit(self, text: str) -> None:
         found = _KEEP_ALIVE.search(text)
         if found:
             limit = int(found.group(1)) - _IDLE_MARGIN_S
             self._idle_limit_s = max(_IDLE_MARGIN_S, limit)
 
-    def _note_idle(self) -> None:
+    def _mark_idle(self) -> None:
         self._idle_since = self._loop.time()
 
 
 @final
 class EndpointRequest(ClientRequest):
-    """A request that tells its connection which answer to wait for."""
+    """A request that sets the request id which its connection expects."""
 
     async def send(self, conn: Any) -> aiohttp.ClientResponse:
-        """Send on a connection that waits for this request's answer."""
+        """Send the request and make its connection expect its answer."""
         conn.protocol.expect(self.headers.get(names.REQUEST_ID, ''))
         return await super().send(conn)
 
 
 @final
 class _Connector(aiohttp.TCPConnector):
-    """Opens checked connections that notice a silent peer."""
+    """Opens checked connections with TCP keepalive."""
 
     def __init__(self) -> None:
         super().__init__(
@@ -147,7 +149,7 @@
 
 
 def make_session() -> aiohttp.ClientSession:
-    """Make the session through which endpoints and the store are called."""
+    """Create the session for calls to endpoints and to the store."""
     session = aiohttp.ClientSession(
         connector=_Connector(),
         request_class=EndpointRequest,
@@ -161,9 +163,9 @@
         ),
         timeout=aiohttp.ClientTimeout(total=None, sock_connect=CONNECT_S),
     )
-    # The library would send a GET once more by itself when a kept connection
-    # closes under it: a second run that no budget has counted, also of calls
-    # that may run only once.
+    # aiohttp would repeat a GET by itself when a kept connection closes: a
+    # second run that no retry budget counts, also of calls that may run
+    # only once.
     session._retry_connection = False  # noqa: SLF001, WPS437
     return session
 
@@ -175,10 +177,10 @@
     options = (
         (socket.SOL_SOCKET, socket.SO_KEEPALIVE, 1),
         (socket.IPPROTO_TCP, socket.TCP_NODELAY, 1),
-        (socket.IPPROTO_TCP, socket.TCP_KEEPIDLE, _PROBE_AFTER_S),
-        (socket.IPPROTO_TCP, socket.TCP_KEEPINTVL, _PROBE_EVERY_S),
-        (socket.IPPROTO_TCP, socket.TCP_KEEPCNT, _PROBES),
-        (socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, _UNACKNOWLEDGED_MS),
+        (socket.IPPROTO_TCP, socket.TCP_KEEPIDLE, _KEEPALIVE_IDLE_S),
+        (socket.IPPROTO_TCP, socket.TCP_KEEPINTVL, _KEEPALIVE_INTERVAL_S),
+        (socket.IPPROTO_TCP, socket.TCP_KEEPCNT, _KEEPALIVE_PROBES),
+        (socket.IPPROTO_TCP, socket.TCP_USER_TIMEOUT, _USER_TIMEOUT_MS),
     )
     for level, option, setting in options:
         opened.setsockopt(level, option, setting)
