--- a/packages/verbenahall/src/verbenahall/platform/_duties.py
+++ b/packages/verbenahall/src/verbenahall/platform/_duties.py
@@ -1,4 +1,4 @@
-"""Calls to the platform that are the duty of one instance at a time."""
+"""Duty calls to the platform, made by one instance at a time."""
 
 import asyncio
 import dataclasses
@@ -14,19 +14,19 @@
 from verbenahall.platform import _names as names
 from verbenahall.platform._connections import CALL_FAILURES
 
-#: Longest time for an answer, in seconds.
-_ANSWER_S: Final = 1.0
-#: Letters of an answer that go into the log.
-_QUOTED: Final = 120
+#: Timeout of a call, in seconds.
+_ANSWER_TIMEOUT_S: Final = 1.0
+#: Characters of an answer that are logged.
+_MAX_LOGGED_CHARS: Final = 120
 
 
 @final
 class DutyOutcome(enum.Enum):
-    """What became of a call.
+    """The outcome of a duty call.
 
-    ``FENCED`` means that a higher token was seen, or, of an order for
-    engines, that there are none. After ``UNKNOWN`` the call may still be
-    carried out, seconds later.
+    ``FENCED`` means that the platform has seen a higher fencing token, or,
+    for a scale order, that no engines of that kind are available. After
+    ``UNKNOWN`` the call may still be carried out, seconds later.
     """
 
     DONE = 'done'
@@ -48,7 +48,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Seal:
-    """Under whose lease a call is made: the instance and its token."""
+    """The lease under which a call is made: holder and fencing token."""
 
     holder: str
     token: int
@@ -56,7 +56,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class ScaleOrder:
-    """How many engines of one kind a data centre should have."""
+    """The desired number of spot or on-demand engines in a data centre."""
 
     data_centre: str
     engines: int
@@ -65,12 +65,12 @@
 
 @final
 class DutyCalls:
-    """Makes the calls; each one ends in one of a closed set of outcomes."""
+    """Client of the duty calls; each call returns a ``DutyOutcome``."""
 
     __slots__ = ('_base', '_session')
 
     def __init__(self, session: aiohttp.ClientSession, address: str) -> None:
-        """Call the platform at ``address`` (IP and port)."""
+        """Use ``session`` for calls to ``address`` (``IP:port``)."""
         self._session = session
         self._base = f'http://{address}'
 
@@ -80,7 +80,7 @@
         window: int,
         counts: Mapping[str, int],
     ) -> DutyOutcome:
-        """Tell how many requests of each workspace began in a window."""
+        """Report the requests of each workspace that began in a window."""
         body = {'windowId': window, 'counts': dict(counts)}
         return await self._call(names.USAGE, seal, body)
 
@@ -90,10 +90,10 @@
         service: str,
         order: ScaleOrder,
     ) -> DutyOutcome:
-        """Order so many engines of one kind in one data centre."""
+        """Order engines of a service in a data centre."""
         body = {
             'service': service,
-            # The wire's zone is our data centre.
+            # The platform calls a data centre a zone.
             'zone': order.data_centre,
             'desired': order.engines,
             'spot': order.spot,
@@ -113,7 +113,7 @@
         }
         answer = ''
         try:
-            async with asyncio.timeout(_ANSWER_S):
+            async with asyncio.timeout(_ANSWER_TIMEOUT_S):
                 async with self._session.post(
                     self._base + path,
                     data=wire.encode(body),
@@ -133,6 +133,6 @@
             call=path,
             token=seal.token,
             outcome=outcome.value,
-            answer=answer[:_QUOTED],
+            answer=answer[:_MAX_LOGGED_CHARS],
         )
         return outcome
