--- a/packages/verbenahall/src/verbenahall/platform/_entries.py
+++ b/packages/verbenahall/src/verbenahall/platform/_entries.py
@@ -1,4 +1,4 @@
-"""Decodes what endpoints write about themselves in the store."""
+"""Decodes the entries that endpoints write into the store."""
 
 from types import MappingProxyType
 from typing import Any, Final
@@ -11,21 +11,21 @@
 from verbenahall.platform import _fields as fields
 from verbenahall.roster import Entry
 
-#: The wire's states: whether the endpoint is leaving.
+#: The platform's states, and whether the endpoint is leaving.
 _LEAVING: Final = MappingProxyType({'ready': False, 'draining': True})
 _OCTETS: Final = 4
 _LAST_PORT: Final = 65_535
-#: What the wire calls a stage is the engine's role.
+#: The platform calls the role of an engine its stage.
 _ROLES: Final = MappingProxyType(
     {'prefill': Role.PREFILL, 'decode': Role.DECODE},
 )
 
 
 def decode_entry(name: str, record: bytes) -> Maybe[Entry]:
-    """Decode one endpoint's entry; Nothing when it names no usable one.
+    """Decode an endpoint's entry; Nothing if it is invalid.
 
-    Entries may come from another writer. One that cannot be read is no
-    endpoint, and the others hold.
+    Other programs write entries too. An invalid entry is skipped and does
+    not affect the others.
     """
     match wire.decode_table(record):
         case Success(table):
@@ -47,15 +47,15 @@
         name=name,
         service=fields.text(table, 'service'),
         address=_check_address(fields.text(table, 'address')),
-        # The wire's zone is our data centre.
+        # The platform calls a data centre a zone.
         data_centre=fields.text(table, 'zone'),
         leaving=_LEAVING[fields.text(table, 'state')],
         slots=max(1, fields.integer(table, 'slots', 1)),
         role=None if stage is None else _ROLES[stage],
-        # The Unix millisecond of the endpoint's start, from its own clock:
-        # it tells two starts apart and says nothing about our time.
+        # The endpoint's start in Unix milliseconds by its own clock. It only
+        # distinguishes two starts and is not compared with local time.
         born=fields.integer(table, 'born', 0),
-        # Counts the entry's changes, not the orders that were accepted.
+        # Counts changes of the entry, not accepted role orders.
         change=fields.integer(table, 'seq', 0),
         cold_s=fields.seconds(table, 'coldLeftMs', 0),
         spot=table.get('spot') is True,
