--- a/packages/verbenahall/src/verbenahall/platform/_fields.py
+++ b/packages/verbenahall/src/verbenahall/platform/_fields.py
@@ -1,21 +1,21 @@
-"""Typed reading of decoded JSON; a wrong type raises ``TypeError``.
+"""Typed access to decoded JSON; a wrong type raises ``TypeError``.
 
-Records may come from other writers. A text where a number should be would
-otherwise travel inwards and fail a request far from its cause.
+Other programs write records too. A string in place of a number would
+otherwise fail a request in code far from the cause.
 """
 
 from typing import Any, Final
 
 _MS_IN_SECOND: Final = 1000.0
-#: Stands for a field without a default.
+#: Default of a required field.
 _REQUIRED: Final = object()
 
 
 def text(table: dict[str, Any], name: str) -> str:
-    """Return a text that is not empty."""
+    """Return a string that is not empty."""
     found = table[name]
     if not isinstance(found, str) or not found:
-        raise TypeError(f'{name} must be a text, not {found!r}')
+        raise TypeError(f'{name} must be a string, not {found!r}')
     return found
 
 
@@ -29,7 +29,9 @@
     if isinstance(found, bool) or not isinstance(found, int | float):
         raise TypeError(f'{name} must be a number, not {found!r}')
     if not 0 <= found < float('inf'):
-        raise ValueError(f'{name} must be zero or more, not {found!r}')
+        raise ValueError(
+            f'{name} must be finite and not negative, not {found!r}'
+        )
     return found
 
 
@@ -38,10 +40,10 @@
     name: str,
     default: Any = _REQUIRED,
 ) -> int:
-    """Return a whole number of at least zero."""
+    """Return an integer of at least zero."""
     found = number(table, name, default)
     if int(found) != found:
-        raise ValueError(f'{name} must be a whole number, not {found!r}')
+        raise ValueError(f'{name} must be an integer, not {found!r}')
     return int(found)
 
 
@@ -50,5 +52,5 @@
     name: str,
     default: Any = _REQUIRED,
 ) -> float:
-    """Return a length given in milliseconds, in seconds."""
+    """Return a duration in seconds that is given in milliseconds."""
     return number(table, name, default) / _MS_IN_SECOND
