--- a/packages/verbenahall/src/verbenahall/platform/_headers.py
+++ b/packages/verbenahall/src/verbenahall/platform/_headers.py
@@ -1,4 +1,4 @@
-"""Decodes callers' headers and endpoints' answers, and builds sends."""
+"""Decodes headers of requests and answers, and builds those of sends."""
 
 import dataclasses
 from collections.abc import Iterable, Mapping, Sequence
@@ -12,8 +12,7 @@
 
 _MS_IN_SECOND: Final = 1000
 _MISDIRECTED: Final = 421
-#: Headers that concern one connection only, and those that the HTTP library
-#: sets from the body.
+#: Hop-by-hop headers, and those that the HTTP library sets from the body.
 _HOP_HEADERS: Final = frozenset(
     (
         'connection',
@@ -29,20 +28,21 @@
         'content-length',
     ),
 )
-_READ_ONLY: Final = 'prefill'
+_PREFILL_STAGE: Final = 'prefill'
 
-_NOTHING: Final[frozenset[str]] = frozenset()
+_NO_NAMES: Final[frozenset[str]] = frozenset()
 
 RawHeaders = Iterable[tuple[bytes, bytes]]
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Ask:
-    """What a caller's headers say about its request.
+    """The headers of a caller's request that the system uses.
 
-    ``wait_s`` is how long the caller still waits, None when it does not say;
-    ``last_event`` is the last event that it has of a broken stream, and
-    ``key`` the digest of its API key, empty when it has none or several.
+    ``wait_s`` is how long the caller still waits, None if it is not stated.
+    ``last_event`` is the last event that the caller received of a broken
+    stream. ``key`` is the digest of its API key, empty if there is none or
+    more than one.
     """
 
     identity: str
@@ -54,10 +54,10 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class SendOrder:
-    """What the system sets on one send to an endpoint.
+    """The headers that the system sets on one send to an endpoint.
 
-    ``kv_source`` is where the KV cache of the prompt lies (address and
-    handle). ``read_only`` has the prompt read and nothing generated.
+    ``kv_source`` locates the KV cache of the prompt (address and handle).
+    With ``read_only`` the engine prefills the prompt and decodes nothing.
     """
 
     endpoint: str
@@ -70,12 +70,12 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class AnswerFacts:
-    """What an endpoint's headers say about its answer.
+    """The headers of an endpoint's answer that the system uses.
 
-    ``not_run`` is the endpoint's word that it has not started the request.
-    ``signed`` tells whether the answer bears an endpoint's signature, and
-    ``rates`` what it names as the requests a second that it takes, as text.
-    ``misdirected`` means that another endpoint has answered.
+    ``not_run`` means that the endpoint has not started the request.
+    ``signed`` is whether the answer has an endpoint's signature. ``rates``
+    holds the rates that the endpoint advertises, in requests per second, as
+    text. ``misdirected`` means that another endpoint has answered.
     """
 
     not_run: bool
@@ -85,10 +85,10 @@
 
 
 def read_ask(headers: Mapping[str, str]) -> Ask:
-    """Decode a caller's headers; what cannot be read counts as absent."""
+    """Decode a caller's headers; invalid values count as absent."""
     return Ask(
         identity=headers.get(names.REQUEST_ID, ''),
-        wait_s=_read_wait(headers.get(names.DEADLINE_MS, '')),
+        wait_s=_parse_wait(headers.get(names.DEADLINE_MS, '')),
         work=_read_work(headers),
         last_event=read_event_number(headers.get(names.LAST_EVENT_ID, '')),
         key=_read_key(headers),
@@ -96,7 +96,7 @@
 
 
 def read_event_number(text: str) -> int | None:
-    """Return an event's number, None when it has none."""
+    """Return an event's number, None if it is not a number."""
     return int(text) if text.isascii() and text.isdigit() else None
 
 
@@ -105,12 +105,11 @@
     order: SendOrder,
     workspace: str = '',
 ) -> CIMultiDict[str]:
-    """Build the headers of a send from the caller's own ones.
+    """Build the headers of a send from those of the caller.
 
-    The endpoint is told the ``workspace``, if the request runs in its name.
-
-    Headers that only the system may set are left out, whatever the caller
-    has sent: with them a caller could read another one's KV cache.
+    ``workspace`` is passed to the endpoint if the request belongs to one.
+    Headers that only the system may set are removed from the caller's: with
+    them a caller could read the KV cache of another one.
     """
     headers = strip_hop_headers(raw, names.SYSTEM_HEADERS)
     headers[names.EXPECT_ENDPOINT] = order.endpoint
@@ -121,7 +120,7 @@
     if order.priority is not None:
         headers[names.PRIORITY] = str(order.priority)
     if order.read_only:
-        headers[names.STAGE] = _READ_ONLY
+        headers[names.STAGE] = _PREFILL_STAGE
     if order.kv_source:
         headers[names.KV_FROM] = order.kv_source
     if order.last_event is not None:
@@ -131,11 +130,11 @@
 
 def strip_hop_headers(
     raw: RawHeaders,
-    left_out: frozenset[str] = _NOTHING,
+    excluded: frozenset[str] = _NO_NAMES,
 ) -> CIMultiDict[str]:
-    """Return the headers that travel from end to end.
+    """Return the end-to-end headers, without those in ``excluded``.
 
-    A header that ``Connection`` names concerns that connection only.
+    Headers that ``Connection`` names are hop-by-hop too.
     """
     pairs = [
         (
@@ -144,24 +143,28 @@
         )
         for name, found in raw
     ]
-    dropped = _HOP_HEADERS | left_out | _find_named(pairs)
+    dropped = _HOP_HEADERS | excluded | _find_connection_headers(pairs)
     return CIMultiDict(pair for pair in pairs if pair[0].lower() not in dropped)
 
 
 def read_answer(status: int, headers: Mapping[str, str]) -> AnswerFacts:
-    """Decode what an endpoint says about its own answer."""
-    every = CIMultiDict(headers)
+    """Decode the headers of an endpoint's answer."""
+    all_headers = CIMultiDict(headers)
     return AnswerFacts(
         not_run=names.NOT_RUN in headers or status == _MISDIRECTED,
         signed=names.STAMP in headers,
         rates=tuple(
-            text for name in names.RATES for text in every.getall(name, ())
+            text
+            for name in names.RATES
+            for text in all_headers.getall(name, ())
         ),
         misdirected=status == _MISDIRECTED,
     )
 
 
-def _find_named(pairs: Sequence[tuple[str, str]]) -> frozenset[str]:
+def _find_connection_headers(
+    pairs: Sequence[tuple[str, str]],
+) -> frozenset[str]:
     return frozenset(
         token.strip().lower()
         for name, found in pairs
@@ -175,7 +178,7 @@
     return digest_key(keys[0]) if len(keys) == 1 else b''
 
 
-def _read_wait(text: str) -> float | None:
+def _parse_wait(text: str) -> float | None:
     if text.isascii() and text.isdigit():
         return int(text) / _MS_IN_SECOND
     return None
@@ -184,13 +187,13 @@
 def _read_work(headers: Mapping[str, str]) -> Work:
     prompt, _, output = headers.get(names.TOKEN_COUNT, '').partition(',')
     hint = read_event_number(headers.get(names.LENGTH_HINT, '').strip())
-    most = read_event_number(output.strip()) or 0
+    max_output = read_event_number(output.strip()) or 0
     return Work(
         parts=tuple(_read_parts(headers.get(names.PROMPT_PREFIX, ''))),
         prompt_tokens=read_event_number(prompt.strip()) or 0,
-        # The count is the most that may come; the hint is right at the
-        # median.
-        output_tokens=most if hint is None else min(hint, most),
+        # The token count is an upper bound; the hint is the median of the
+        # actual length.
+        output_tokens=max_output if hint is None else min(hint, max_output),
     )
 
 
