--- a/packages/verbenahall/src/verbenahall/platform/_manifest.py
+++ b/packages/verbenahall/src/verbenahall/platform/_manifest.py
@@ -27,20 +27,22 @@
 
 _BITS_IN_BYTE: Final = 8
 _BITS_IN_MEGABIT: Final = 1_000_000
-#: Callers leave a stream after so long without an event: the longest of a
-#: time, of objectives and of pauses, as the platform tells of them.
-_PATIENCE_S: Final = 2.0
-_PATIENCE_OBJECTIVES: Final = 4.0
-_PATIENCE_GAPS: Final = 8.0
-#: A kind that is not listed runs at most once, which is never wrong.
+#: Callers abandon a stream after waiting this long for an event: the maximum
+#: of a time in seconds, a number of objectives and a number of gaps. The
+#: platform states these values.
+_MIN_ABANDON_S: Final = 2.0
+_ABANDON_OBJECTIVES: Final = 4.0
+_ABANDON_GAPS: Final = 8.0
+#: An unknown kind is treated as non-idempotent: running a request at most
+#: once is always correct.
 _KINDS: Final = MappingProxyType({kind.value: kind for kind in Kind})
 
 
 def decode_manifest(record: bytes) -> Result[Catalog, Problem]:
-    """Decode a whole manifest, or say what in it cannot be read.
+    """Decode a manifest, or return the first error in it.
 
-    All or nothing: a catalog without one of its routes would answer 404
-    where the operator's manifest allows a request.
+    A manifest is decoded completely or not at all: a catalog that lacks a
+    route would answer 404 to requests that the operator allows.
     """
     return wire.decode_table(record).bind(_decode_table)
 
@@ -49,7 +51,7 @@
     try:
         return Success(_build(table))
     except (KeyError, TypeError, ValueError) as error:
-        reason = f'manifest not readable: {error!r}'
+        reason = f'invalid manifest: {error!r}'
         return Failure(Problem(ErrorKind.BAD_REQUEST, reason))
 
 
@@ -74,7 +76,7 @@
 
 
 def _build_route(row: dict[str, Any]) -> Route:
-    # The wire calls the latency objective of a route its SLO.
+    # The platform calls the latency objective of a route its SLO.
     objective_s = fields.seconds(row, 'sloMs')
     gap_s = fields.seconds(row, 'gapAimMs', 0)
     return Route(
@@ -86,21 +88,21 @@
         timeout_s=fields.seconds(row, 'timeoutMs'),
         objective_s=objective_s,
         priority=fields.integer(row, 'priority', 0),
-        # The wire counts endpoints that one request may be sent to.
+        # The number of endpoints that a request may be sent to.
         max_attempts=max(1, fields.integer(row, 'maxAttempts', 1)),
         resumable=row.get('resumable') is True,
         gap_s=gap_s,
         public=row.get('public') is True,
         patience_s=max(
-            _PATIENCE_S,
-            _PATIENCE_OBJECTIVES * objective_s,
-            _PATIENCE_GAPS * gap_s,
+            _MIN_ABANDON_S,
+            _ABANDON_OBJECTIVES * objective_s,
+            _ABANDON_GAPS * gap_s,
         ),
     )
 
 
 def _build_shares(row: dict[str, Any]) -> tuple[Share, ...]:
-    """Return the services of a route; a plain route has a split of one."""
+    """Return the weighted services; a route without a split has one."""
     if not row.get('split'):
         return (Share(fields.text(row, 'service'), 1),)
     shares = [
@@ -136,7 +138,7 @@
 
 
 def _read_prices(prices: dict[str, Any] | None) -> Mapping[str, float]:
-    """Return what an engine costs by data centre, the wire's zone."""
+    """Return the price of an engine by data centre (the platform's zone)."""
     table = prices or {}
     return {centre: fields.number(table, centre) for centre in table}
 
@@ -148,7 +150,7 @@
         kv_tokens=fields.integer(engine, 'kvCapacity'),
         kv_token_bytes=fields.integer(engine, 'kvTokenBytes'),
         link_bytes_s=megabits * _BITS_IN_MEGABIT / _BITS_IN_BYTE,
-        # The wire's stride is how many tokens are put into one event.
+        # The platform calls the tokens of one event the stride.
         event_tokens=max(1, fields.integer(engine, 'stride', 1)),
         role_change_s=fields.number(engine, 'stageSwitchS', 0),
     )
@@ -164,28 +166,29 @@
 
 
 def _build_keys(rows: list[dict[str, Any]] | None) -> KeyTable | None:
-    """Return the keys of the tenants, as the wire calls workspaces.
+    """Return the API keys of the workspaces, None if none are required.
 
-    Where the manifest names no tenants, callers need no key.
+    The platform calls a workspace a tenant. Callers need no key if the
+    manifest has no tenants.
     """
     if not rows:
         return None
     return build_key_table(
-        _build_holder(row, place) for place, row in enumerate(rows)
+        _build_holder(row, index) for index, row in enumerate(rows)
     )
 
 
 def _build_holder(
     row: dict[str, Any],
-    place: int,
+    index: int,
 ) -> tuple[Workspace, list[str]]:
     keys = row['apiKeys']
-    texts = isinstance(keys, list) and all(
+    are_strings = isinstance(keys, list) and all(
         isinstance(key, str) and key for key in keys
     )
-    if not texts:
-        # The message goes into logs, so it does not quote what was found.
-        raise TypeError(f'tenants[{place}].apiKeys must be a list of texts')
+    if not are_strings:
+        # The message is logged, so it must not contain the keys.
+        raise TypeError(f'tenants[{index}].apiKeys must be a list of strings')
     has_priority = row.get('priority') is not None
     priority = fields.integer(row, 'priority') if has_priority else None
     return Workspace(fields.text(row, 'name'), priority), keys
