--- a/packages/verbenahall/src/verbenahall/platform/_names.py
+++ b/packages/verbenahall/src/verbenahall/platform/_names.py
@@ -1,36 +1,36 @@
-"""Names of the platform's wire: headers, calls, topics and words."""
+"""Headers, paths, topics and keys of the platform's protocol."""
 
 from typing import Final
 
 # Headers of requests and answers.
 REQUEST_ID: Final = 'X-Verbenahall-Request-Id'
-#: Not a moment but the milliseconds that the caller still waits.
+#: The time that the caller still waits, in milliseconds; not a timestamp.
 DEADLINE_MS: Final = 'X-Verbenahall-Deadline-Ms'
-#: The parts of a prompt, ``identity:tokens``, comma-separated.
+#: The prefix parts of a prompt, ``identity:tokens``, comma-separated.
 PROMPT_PREFIX: Final = 'X-Verbenahall-Prompt-Prefix'
-#: Prompt tokens and the most output tokens, comma-separated.
+#: Prompt tokens and maximum output tokens, comma-separated.
 TOKEN_COUNT: Final = 'X-Verbenahall-Token-Count'
 LENGTH_HINT: Final = 'X-Verbenahall-Length-Hint'
 LAST_EVENT_ID: Final = 'Last-Event-Id'
-#: The endpoint's signature under its answer.
+#: The endpoint's signature of its answer.
 STAMP: Final = 'X-Verbenahall-Server-Stamp'
-#: The name of the endpoint that is meant; any other one answers 421.
+#: The name of the intended endpoint; any other one answers 421.
 EXPECT_ENDPOINT: Final = 'X-Verbenahall-Expect-Instance'
-#: Requests a second that an endpoint in need takes from all instances
-#: together, by either name.
+#: The requests per second that an overloaded endpoint accepts from all
+#: instances together; both names are in use.
 RATES: Final = ('Server-Limit', 'X-Verbenahall-Server-Limit')
 NOT_RUN: Final = 'X-Verbenahall-Not-Run'
 PRIORITY: Final = 'X-Verbenahall-Request-Priority'
-#: On a request: have the prompt read only.
+#: On a request: prefill the prompt only.
 STAGE: Final = 'X-Verbenahall-Stage'
 KV_FROM: Final = 'X-Verbenahall-Kv-From'
-#: The caller's API key, which no endpoint may see.
+#: The caller's API key, which is not forwarded to endpoints.
 KEY: Final = 'X-Verbenahall-Key'
-#: The workspace in whose name a request runs, for endpoints.
+#: The workspace of a request, for endpoints.
 TENANT: Final = 'X-Verbenahall-Tenant'
 
-#: Headers that only the system may set. A caller who could set them would
-#: choose endpoints, read others' KV cache or jump the queue.
+#: Headers that only the system may set. A caller that could set them would
+#: choose endpoints, read the KV cache of others or raise its priority.
 SYSTEM_HEADERS: Final = frozenset(
     name.lower()
     for name in (
@@ -59,15 +59,15 @@
 REPORT: Final = '/-/report'
 ORDER: Final = '/-/order'
 KV_HANDLE: Final = '/-/kv-handle/'
-#: Where the platform asks an instance whether it takes requests.
+#: The readiness check of an instance, called by the platform.
 READY: Final = '/-/ready'
 
-# Calls of duties to the platform.
+# Duty calls to the platform.
 USAGE: Final = '/usage'
 SCALE: Final = '/scale'
 DUTY_HOLDER: Final = 'X-Verbenahall-Duty-Holder'
 DUTY_TOKEN: Final = 'X-Verbenahall-Fence-Token'
-#: The names of these duties in a process's settings.
+#: The names of these duties in the settings of a process.
 USAGE_DUTY: Final = 'usage'
 SCALE_DUTY: Final = 'scale'
 
@@ -75,23 +75,24 @@
 APPEND: Final = '/-/log-append'
 READ: Final = '/-/log-read'
 NEWEST: Final = '/-/log-newest'
-#: Topic of the operator's records; the key below holds the manifest.
+#: Topic of the operator's records, and the key of the manifest in it.
 OPERATOR_TOPIC: Final = 'keyed.op'
 MANIFEST_KEY: Final = 'config'
-#: Topic of what endpoints say of themselves, a key for each endpoint.
+#: Topic of the endpoints' entries, with one key per endpoint.
 ENDPOINTS_TOPIC: Final = 'keyed.servers'
-#: Topic of this system's instances, a key for each one's name.
+#: Topic of this system's instances, with one key per instance.
 INSTANCES_TOPIC: Final = 'keyed.instances'
-#: Topic of crashes, a key for each instance that has reported some.
+#: Topic of crashes, with one key per reporting instance.
 CRASHES_TOPIC: Final = 'keyed.crashes'
 #: Topic of this system's leases.
 LEASES_TOPIC: Final = 'keyed.leases'
 
-#: Topic of usage counts that the reporting instance could not ask for.
+#: Topic of usage counts that the reporting instance could not collect by
+#: itself.
 USAGE_TOPIC: Final = 'keyed.usage'
-#: Topic of the usage reports that were decided on.
+#: Topic of the final usage reports, which are written before they are sent.
 REPORTS_TOPIC: Final = 'keyed.reports'
-#: Topic of how many engines a service had before it was scaled.
+#: Topic of the number of engines of a service before it was scaled.
 SCALING_TOPIC: Final = 'keyed.scaling'
 
 SETTINGS_VARIABLE: Final = 'VERBENAHALL_CONFIG'
