--- a/packages/verbenahall/src/verbenahall/platform/_records.py
+++ b/packages/verbenahall/src/verbenahall/platform/_records.py
@@ -1,4 +1,4 @@
-"""Framing of the store's records: length, and key in keyed topics."""
+"""Binary format of the store's records, with keys in keyed topics."""
 
 import dataclasses
 import struct
@@ -6,13 +6,13 @@
 from typing import Final
 
 _LENGTH: Final = struct.Struct('>I')
-#: What precedes the records of a read: the end and the first kept offset.
+#: The header of a read's answer: the end and the first kept offset.
 _BOUNDS: Final = struct.Struct('>QQ')
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class KeyedRecord:
-    """The newest word under a key; an empty value takes the key away."""
+    """A record of a keyed topic; empty content removes the key."""
 
     key: str
     content: bytes
@@ -20,7 +20,10 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Batch:
-    """Records read from an offset on; ``end`` is where the topic ends."""
+    """The records from an offset on.
+
+    ``first`` is the lowest kept offset and ``end`` the end of the topic.
+    """
 
     end: int
     first: int
@@ -28,13 +31,13 @@
 
 
 def encode_records(records: Iterable[bytes]) -> bytes:
-    """Frame the records of one append."""
+    """Encode the records of one append, each after its length."""
     framed = (_LENGTH.pack(len(record)) + record for record in records)
     return b''.join(framed)
 
 
 def decode_batch(body: bytes) -> Batch:
-    """Split the answer of a read; ``ValueError`` when it is cut short."""
+    """Decode the answer of a read; ``ValueError`` if it is truncated."""
     if len(body) < _BOUNDS.size:
         raise ValueError('the answer of a read is shorter than its bounds')
     end, first = _BOUNDS.unpack_from(body)
@@ -42,7 +45,7 @@
 
 
 def decode_keyed(record: bytes) -> KeyedRecord:
-    """Split a record of a keyed topic; ``ValueError`` when it has no key."""
+    """Decode a record of a keyed topic; ``ValueError`` if it has no key."""
     if not record or len(record) < 1 + record[0]:
         raise ValueError('a keyed record is shorter than its key')
     start = 1 + record[0]
@@ -50,7 +53,7 @@
 
 
 def encode_keyed(record: KeyedRecord) -> bytes:
-    """Join a key of at most 255 bytes and its content."""
+    """Encode a record; the key has at most 255 bytes."""
     key = record.key.encode()
     return bytes([len(key)]) + key + record.content
 
