--- a/packages/verbenahall/src/verbenahall/platform/_settings.py
+++ b/packages/verbenahall/src/verbenahall/platform/_settings.py
@@ -1,6 +1,6 @@
 """Decodes the settings file that the platform writes for a process.
 
-Fields that are not known are left alone: the platform may add some.
+Unknown fields are ignored, since the platform may add some.
 """
 
 import dataclasses
@@ -15,22 +15,22 @@
 from verbenahall.platform import _names as names
 from verbenahall.schema import Fault, Field, Table, read_table
 
-#: Where metrics are served unless the settings name a port; the deploy file
-#: names the same one.
+#: The port for metrics if the settings state none; the deploy file uses the
+#: same default.
 _METRICS_PORT: Final = 9464
 _DEFAULT_PATH: Final = '/etc/verbenahall/settings.toml'
 _LAST_PORT: Final = 65_535
 _TEXT: Final = Field(str, pattern='.+')
-#: Zero or more, and finite: an endless bound would never end a wait.
-_AMOUNT: Final = Field(float, minimum=0, maximum=sys.float_info.max)
+#: Not negative and finite: with an infinite bound a wait would never end.
+_NON_NEGATIVE: Final = Field(float, minimum=0, maximum=sys.float_info.max)
 #: The keys that this system reads. All tables are open, since the platform
-#: may add keys.
+#: may add others.
 _SCHEMA: Final = Table(
     {
         'nodeName': _TEXT,
         'ip': _TEXT,
         'zone': _TEXT,
-        # The first and the last of the ports that are free for this system.
+        # The first and the last port that this system may use.
         'portRange': Field(list, entry=int, minimum=2, maximum=2),
         'metricsPort': Field(
             int,
@@ -39,11 +39,11 @@
             maximum=_LAST_PORT,
         ),
         'listen': Table({'front': _TEXT, 'ready': _TEXT}, open=True),
-        # ``cores`` is how many times as fast as one the core is.
+        # ``cores`` is the speed of the core relative to a usual one.
         'limits': Table(
             {
-                'cpuShare': dataclasses.replace(_AMOUNT, default=1),
-                'cores': dataclasses.replace(_AMOUNT, default=1),
+                'cpuShare': dataclasses.replace(_NON_NEGATIVE, default=1),
+                'cores': dataclasses.replace(_NON_NEGATIVE, default=1),
             },
             open=True,
         ),
@@ -57,15 +57,15 @@
         ),
         'bounds': Table(
             {
-                'drainMs': _AMOUNT,
-                'graceS': _AMOUNT,
-                'leaseMs': _AMOUNT,
-                'retryRatio': _AMOUNT,
-                'retryWindowS': _AMOUNT,
-                'retrySlack': dataclasses.replace(_AMOUNT, default=0),
-                'configApplyMs': dataclasses.replace(_AMOUNT, default=0),
-                'usageWindowS': dataclasses.replace(_AMOUNT, default=0),
-                'usageLateS': dataclasses.replace(_AMOUNT, default=0),
+                'drainMs': _NON_NEGATIVE,
+                'graceS': _NON_NEGATIVE,
+                'leaseMs': _NON_NEGATIVE,
+                'retryRatio': _NON_NEGATIVE,
+                'retryWindowS': _NON_NEGATIVE,
+                'retrySlack': dataclasses.replace(_NON_NEGATIVE, default=0),
+                'configApplyMs': dataclasses.replace(_NON_NEGATIVE, default=0),
+                'usageWindowS': dataclasses.replace(_NON_NEGATIVE, default=0),
+                'usageLateS': dataclasses.replace(_NON_NEGATIVE, default=0),
             },
             open=True,
         ),
@@ -76,13 +76,13 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Bounds:
-    """Bounds of time and of retries that the operators give, in seconds.
+    """Time limits and retry limits of the operators; times in seconds.
 
-    ``leaving_s`` is how long after its word a leaving endpoint may still get
-    work, and ``manifest_s`` how long after its acceptance a manifest must be in
-    force; ``retry_share`` and ``retry_slack`` bound the further sends of all
-    instances together within ``retry_window_s``. Usage is reported for each
-    ``usage_window_s``, within ``usage_late_s`` after its end.
+    A leaving endpoint may get requests for at most ``leaving_s`` after it
+    announced that it leaves. An accepted manifest must be in force within
+    ``manifest_s``. ``retry_share`` and ``retry_slack`` limit the retries of
+    all instances together within ``retry_window_s``. Usage is reported for
+    each ``usage_window_s``, within ``usage_late_s`` after its end.
     """
 
     leaving_s: float
@@ -98,10 +98,11 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class ProcessSettings:
-    """What the platform tells a process; addresses are ``IP:port``.
+    """The settings of a process; addresses are ``IP:port``.
 
-    ``cores`` is how much of a usual core the process may use. ``duties`` are
-    the calls that one instance at a time makes to the address ``duty_api``.
+    ``callers`` and ``readiness`` are the addresses to listen on. ``cores`` is
+    the share of a usual core that the process may use. ``duties`` names the
+    calls to the address ``duty_api`` that one instance at a time makes.
     """
 
     name: str
@@ -119,17 +120,17 @@
 
     @property
     def peer_address(self) -> str:
-        """Where this instance hears its peers."""
+        """The address on which this instance receives messages of its peers."""
         return f'{self.ip}:{self.peer_port}'
 
 
 def find_settings_path(environment: Mapping[str, str]) -> Path:
-    """Return where the platform has put the settings file."""
+    """Return the path of the settings file."""
     return Path(environment.get(names.SETTINGS_VARIABLE, _DEFAULT_PATH))
 
 
 def read_settings(path: Path) -> Result[ProcessSettings, tuple[Fault, ...]]:
-    """Read a process's settings, or tell every fault with its line."""
+    """Read the settings of a process, or return all faults with lines."""
     return read_table(path, _SCHEMA).map(_build)
 
 
@@ -167,6 +168,6 @@
 
 
 def _read_manifest_bound(bounds: dict[str, Any]) -> float:
-    """Return the bound for manifests; that for endpoints if there is none."""
+    """Return the limit for manifests; that for endpoints if not stated."""
     name = 'configApplyMs' if bounds['configApplyMs'] else 'drainMs'
     return fields.seconds(bounds, name)
