--- a/packages/verbenahall/src/verbenahall/platform/_store.py
+++ b/packages/verbenahall/src/verbenahall/platform/_store.py
@@ -1,7 +1,8 @@
-"""The one client of the platform's store.
+"""Client of the platform's store.
 
-Each call ends in one of a closed set of outcomes. An append whose answer was
-lost may have been carried out, or may be so later; only a read can tell.
+Each call returns one of a closed set of outcomes. An append whose answer was
+lost may have been carried out, or may be carried out later; only a read
+shows which.
 """
 
 import asyncio
@@ -20,8 +21,8 @@
 from verbenahall.platform._connections import CALL_FAILURES
 from verbenahall.platform._records import Batch, decode_batch, encode_records
 
-#: Answers by which surely nothing was appended.
-_NOT_DONE: Final = frozenset(
+#: Statuses after which nothing was appended.
+_REFUSED_STATUSES: Final = frozenset(
     (
         HTTPStatus.CONFLICT,
         HTTPStatus.PRECONDITION_FAILED,
@@ -30,31 +31,31 @@
         HTTPStatus.INSUFFICIENT_STORAGE,
     ),
 )
-#: Longest time for an answer beyond what a call asks to wait, in seconds: the
-#: platform calls a store slow that takes 60 times its usual 4 ms.
+#: Timeout of a call beyond its requested wait, in seconds. The platform calls
+#: a store slow that takes 60 times its usual 4 ms.
 ANSWER_S: Final = 0.9
 _MS_IN_SECOND: Final = 1000
-#: Kilobytes of one read; a whole big manifest fits.
-_READ_KB: Final = 1024
+#: Maximum kilobytes of one read; a large manifest fits.
+_MAX_READ_KB: Final = 1024
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Away:
-    """The store did not answer, or refused; nothing is known of a call."""
+    """The store gave no usable answer; the effect of the call is unknown."""
 
     reason: str
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Deleted:
-    """The records asked for are no longer kept."""
+    """The requested records are no longer kept."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Newest:
-    """The newest record of each key, and the offset to follow from.
+    """The newest record of each key, and the offset to read from next.
 
-    ``offsets`` tells where each of them lies.
+    ``offsets`` holds the offset of each of these records.
     """
 
     items: dict[str, bytes]
@@ -64,7 +65,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class _Page:
-    """A part of the newest records; the next one follows the key ``after``."""
+    """A page of the newest records; the next page follows key ``after``."""
 
     newest: Newest
     after: str
@@ -72,19 +73,19 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Appended:
-    """The records are in, the first one at ``offset``."""
+    """The records were appended, the first one at ``offset``."""
 
     offset: int
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Refused:
-    """Surely nothing was appended."""
+    """Nothing was appended."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Unknown:
-    """The append may be in, or may get in later."""
+    """The records may have been appended, or may be appended later."""
 
     reason: str
 
@@ -94,22 +95,22 @@
 
 @final
 class StoreClient:
-    """Reads and appends; every method makes as few calls as it can.
+    """Reads from and appends to the store.
 
-    ``session`` must give up connections that fall silent, since a call whose
-    answer is lost gets nothing more on its connection.
+    ``session`` must close unresponsive connections: a call whose answer is
+    lost gets nothing more on its connection.
     """
 
     def __init__(self, session: aiohttp.ClientSession, address: str) -> None:
-        """Talk to the store at ``address`` (IP and port)."""
+        """Use ``session`` for the store at ``address`` (``IP:port``)."""
         self._session = session
         self._base = f'http://{address}'
 
     async def read_newest(self, topic: str) -> Result[Newest, Away]:
         """Read the newest record of each key, page by page.
 
-        Pages are no snapshot: the offset to follow from is that of the first
-        page, so that what changed between two pages is read again.
+        The pages are no snapshot. The offset to read from next is that of
+        the first page, so that changes between two pages are read again.
         """
         pages: list[_Page] = []
         after = ''
@@ -131,17 +132,17 @@
     ) -> Result[Batch, Away | Deleted]:
         """Read from an offset; wait up to ``wait_s`` for a first record.
 
-        ``answer_s`` is how much longer the answer may take.
+        ``answer_s`` is the timeout of the answer after this wait.
         """
         params = {
             'topic': topic,
             'part': '0',
             'from': str(start),
-            'maxKb': str(_READ_KB),
+            'maxKb': str(_MAX_READ_KB),
             'waitMs': str(int(wait_s * _MS_IN_SECOND)),
         }
-        limit_s = wait_s + answer_s
-        answer = await self._call('GET', names.READ, params, b'', limit_s)
+        timeout_s = wait_s + answer_s
+        answer = await self._call('GET', names.READ, params, b'', timeout_s)
         match answer:
             case Success((HTTPStatus.OK, body)):
                 return _decode_read(body)
@@ -158,15 +159,15 @@
         records: Sequence[bytes],
         at: int | None = None,
     ) -> AppendOutcome:
-        """Append records, all or none; with ``at`` only at that offset."""
+        """Append all records or none; with ``at`` only at that offset."""
         params = {'topic': topic, 'part': '0'}
         if at is not None:
             params['at'] = str(at)
         body = encode_records(records)
         answer = await self._call('POST', names.APPEND, params, body, ANSWER_S)
         match answer:
-            case Success((status, answered)):
-                return _read_append(status, answered)
+            case Success((status, response_body)):
+                return _read_append(status, response_body)
             case Failure(away):
                 return Unknown(away.reason)
         return Unknown('no answer')
@@ -194,10 +195,10 @@
         path: str,
         params: dict[str, str],
         body: bytes,
-        limit_s: float,
+        timeout_s: float,
     ) -> Result[tuple[int, bytes], Away]:
         try:
-            async with asyncio.timeout(limit_s):
+            async with asyncio.timeout(timeout_s):
                 async with self._session.request(
                     method,
                     self._base + path,
@@ -206,15 +207,15 @@
                 ) as response:
                     answered = response.status, await response.read()
         except CALL_FAILURES as error:
-            _tell_call(path, params['topic'], 'no_answer', 0)
+            _log_call(path, params['topic'], 'no_answer', 0)
             return Failure(Away(repr(error)))
         status, answer = answered
-        _tell_call(path, params['topic'], str(status), len(answer))
+        _log_call(path, params['topic'], str(status), len(answer))
         return Success(answered)
 
 
-def _tell_call(path: str, topic: str, outcome: str, received: int) -> None:
-    """Count a call and write a line for it: the store is shared by all."""
+def _log_call(path: str, topic: str, outcome: str, received: int) -> None:
+    """Count and log a call: all instances share the store."""
     metrics.STORE_CALLS.add(path, outcome)
     journal.write_decision(
         'store_call',
@@ -246,7 +247,7 @@
     try:
         return Success(_read_page(table))
     except (LookupError, TypeError, ValueError) as error:
-        return Failure(Away(f'page not readable: {error!r}'))
+        return Failure(Away(f'invalid page: {error!r}'))
 
 
 def _read_page(table: dict[str, Any]) -> _Page:
@@ -263,7 +264,7 @@
         offsets={key: offset for key, _, offset in rows},
         end=fields.integer(table, 'end'),
     )
-    # Raises IndexError where more follows and no key is there to go on from.
+    # Raises IndexError if more pages follow an empty one.
     after = rows[-1][0] if table.get('hasMore') else ''
     return _Page(newest, after)
 
@@ -280,9 +281,9 @@
         case HTTPStatus.OK, Success({'offset': int(offset)}):
             return Appended(offset)
         case HTTPStatus.OK, _:
-            # Not zero: the offset is a fencing token.
-            return Unknown('the answer names no offset')
-        case _ if status in _NOT_DONE:
+            # Zero must not stand in: the offset is used as a fencing token.
+            return Unknown('the answer has no offset')
+        case _ if status in _REFUSED_STATUSES:
             return Refused()
         case _:
             return Unknown(f'status {status}')
