--- a/packages/verbenahall/tests/platform/test_duties.py
+++ b/packages/verbenahall/tests/platform/test_duties.py
@@ -1,4 +1,4 @@
-"""Calls of duties: what is sent, and what their answers mean."""
+"""Duty calls: the requests that are sent, and the outcomes of answers."""
 
 import asyncio
 from types import SimpleNamespace
@@ -81,7 +81,7 @@
 
 
 def test_report_without_an_answer_may_be_carried_out_later():
-    """Nobody listens; what became of the call is not known."""
+    """Nothing listens at the address, so the outcome is unknown."""
 
     async def check():
         session = make_session()
