--- a/packages/verbenahall/tests/platform/test_store_client.py
+++ b/packages/verbenahall/tests/platform/test_store_client.py
@@ -1,4 +1,4 @@
-"""The store's client takes no answer for more than it says."""
+"""The store's client against invalid and refusing answers."""
 
 import asyncio
 import json
@@ -18,8 +18,8 @@
 )
 
 
-def call(status, body, ask):
-    """Let ``ask`` use a client whose store gives one answer to everything."""
+def call(status, body, use):
+    """Run ``use`` with a client of a store that always answers the same."""
 
     async def answer(_request):
         return web.Response(status=status, body=body)
@@ -30,7 +30,7 @@
         async with TestServer(app) as server, make_session() as session:
             client = StoreClient(session, f'{server.host}:{server.port}')
             async with asyncio.timeout(3):
-                return await ask(client)
+                return await use(client)
 
     return asyncio.run(run())
 
@@ -72,9 +72,9 @@
     ],
 )
 def test_page_that_cannot_be_read_counts_as_no_answer(body):
-    # Something between the instance and the store answers in its place. An
-    # error raised here would end the loop that follows the manifest, and the
-    # instance would serve the old one for ever.
+    # A proxy between the instance and the store answers in its place. An
+    # exception here would end the loop that follows the manifest, and the
+    # instance would serve an old manifest from then on.
     match call(200, body, read_newest):
         case Failure(Away()):
             pass
@@ -83,8 +83,8 @@
 
 
 def test_pages_that_never_end_are_given_up():
-    # A page says that more follows and gives no key to go on from. Read again
-    # and again, it would keep the loop and the store busy for ever.
+    # A page says that more pages follow but has no key to continue after. The
+    # client would read the same page in an endless loop.
     body = dump_page(items=[], hasMore=True)
     match call(200, body, read_newest):
         case Failure(Away()):
@@ -100,9 +100,9 @@
 
 @pytest.mark.parametrize('body', [b'{}', b'', b'{"offset":"3"}'])
 def test_append_without_an_offset_is_unknown(body):
-    # The answer to an append is cut or another program's. The offset is the
-    # fencing token: read as zero, the holder would order engines under the
-    # lowest token there is, and a successor's claim would look older.
+    # The answer to an append is truncated or comes from another program. The
+    # offset is the fencing token: taken as zero, the holder would order engines
+    # under the lowest token, and the claim of a successor would look older.
     outcome = call(200, body, append)
     assert isinstance(outcome, Unknown)
 
