--- a/packages/verbenahall/tests/platform/test_wire.py
+++ b/packages/verbenahall/tests/platform/test_wire.py
@@ -1,4 +1,4 @@
-"""The adapter decodes the wire once, and is the only one that knows it."""
+"""Decoding and encoding of the platform's protocol."""
 
 import json
 import pathlib
@@ -165,7 +165,7 @@
     ],
 )
 def test_manifest_with_a_bad_tenant_is_left_alone(tenant, place):
-    """Half of it in force would refuse callers whose keys are good."""
+    """A manifest in force in part would refuse callers with valid keys."""
     tenants = [{'name': 'press', 'apiKeys': ['k-1']}, tenant]
     refused = decode_manifest(dump(make_keyed_manifest(tenants)))
     message = refused.failure().message
@@ -201,7 +201,7 @@
     ],
 )
 def test_manifest_with_bad_bounds_of_scaling_is_left_alone(changes, place):
-    """Orders by half of it would end engines that are needed."""
+    """Scaling by a manifest in force in part would end needed engines."""
     refused = decode_manifest(make_scaled_manifest(**changes))
     assert place in refused.failure().message
 
@@ -231,7 +231,7 @@
 
 
 def test_ask():
-    ask = read_ask(
+    head = read_ask(
         {
             'X-Verbenahall-Request-Id': '9c41',
             'X-Verbenahall-Deadline-Ms': '5000',
@@ -241,15 +241,15 @@
             'Last-Event-Id': '12',
         },
     )
-    assert ask.wait_s == 5
-    assert ask.last_event == 12
-    assert [part.tokens for part in ask.work.parts] == [800, 410, 250]
-    assert ask.work.home_key == '91bd'
-    assert (ask.work.prompt_tokens, ask.work.output_tokens) == (1460, 30)
+    assert head.wait_s == 5
+    assert head.last_event == 12
+    assert [part.tokens for part in head.work.parts] == [800, 410, 250]
+    assert head.work.home_key == '91bd'
+    assert (head.work.prompt_tokens, head.work.output_tokens) == (1460, 30)
 
 
 def test_headers_that_cannot_be_read_count_as_absent():
-    ask = read_ask(
+    head = read_ask(
         {
             'X-Verbenahall-Deadline-Ms': 'soon',
             'X-Verbenahall-Token-Count': ',',
@@ -257,9 +257,9 @@
             'Last-Event-Id': '-1',
         },
     )
-    assert ask.wait_s is None
-    assert ask.last_event is None
-    assert not ask.work.parts
+    assert head.wait_s is None
+    assert head.last_event is None
+    assert not head.work.parts
 
 
 def test_headers_named_by_connection_stay_behind():
@@ -354,7 +354,7 @@
     ],
 )
 def test_processor_of_the_machine(tmp_path, limits, cores):
-    """Machines differ, and a platform may not tell by how much."""
+    """The settings may state the share and the speed of the core, or not."""
     path = write_settings(tmp_path, '[bounds]', f'{limits}\n[bounds]')
 
     settings = read_settings(path).unwrap()
@@ -400,8 +400,8 @@
     line,
     key,
 ):
-    # An operator's settings reach the instance with a slip in them. Without
-    # the place the operator searches a file that another program has written.
+    # The settings have a mistake. Another program has written the file, so the
+    # operator needs the file, line and key of each fault.
     path = write_settings(tmp_path, change, to)
     fault = read_settings(path).failure()[0]
     assert (fault.file, fault.line, fault.key) == (str(path), line, key)
