--- a/packages/verbenahall/src/verbenahall/membership/__init__.py
+++ b/packages/verbenahall/src/verbenahall/membership/__init__.py
@@ -11,7 +11,7 @@
     observe_word,
     standing_of,
 )
-from verbenahall.membership._listing import apply_list
+from verbenahall.membership._list_updates import apply_list
 from verbenahall.membership._messages import (
     DEFAULT_RULES,
     ListEntry,
--- a/packages/verbenahall/src/verbenahall/membership/_codec.py
+++ b/packages/verbenahall/src/verbenahall/membership/_codec.py
@@ -8,11 +8,11 @@
 from verbenahall.errors import ErrorKind, Problem
 from verbenahall.fleet import Endpoint, EndpointKind
 from verbenahall.membership._messages import (
-    Digest,
+    Heartbeat,
     ListAnswer,
     ListEntry,
     OwnReport,
-    PassedWord,
+    LeavingNotice,
     Suspicion,
 )
 
@@ -51,48 +51,49 @@
     return ListEntry(endpoint, leaving=row.get('state') == 'leaving')
 
 
-def encode_digest(digest: Digest) -> bytes:
+def encode_heartbeat(heartbeat: Heartbeat) -> bytes:
     """Encode a heartbeat; empty lists are left out."""
     message: dict[str, Any] = {
-        'sender': digest.sender,
-        'incarnation': digest.incarnation,
-        'ready': digest.report.ready,
-        'position': digest.report.position,
+        'sender': heartbeat.sender,
+        'incarnation': heartbeat.incarnation,
+        'ready': heartbeat.report.ready,
+        'position': heartbeat.report.position,
     }
-    if digest.leaving:
+    if heartbeat.leaving:
         message['leaving'] = True
-    if digest.words:
+    if heartbeat.leaving_notices:
         message['words'] = [
-            (word.name, word.incarnation, word.age_s) for word in digest.words
+            (notice.name, notice.incarnation, notice.age_s)
+            for notice in heartbeat.leaving_notices
         ]
-    if digest.suspicions:
+    if heartbeat.suspicions:
         message['suspicions'] = [
             (one.name, one.incarnation, one.failures)
-            for one in digest.suspicions
+            for one in heartbeat.suspicions
         ]
     return wire.encode(message)
 
 
-def decode_digest(body: bytes) -> Result[Digest, Problem]:
+def decode_heartbeat(body: bytes) -> Result[Heartbeat, Problem]:
     """Decode a heartbeat."""
-    return wire.decode_table(body).bind(_read_digest)
+    return wire.decode_table(body).bind(_read_heartbeat)
 
 
-def _read_digest(table: dict[str, Any]) -> Result[Digest, Problem]:
+def _read_heartbeat(table: dict[str, Any]) -> Result[Heartbeat, Problem]:
     try:
-        return Success(_build_digest(table))
+        return Success(_build_heartbeat(table))
     except _UNREADABLE as error:
         return Failure(Problem(ErrorKind.BAD_REQUEST, f'digest: {error!r}'))
 
 
-def _build_digest(table: dict[str, Any]) -> Digest:
-    return Digest(
+def _build_heartbeat(table: dict[str, Any]) -> Heartbeat:
+    return Heartbeat(
         sender=str(table['sender']),
         incarnation=str(table['incarnation']),
         report=OwnReport(bool(table['ready']), int(table['position'])),
         leaving=bool(table.get('leaving')),
-        words=tuple(
-            PassedWord(str(name), str(incarnation), max(float(age_s), 0))
+        leaving_notices=tuple(
+            LeavingNotice(str(name), str(incarnation), max(float(age_s), 0))
             for name, incarnation, age_s in table.get('words', ())
         ),
         suspicions=tuple(
--- a/packages/verbenahall/src/verbenahall/membership/_decisions.py
+++ b/packages/verbenahall/src/verbenahall/membership/_decisions.py
@@ -5,12 +5,12 @@
 from typing import Final
 
 from verbenahall.fleet import Endpoint, EndpointKind, Standing
-from verbenahall.membership._listing import forget, replace_member
-from verbenahall.membership._messages import Listing, Sign, Word
-from verbenahall.membership._standing import review
+from verbenahall.membership._list_updates import remove_member, replace_member
+from verbenahall.membership._messages import Listing, Sign, StateReport
+from verbenahall.membership._status import update_status
 from verbenahall.membership._state import Member, MembershipState
 
-_SETTLE_EVERY_S: Final = 1.0
+_EXPIRY_INTERVAL_S: Final = 1.0
 _JITTER: Final = (0.5, 1.5)
 
 
@@ -19,13 +19,13 @@
     member = state.members.get(name)
     if member is None or not member.failures:
         return
-    if member.silent:
+    if member.unresponsive:
         member.successes += 1
         member.probe_delay = state.rules.probe_first_s
         if member.successes <= member.flaps:
             return
     member.failures = 0
-    review(state, member, now)
+    update_status(state, member, now)
 
 
 def observe_failure(state: MembershipState, name: str, now: float) -> None:
@@ -38,14 +38,16 @@
     member.last_failure_at = now
     member.failures += 1
     member.successes = 0
-    review(state, member, now)
+    update_status(state, member, now)
 
 
 def observe_leaving(state: MembershipState, name: str, now: float) -> None:
     """Note the endpoint's own word that it is leaving."""
     member = state.members.get(name)
     if member is not None:
-        hear_word(state, member, Word(leaving=True, said_at=now), now)
+        apply_state_report(
+            state, member, StateReport(leaving=True, reported_at=now), now
+        )
 
 
 def observe_word(
@@ -70,19 +72,24 @@
             incarnation=incarnation,
         )
         member = replace_member(state, endpoint, now)
-    hear_word(state, member, Word(leaving=leaving, said_at=now), now)
+    apply_state_report(
+        state, member, StateReport(leaving=leaving, reported_at=now), now
+    )
 
 
-def hear_word(
+def apply_state_report(
     state: MembershipState,
     member: Member,
-    word: Word,
+    state_report: StateReport,
     now: float,
 ) -> None:
     """Keep the later of two words about a member."""
-    if member.word is None or word.said_at >= member.word.said_at:
-        member.word = word
-    review(state, member, now)
+    if (
+        member.state_report is None
+        or state_report.reported_at >= member.state_report.reported_at
+    ):
+        member.state_report = state_report
+    update_status(state, member, now)
 
 
 def live(
@@ -95,53 +102,53 @@
 
     ``service`` narrows services to one name that callers use.
     """
-    settle(state, now)
+    expire_members(state, now)
     found = state.live_cache.get((kind, service))
     if found is None:
         found = tuple(
             member.endpoint
             for _, member in sorted(state.members.items())
-            if _may_take(member, kind, service)
+            if _is_available(member, kind, service)
         )
         state.live_cache[kind, service] = found
     return found
 
 
-def _may_take(member: Member, kind: EndpointKind, service: str) -> bool:
+def _is_available(member: Member, kind: EndpointKind, service: str) -> bool:
     return (
-        member.standing is Standing.LIVE
+        member.status is Standing.LIVE
         and member.endpoint.kind is kind
         and service in {'', member.endpoint.service}
     )
 
 
-def settle(state: MembershipState, now: float) -> None:
+def expire_members(state: MembershipState, now: float) -> None:
     """Forget members that are long gone; at most once a second."""
-    if now < state.settle_at:
+    if now < state.next_expiry_at:
         return
-    state.settle_at = now + _SETTLE_EVERY_S
+    state.next_expiry_at = now + _EXPIRY_INTERVAL_S
     for member in tuple(state.members.values()):
-        if _is_forgotten(state, member, now):
-            forget(state, member)
+        if _is_expired(state, member, now):
+            remove_member(state, member)
 
 
-def _is_forgotten(
+def _is_expired(
     state: MembershipState,
     member: Member,
     now: float,
 ) -> bool:
-    if member.unlisted_at is None or member.standing is Standing.LIVE:
+    if member.unlisted_at is None or member.status is Standing.LIVE:
         return False
-    return now - member.unlisted_at >= state.rules.forget_after_s
+    return now - member.unlisted_at >= state.rules.expire_after_s
 
 
 def standing_of(state: MembershipState, name: str, now: float) -> Standing:
     """Return an endpoint's standing; an unknown name is silent."""
-    settle(state, now)
+    expire_members(state, now)
     member = state.members.get(name)
-    if member is None or member.standing is None:
+    if member is None or member.status is None:
         return Standing.SILENT
-    return member.standing
+    return member.status
 
 
 def find(state: MembershipState, name: str) -> Endpoint | None:
@@ -170,11 +177,11 @@
     when it ends.
     """
     members = state.members.values()
-    wanting = [member for member in members if _wants_probe(member, now)]
-    wanting.sort(key=_probe_order)
-    chosen = wanting[: state.rules.probes_at_once]
-    for silent in chosen:
-        _put_off(state, silent, now, rng)
+    waiting = [member for member in members if _needs_probe(member, now)]
+    waiting.sort(key=_probe_order)
+    chosen = waiting[: state.rules.probes_at_once]
+    for due in chosen:
+        _schedule_next_probe(state, due, now, rng)
     return tuple(probed.endpoint for probed in chosen)
 
 
@@ -182,15 +189,15 @@
     return member.probe_at, member.endpoint.name
 
 
-def _wants_probe(member: Member, now: float) -> bool:
+def _needs_probe(member: Member, now: float) -> bool:
     if member.probe_at > now:
         return False
-    if member.standing is Standing.SILENT or member.sign is Sign.TOLD_LEAVING:
+    if member.status is Standing.SILENT or member.reason is Sign.TOLD_LEAVING:
         return True
     return member.listing is Listing.DOUBTED
 
 
-def _put_off(
+def _schedule_next_probe(
     state: MembershipState,
     member: Member,
     now: float,
@@ -198,4 +205,4 @@
 ) -> None:
     delay = max(member.probe_delay, state.rules.probe_first_s)
     member.probe_at = now + delay * rng.uniform(*_JITTER)
-    member.probe_delay = min(delay * 2, state.rules.probe_longest_s)
+    member.probe_delay = min(delay * 2, state.rules.probe_max_s)
--- a/packages/verbenahall/src/verbenahall/membership/_listing.py
+++ b/packages/verbenahall/src/verbenahall/membership/_list_updates.py
@@ -7,13 +7,13 @@
 
 from verbenahall.fleet import Endpoint
 from verbenahall.membership._messages import ListEntry, Listing
-from verbenahall.membership._standing import review
+from verbenahall.membership._status import update_status
 from verbenahall.membership._state import Group, Member, MembershipState
 
 #: A list may take away one member of a group, or this share of it, within
 #: the removal window. More is taken for a fault of the list.
-_REMOVABLE_SHARE: Final = 3
-_KEPT_INCARNATIONS: Final = 4
+_REMOVABLE_DIVISOR: Final = 3
+_MAX_FORMER: Final = 4
 _LISTED: Final = frozenset((Listing.SHOWN, Listing.DOUBTED))
 
 
@@ -34,7 +34,7 @@
     for entry in shown.values():
         _list_entry(state, entry, now)
     for member in tuple(state.members.values()):
-        review(state, member, now)
+        update_status(state, member, now)
 
 
 def replace_member(
@@ -52,11 +52,11 @@
     former: tuple[str, ...] = ()
     if old is not None:
         former = _find_former(old, endpoint)
-        _disown(state, old.endpoint)
+        _release_address(state, old.endpoint)
     member = Member(endpoint, former, now)
     state.members[endpoint.name] = member
     state.revision += 1
-    state.owners[endpoint.address] = endpoint.name
+    state.address_owners[endpoint.address] = endpoint.name
     state.live_cache.clear()
     return member
 
@@ -64,20 +64,20 @@
 def _find_former(old: Member, endpoint: Endpoint) -> tuple[str, ...]:
     former = (*old.former, old.endpoint.incarnation)
     others = tuple(one for one in former if one != endpoint.incarnation)
-    return others[-_KEPT_INCARNATIONS:]
+    return others[-_MAX_FORMER:]
 
 
-def forget(state: MembershipState, member: Member) -> None:
+def remove_member(state: MembershipState, member: Member) -> None:
     """Drop a member and its claim to its address."""
     state.members.pop(member.endpoint.name)
     state.revision += 1
     state.peers.pop(member.endpoint.name, None)
-    _disown(state, member.endpoint)
+    _release_address(state, member.endpoint)
 
 
-def _disown(state: MembershipState, endpoint: Endpoint) -> None:
-    if state.owners.get(endpoint.address) == endpoint.name:
-        state.owners.pop(endpoint.address)
+def _release_address(state: MembershipState, endpoint: Endpoint) -> None:
+    if state.address_owners.get(endpoint.address) == endpoint.name:
+        state.address_owners.pop(endpoint.address)
 
 
 def _list_entry(
@@ -86,19 +86,19 @@
     now: float,
 ) -> None:
     member = state.members.get(entry.endpoint.name)
-    if member is not None and _lags(state, member, entry, now):
+    if member is not None and _is_lagging(state, member, entry, now):
         # Taking the entry would bring back the old process's address and
         # drop the new one's evidence, and each poll would do so again.
         return
-    endpoint = _name_life(entry.endpoint, member)
+    endpoint = _resolve_incarnation(entry.endpoint, member)
     if member is None or member.endpoint != endpoint:
         member = replace_member(state, endpoint, now)
-    state.owners.setdefault(endpoint.address, endpoint.name)
+    state.address_owners.setdefault(endpoint.address, endpoint.name)
     member.listing = Listing.LEAVING if entry.leaving else Listing.SHOWN
     member.unlisted_at = None
 
 
-def _lags(
+def _is_lagging(
     state: MembershipState,
     member: Member,
     entry: ListEntry,
@@ -114,7 +114,7 @@
     return now - member.born_at < state.rules.list_lag_s
 
 
-def _name_life(endpoint: Endpoint, member: Member | None) -> Endpoint:
+def _resolve_incarnation(endpoint: Endpoint, member: Member | None) -> Endpoint:
     """Give an entry the known life where the list names none or its own."""
     if member is None:
         return endpoint
@@ -174,7 +174,7 @@
     for group, names in _group_listed(state).items():
         missing = names - set(shown)
         recent = _recent_removals(state, group, now)
-        allowed = max(1, (len(names) + recent) // _REMOVABLE_SHARE)
+        allowed = max(1, (len(names) + recent) // _REMOVABLE_DIVISOR)
         if group[1] not in seen or len(missing) + recent > allowed:
             doubted |= missing
     return doubted
--- a/packages/verbenahall/src/verbenahall/membership/_messages.py
+++ b/packages/verbenahall/src/verbenahall/membership/_messages.py
@@ -52,15 +52,15 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Word:
+class StateReport:
     """What an endpoint said of itself, and when that was said.
 
-    ``said_at`` is in this process's monotonic seconds, also for a word that
+    ``reported_at`` is in this process's monotonic seconds, also for a word that
     a peer passed on with its age.
     """
 
     leaving: bool
-    said_at: float
+    reported_at: float
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -70,7 +70,7 @@
     endpoint: Endpoint
     before: Standing | None
     after: Standing
-    sign: Sign
+    reason: Sign
     failures: int
 
 
@@ -88,14 +88,14 @@
     silent_after_s: float = 2.0
     suspecting_peers: int = 2
     suspicion_s: float = 3.0
-    word_passed_on_s: float = 10.0
+    notice_lifetime_s: float = 10.0
     flap_window_s: float = 30.0
     flap_limit: int = 4
     probe_first_s: float = 0.5
-    probe_longest_s: float = 5.0
+    probe_max_s: float = 5.0
     probes_at_once: int = 4
     removal_window_s: float = 60.0
-    forget_after_s: float = 60.0
+    expire_after_s: float = 60.0
     list_lag_s: float = 30.0
 
 
@@ -103,7 +103,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class PassedWord:
+class LeavingNotice:
     """An endpoint's word that it leaves, passed on with its age."""
 
     name: str
@@ -129,7 +129,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Digest:
+class Heartbeat:
     """One heartbeat between instances of a data centre.
 
     Ages stand in for times, since no two clocks agree.
@@ -139,7 +139,7 @@
     incarnation: str
     report: OwnReport
     leaving: bool
-    words: tuple[PassedWord, ...] = ()
+    leaving_notices: tuple[LeavingNotice, ...] = ()
     suspicions: tuple[Suspicion, ...] = ()
 
 
@@ -149,4 +149,4 @@
 
     incarnation: str
     report: OwnReport
-    heard_at: float
+    received_at: float
--- a/packages/verbenahall/src/verbenahall/membership/_peer_shell.py
+++ b/packages/verbenahall/src/verbenahall/membership/_peer_shell.py
@@ -11,12 +11,12 @@
 from verbenahall import clock
 from verbenahall.errors import ErrorKind, Problem
 from verbenahall.fleet import Endpoint
-from verbenahall.membership._codec import decode_digest, encode_digest
+from verbenahall.membership._codec import decode_heartbeat, encode_heartbeat
 from verbenahall.membership._decisions import find, observe_failure
-from verbenahall.membership._messages import Digest, OwnReport
+from verbenahall.membership._messages import Heartbeat, OwnReport
 from verbenahall.membership._peers import (
-    apply_digest,
-    build_digest,
+    apply_heartbeat,
+    build_heartbeat,
     choose_peers,
     list_peers,
 )
@@ -30,22 +30,22 @@
 _FAN_OUT_LEAVING: Final = 8
 _EPOCH_S: Final = 8
 _JITTER: Final = (0.8, 1.2)
-_DIGEST_BYTES: Final = 16_384
+_MAX_HEARTBEAT_BYTES: Final = 16_384
 #: Headers that peers don't read: half of a heartbeat's bytes.
-_UNSENT: Final = (
+_SKIPPED_REQUEST_HEADERS: Final = (
     hdrs.USER_AGENT,
     hdrs.ACCEPT,
     hdrs.ACCEPT_ENCODING,
     hdrs.CONTENT_TYPE,
 )
-_UNANSWERED: Final = (hdrs.CONTENT_TYPE, hdrs.DATE, hdrs.SERVER)
+_DROPPED_RESPONSE_HEADERS: Final = (hdrs.CONTENT_TYPE, hdrs.DATE, hdrs.SERVER)
 
 
 @final
 class PeerExchange:
     """Sends and answers heartbeats within a data centre.
 
-    ``own`` is this instance as the list names it, ``report`` tells its
+    ``local`` is this instance as the list names it, ``report`` tells its
     readiness and settings offset.
     """
 
@@ -53,7 +53,7 @@
         self,
         session: ClientSession,
         state: MembershipState,
-        own: Endpoint,
+        local: Endpoint,
         report: Callable[[], OwnReport],
         period_s: float,
         now: clock.Clock = clock.monotonic,
@@ -61,42 +61,42 @@
         """Exchange over ``session`` each ``period_s``."""
         self._session = session
         self._state = state
-        self._own = own
+        self._local = local
         self._report = report
         self._period_s = period_s
         self._now = now
         self._leaving = False
-        self._rng = random.Random(f'{own.name}/{own.incarnation}')
+        self._rng = random.Random(f'{local.name}/{local.incarnation}')
 
     def add_routes(self, app: web.Application) -> None:
         """Answer heartbeats on the instance's own port."""
-        app.router.add_post(_PATH, self._answer)
-        app.on_response_prepare.append(_trim)
+        app.router.add_post(_PATH, self._handle_heartbeat)
+        app.on_response_prepare.append(_strip_headers)
 
     async def run(self) -> None:
         """Send heartbeats until cancelled."""
         while True:
             epoch = int(self._now() / _EPOCH_S)
-            await self._send_to(self._choose(epoch, _FAN_OUT))
+            await self._send_to(self._choose_recipients(epoch, _FAN_OUT))
             jitter = self._rng.uniform(*_JITTER)
             await asyncio.sleep(self._period_s * jitter)
 
     async def announce_leaving(self) -> None:
         """Tell peers at once that this instance leaves; a hook of the stop."""
         self._leaving = True
-        await self._send_to(self._choose(0, _FAN_OUT_LEAVING))
+        await self._send_to(self._choose_recipients(0, _FAN_OUT_LEAVING))
 
-    def _choose(self, epoch: int, count: int) -> list[str]:
+    def _choose_recipients(self, epoch: int, count: int) -> list[str]:
         names = list_peers(
             self._state,
-            self._own.name,
-            self._own.data_centre,
+            self._local.name,
+            self._local.data_centre,
             self._now(),
         )
-        return choose_peers(self._own.name, names, epoch, count)
+        return choose_peers(self._local.name, names, epoch, count)
 
     async def _send_to(self, names: list[str]) -> None:
-        body = encode_digest(self._build())
+        body = encode_heartbeat(self._build_heartbeat())
         await asyncio.gather(*(self._send(name, body) for name in names))
 
     async def _send(self, name: str, body: bytes) -> None:
@@ -104,8 +104,8 @@
         if peer is None:
             return
         match await self._post(peer, body):
-            case Success(digest) if digest.sender == name:
-                apply_digest(self._state, digest, self._now())
+            case Success(heartbeat) if heartbeat.sender == name:
+                apply_heartbeat(self._state, heartbeat, self._now())
             case _:
                 observe_failure(self._state, name, self._now())
 
@@ -113,36 +113,40 @@
         self,
         peer: Endpoint,
         body: bytes,
-    ) -> Result[Digest, Problem]:
+    ) -> Result[Heartbeat, Problem]:
         try:
             async with self._session.post(
                 f'http://{peer.address}{_PATH}',
                 data=body,
                 timeout=_TIMEOUT,
-                skip_auto_headers=_UNSENT,
+                skip_auto_headers=_SKIPPED_REQUEST_HEADERS,
             ) as answer:
                 answer.raise_for_status()
-                return decode_digest(await answer.read())
+                return decode_heartbeat(await answer.read())
         except (ClientError, OSError, TimeoutError) as error:
             return Failure(Problem(ErrorKind.ENDPOINT_FAILED, repr(error)))
 
-    def _build(self) -> Digest:
-        return build_digest(
+    def _build_heartbeat(self) -> Heartbeat:
+        return build_heartbeat(
             self._state,
-            (self._own.name, self._own.incarnation),
+            (self._local.name, self._local.incarnation),
             self._report(),
             self._now(),
             leaving=self._leaving,
         )
 
-    async def _answer(self, request: web.Request) -> web.Response:
+    async def _handle_heartbeat(self, request: web.Request) -> web.Response:
         length = request.content_length
-        if length is None or length > _DIGEST_BYTES:
-            raise web.HTTPRequestEntityTooLarge(_DIGEST_BYTES, length or 0)
-        match decode_digest(await request.read()):
-            case Success(digest) if self._is_peer(digest.sender, request):
-                apply_digest(self._state, digest, self._now())
-                return web.Response(body=encode_digest(self._build()))
+        if length is None or length > _MAX_HEARTBEAT_BYTES:
+            raise web.HTTPRequestEntityTooLarge(
+                _MAX_HEARTBEAT_BYTES, length or 0
+            )
+        match decode_heartbeat(await request.read()):
+            case Success(heartbeat) if self._is_peer(heartbeat.sender, request):
+                apply_heartbeat(self._state, heartbeat, self._now())
+                return web.Response(
+                    body=encode_heartbeat(self._build_heartbeat())
+                )
             case Success():
                 raise web.HTTPForbidden()
             case _:
@@ -160,8 +164,10 @@
         return peer.address.rpartition(':')[0] == request.remote
 
 
-async def _trim(request: web.Request, response: web.StreamResponse) -> None:
+async def _strip_headers(
+    request: web.Request, response: web.StreamResponse
+) -> None:
     """Leave out what peers don't read."""
     if request.path == _PATH:
-        for name in _UNANSWERED:
+        for name in _DROPPED_RESPONSE_HEADERS:
             response.headers.pop(name, None)
--- a/packages/verbenahall/src/verbenahall/membership/_peers.py
+++ b/packages/verbenahall/src/verbenahall/membership/_peers.py
@@ -8,29 +8,29 @@
 
 from verbenahall.fleet import EndpointKind
 from verbenahall.membership._decisions import (
-    hear_word,
+    apply_state_report,
     live,
     observe_answer,
 )
 from verbenahall.membership._messages import (
-    Digest,
+    Heartbeat,
     OwnReport,
-    PassedWord,
+    LeavingNotice,
     PeerView,
     Suspicion,
-    Word,
+    StateReport,
 )
-from verbenahall.membership._standing import review
+from verbenahall.membership._status import update_status
 from verbenahall.membership._state import Member, MembershipState
 
 #: Bounds on one digest, so that a rack's failure does not swell it.
-_WORDS_AT_ONCE: Final = 16
-_SUSPICIONS_AT_ONCE: Final = 8
+_MAX_NOTICES: Final = 16
+_MAX_SUSPICIONS: Final = 8
 _AGE_DIGITS: Final = 2
 
 
 def choose_peers(
-    own: str,
+    local: str,
     names: Iterable[str],
     epoch: int,
     count: int,
@@ -40,74 +40,76 @@
     The choice holds for an epoch, so that connections are used again, and
     differs between epochs, so that no pair stays strangers.
     """
-    others = (name for name in names if name != own)
+    others = (name for name in names if name != local)
     return heapq.nlargest(
         count,
         others,
-        key=lambda name: _score(own, name, epoch),
+        key=lambda name: _score(local, name, epoch),
     )
 
 
-def _score(own: str, name: str, epoch: int) -> int:
-    return xxhash.xxh3_64_intdigest(f'{own}|{name}|{epoch}'.encode())
+def _score(local: str, name: str, epoch: int) -> int:
+    return xxhash.xxh3_64_intdigest(f'{local}|{name}|{epoch}'.encode())
 
 
 def list_peers(
     state: MembershipState,
-    own: str,
+    local: str,
     data_centre: str,
     now: float,
 ) -> list[str]:
-    """List the live instances of a data centre but for ``own``."""
+    """List the live instances of a data centre but for ``local``."""
     return [
         endpoint.name
         for endpoint in live(state, EndpointKind.INSTANCE, now)
-        if endpoint.data_centre == data_centre and endpoint.name != own
+        if endpoint.data_centre == data_centre and endpoint.name != local
     ]
 
 
-def build_digest(
+def build_heartbeat(
     state: MembershipState,
     sender: tuple[str, str],
     report: OwnReport,
     now: float,
     *,
     leaving: bool,
-) -> Digest:
+) -> Heartbeat:
     """Build the heartbeat of ``sender``, a name with its incarnation.
 
     A word is passed on only while it is young, so that a word taken back
     dies out among the peers.
     """
     name, incarnation = sender
-    words = heapq.nsmallest(
-        _WORDS_AT_ONCE,
-        _find_words(state, now),
-        key=lambda word: (word.age_s, word.name),
+    leaving_notices = heapq.nsmallest(
+        _MAX_NOTICES,
+        _find_leaving_notices(state, now),
+        key=lambda notice: (notice.age_s, notice.name),
     )
     suspicions = heapq.nsmallest(
-        _SUSPICIONS_AT_ONCE,
+        _MAX_SUSPICIONS,
         _find_suspicions(state),
         key=lambda one: (-one.failures, one.name),
     )
-    return Digest(
+    return Heartbeat(
         sender=name,
         incarnation=incarnation,
         report=report,
         leaving=leaving,
-        words=tuple(words),
+        leaving_notices=tuple(leaving_notices),
         suspicions=tuple(suspicions),
     )
 
 
-def _find_words(state: MembershipState, now: float) -> Iterator[PassedWord]:
+def _find_leaving_notices(
+    state: MembershipState, now: float
+) -> Iterator[LeavingNotice]:
     for name, member in state.members.items():
-        word = member.word
-        if word is None or not word.leaving:
+        state_report = member.state_report
+        if state_report is None or not state_report.leaving:
             continue
-        age_s = round(now - word.said_at, _AGE_DIGITS)
-        if age_s <= state.rules.word_passed_on_s:
-            yield PassedWord(name, member.endpoint.incarnation, age_s)
+        age_s = round(now - state_report.reported_at, _AGE_DIGITS)
+        if age_s <= state.rules.notice_lifetime_s:
+            yield LeavingNotice(name, member.endpoint.incarnation, age_s)
 
 
 def _find_suspicions(state: MembershipState) -> Iterator[Suspicion]:
@@ -120,30 +122,34 @@
             )
 
 
-def apply_digest(state: MembershipState, digest: Digest, now: float) -> None:
+def apply_heartbeat(
+    state: MembershipState, heartbeat: Heartbeat, now: float
+) -> None:
     """Fold a peer's heartbeat; evidence on other lives is dropped."""
-    sender = state.members.get(digest.sender)
+    sender = state.members.get(heartbeat.sender)
     if sender is None:
         return
     # The list names an instance's life in its own way, so the life that the
     # digest tells does not replace the member.
-    hear_word(state, sender, Word(digest.leaving, now), now)
-    observe_answer(state, digest.sender, now)
-    state.peers[digest.sender] = PeerView(
-        digest.incarnation,
-        digest.report,
+    apply_state_report(state, sender, StateReport(heartbeat.leaving, now), now)
+    observe_answer(state, heartbeat.sender, now)
+    state.peers[heartbeat.sender] = PeerView(
+        heartbeat.incarnation,
+        heartbeat.report,
         now,
     )
-    for passed in digest.words:
-        told = _match(state, passed.name, passed.incarnation)
-        if told is not None:
-            word = Word(leaving=True, said_at=now - passed.age_s)
-            hear_word(state, told, word, now)
-    for suspicion in digest.suspicions:
+    for notice in heartbeat.leaving_notices:
+        member = _match(state, notice.name, notice.incarnation)
+        if member is not None:
+            state_report = StateReport(
+                leaving=True, reported_at=now - notice.age_s
+            )
+            apply_state_report(state, member, state_report, now)
+    for suspicion in heartbeat.suspicions:
         suspect = _match(state, suspicion.name, suspicion.incarnation)
         if suspect is not None:
-            suspect.suspicions[digest.sender] = now
-            review(state, suspect, now)
+            suspect.suspicions[heartbeat.sender] = now
+            update_status(state, suspect, now)
 
 
 def _match(
--- a/packages/verbenahall/src/verbenahall/membership/_poller.py
+++ b/packages/verbenahall/src/verbenahall/membership/_poller.py
@@ -11,7 +11,7 @@
 from verbenahall import clock, wire
 from verbenahall.errors import ErrorKind, Problem
 from verbenahall.membership._codec import decode_list
-from verbenahall.membership._listing import apply_list
+from verbenahall.membership._list_updates import apply_list
 from verbenahall.membership._messages import ListAnswer
 from verbenahall.membership._state import MembershipState
 
@@ -20,7 +20,7 @@
 _LOWER_VERSION_POLLS: Final = 5
 #: A list that has not changed is folded again this often only: time alone
 #: settles what was doubted or taken for lag, and folding all is dear.
-_FOLD_AGAIN_S: Final = 5.0
+_REAPPLY_INTERVAL_S: Final = 5.0
 
 
 @final
@@ -45,10 +45,10 @@
         self._state = state
         self._period_s = period_s
         self._now = now
-        self._last = ListAnswer(0, ())
-        self._condition: dict[str, str] = {}
-        self._folded = self._last
-        self._fold_again_at = float('-inf')
+        self._last_answer = ListAnswer(0, ())
+        self._conditional_headers: dict[str, str] = {}
+        self._applied = self._last_answer
+        self._next_reapply_at = float('-inf')
         self._version = 0
         self._lower_polls = 0
         self.failed_polls = 0
@@ -63,50 +63,52 @@
         """Poll once."""
         match await self._fetch():
             case Success(answer):
-                self._take(answer)
+                self._apply(answer)
             case Failure(problem):
-                self._note_failure(problem)
+                self._record_failure(problem)
 
     async def _fetch(self) -> Result[ListAnswer, Problem]:
         try:
             async with self._session.get(
                 self._url,
                 timeout=_POLL_TIMEOUT,
-                headers=self._condition,
+                headers=self._conditional_headers,
             ) as response:
                 response.raise_for_status()
-                return self._read(response, await response.read())
+                return self._read_response(response, await response.read())
         except (aiohttp.ClientError, OSError, TimeoutError) as error:
             return Failure(Problem(ErrorKind.ENDPOINT_FAILED, repr(error)))
 
-    def _read(
+    def _read_response(
         self,
         response: aiohttp.ClientResponse,
         body: bytes,
     ) -> Result[ListAnswer, Problem]:
         """Decode a list; one that has not changed is the last one again."""
         if response.status == HTTPStatus.NOT_MODIFIED:
-            return Success(self._last)
+            return Success(self._last_answer)
         decoded = wire.decode_table(body).bind(decode_list)
         if isinstance(decoded, Success):
             # The tag of a list that could not be read is not kept: every
             # later poll would be told that nothing has changed since.
-            self._last = decoded.unwrap()
+            self._last_answer = decoded.unwrap()
             tag = response.headers.get(aiohttp.hdrs.ETAG)
-            self._condition = {aiohttp.hdrs.IF_NONE_MATCH: tag} if tag else {}
+            self._conditional_headers = (
+                {aiohttp.hdrs.IF_NONE_MATCH: tag} if tag else {}
+            )
         return decoded
 
-    def _take(self, answer: ListAnswer) -> None:
+    def _apply(self, answer: ListAnswer) -> None:
         self.failed_polls = 0
         if self._is_stale(answer.version):
             return
         now = self._now()
-        if answer is self._folded and now < self._fold_again_at:
+        if answer is self._applied and now < self._next_reapply_at:
             self._state.listed_at = now
             return
         apply_list(self._state, answer.entries, now)
-        self._folded = answer
-        self._fold_again_at = now + _FOLD_AGAIN_S
+        self._applied = answer
+        self._next_reapply_at = now + _REAPPLY_INTERVAL_S
 
     def _is_stale(self, version: int) -> bool:
         """Tell an older copy of the list from a list that began anew.
@@ -122,7 +124,7 @@
         self._lower_polls = 0
         return False
 
-    def _note_failure(self, problem: Problem) -> None:
+    def _record_failure(self, problem: Problem) -> None:
         self.failed_polls += 1
         if self.failed_polls == 1:
             logging.warning('instance list unreadable: %s', problem.message)
--- a/packages/verbenahall/src/verbenahall/membership/_prober.py
+++ b/packages/verbenahall/src/verbenahall/membership/_prober.py
@@ -20,16 +20,16 @@
 
 _TIMEOUT_S: Final = 1.0
 _TIMEOUT: Final = aiohttp.ClientTimeout(total=_TIMEOUT_S)
-_TICK_S: Final = 0.1
+_CHECK_INTERVAL_S: Final = 0.1
 #: The asterisk form asks the server itself and no path of the service, so
 #: that a probe can never count as a run. aiohttp's client can't send it.
 _PING: Final = (
     'OPTIONS * HTTP/1.1\r\nHost: {0}\r\n'
     'Content-Length: 0\r\nConnection: close\r\n\r\n'
 )
-_HTTP: Final = b'HTTP/1.'
+_HTTP_PREFIX: Final = b'HTTP/1.'
 
-_Found = Result[dict[str, Any], Problem]
+_ProbeResult = Result[dict[str, Any], Problem]
 
 
 @final
@@ -58,26 +58,26 @@
         while True:
             due = due_probes(self._state, self._now(), self._rng)
             await asyncio.gather(*(self.probe(one) for one in due))
-            await asyncio.sleep(_TICK_S)
+            await asyncio.sleep(_CHECK_INTERVAL_S)
 
     async def probe(self, endpoint: Endpoint) -> None:
         """Ask one endpoint and note what came of it."""
-        match await self._ask(endpoint):
+        match await self._query(endpoint):
             case Success(table):
-                self._take(endpoint, table)
+                self._apply_state(endpoint, table)
             case _:
                 observe_failure(self._state, endpoint.name, self._now())
 
-    async def _ask(self, endpoint: Endpoint) -> _Found:
-        ask = self._fetch_state
+    async def _query(self, endpoint: Endpoint) -> _ProbeResult:
+        query = self._fetch_state
         if endpoint.kind is not EndpointKind.ENGINE:
-            ask = _ping
+            query = _ping
         try:
-            return await ask(endpoint)
+            return await query(endpoint)
         except (aiohttp.ClientError, OSError, EOFError) as error:
             return _fail(repr(error))
 
-    async def _fetch_state(self, endpoint: Endpoint) -> _Found:
+    async def _fetch_state(self, endpoint: Endpoint) -> _ProbeResult:
         async with self._session.get(
             f'http://{endpoint.address}/state',
             timeout=_TIMEOUT,
@@ -90,7 +90,7 @@
             return _fail('another endpoint answers')
         return found
 
-    def _take(self, endpoint: Endpoint, table: dict[str, Any]) -> None:
+    def _apply_state(self, endpoint: Endpoint, table: dict[str, Any]) -> None:
         now = self._now()
         incarnation = table.get('incarnation')
         if incarnation is not None:
@@ -104,7 +104,7 @@
         observe_answer(self._state, endpoint.name, now)
 
 
-async def _ping(endpoint: Endpoint) -> _Found:
+async def _ping(endpoint: Endpoint) -> _ProbeResult:
     """Ask whether an HTTP server answers, whatever it answers."""
     host, _, port = endpoint.address.rpartition(':')
     ping = _PING.format(endpoint.address).encode()
@@ -112,11 +112,11 @@
         reader, writer = await asyncio.open_connection(host, int(port))
         writer.write(ping)
         try:
-            start = await reader.readexactly(len(_HTTP))
+            start = await reader.readexactly(len(_HTTP_PREFIX))
         finally:
             writer.close()
-    return Success({}) if start == _HTTP else _fail('not HTTP')
+    return Success({}) if start == _HTTP_PREFIX else _fail('not HTTP')
 
 
-def _fail(message: str) -> _Found:
+def _fail(message: str) -> _ProbeResult:
     return Failure(Problem(ErrorKind.ENDPOINT_FAILED, message))
--- a/packages/verbenahall/src/verbenahall/membership/_state.py
+++ b/packages/verbenahall/src/verbenahall/membership/_state.py
@@ -13,7 +13,7 @@
     PeerView,
     Sign,
     StandingChange,
-    Word,
+    StateReport,
 )
 
 #: Endpoints of one kind in one data centre.
@@ -25,7 +25,7 @@
     """One name at one incarnation, with all evidence since ``born_at``.
 
     ``suspicions`` maps a peer's name to when it last said that this member
-    fails. ``silent`` is whether it is out of reach, also while it leaves.
+    fails. ``unresponsive`` is whether it is out of reach, also while it leaves.
     ``former`` holds incarnations that this one replaced, so that a
     lagging list can't bring them back.
     """
@@ -34,7 +34,7 @@
         'endpoint',
         'listing',
         'unlisted_at',
-        'word',
+        'state_report',
         'failures',
         'first_failure_at',
         'last_failure_at',
@@ -46,9 +46,9 @@
         'suspicions',
         'former',
         'born_at',
-        'silent',
-        'standing',
-        'sign',
+        'unresponsive',
+        'status',
+        'reason',
     )
 
     def __init__(
@@ -61,7 +61,7 @@
         self.endpoint = endpoint
         self.listing = Listing.SHOWN
         self.unlisted_at: float | None = None
-        self.word: Word | None = None
+        self.state_report: StateReport | None = None
         self.failures = 0
         self.first_failure_at = float('-inf')
         self.last_failure_at = float('-inf')
@@ -73,9 +73,9 @@
         self.suspicions: dict[str, float] = {}
         self.former = former
         self.born_at = born_at
-        self.silent = False
-        self.standing: Standing | None = None
-        self.sign = Sign.ANSWERS
+        self.unresponsive = False
+        self.status: Standing | None = None
+        self.reason = Sign.ANSWERS
 
 
 def _write_change(change: StandingChange) -> None:
@@ -85,7 +85,7 @@
         incarnation=change.endpoint.incarnation,
         before=change.before.value if change.before else 'unknown',
         after=change.after.value,
-        reason=change.sign.value,
+        reason=change.reason.value,
         failures=change.failures,
     )
 
@@ -103,12 +103,12 @@
     __slots__ = (
         'rules',
         'members',
-        'owners',
+        'address_owners',
         'removals',
         'peers',
         'live_cache',
         'revision',
-        'settle_at',
+        'next_expiry_at',
         'first_listed_at',
         'listed_at',
         'notify',
@@ -122,14 +122,14 @@
         """Start knowing nothing."""
         self.rules = rules
         self.members: dict[str, Member] = {}
-        self.owners: dict[str, str] = {}
+        self.address_owners: dict[str, str] = {}
         self.removals: dict[Group, collections.deque[float]] = {}
         self.revision = 0
         self.live_cache: dict[
             tuple[EndpointKind, str], tuple[Endpoint, ...]
         ] = {}
         self.peers: dict[str, PeerView] = {}
-        self.settle_at = float('-inf')
+        self.next_expiry_at = float('-inf')
         self.first_listed_at: float | None = None
         self.listed_at: float | None = None
         self.notify = notify
--- a/packages/verbenahall/src/verbenahall/membership/_standing.py
+++ b/packages/verbenahall/src/verbenahall/membership/_status.py
@@ -10,7 +10,7 @@
 
 
 def _address_taken(state: MembershipState, member: Member, now: float) -> bool:
-    owner = state.owners.get(member.endpoint.address)
+    owner = state.address_owners.get(member.endpoint.address)
     return owner != member.endpoint.name
 
 
@@ -22,8 +22,10 @@
     return member.listing is Listing.GONE
 
 
-def _told_leaving(state: MembershipState, member: Member, now: float) -> bool:
-    return member.word is not None and member.word.leaving
+def _reported_leaving(
+    state: MembershipState, member: Member, now: float
+) -> bool:
+    return member.state_report is not None and member.state_report.leaving
 
 
 def _failing(state: MembershipState, member: Member, now: float) -> bool:
@@ -47,9 +49,9 @@
     if not member.failures:
         return False
     fresh = [
-        said_at
-        for said_at in member.suspicions.values()
-        if now - said_at <= state.rules.suspicion_s
+        reported_at
+        for reported_at in member.suspicions.values()
+        if now - reported_at <= state.rules.suspicion_s
     ]
     return len(fresh) >= state.rules.suspecting_peers
 
@@ -59,15 +61,15 @@
 
 #: The first sign that holds decides. Leaving goes before silent: a member
 #: that is both must not be probed back into work.
-_LEAVING: Final[_Table] = MappingProxyType(
+_LEAVING_CHECKS: Final[_Table] = MappingProxyType(
     {
         Sign.ADDRESS_TAKEN: _address_taken,
         Sign.LIST_LEAVING: _list_leaving,
         Sign.LIST_GONE: _list_gone,
-        Sign.TOLD_LEAVING: _told_leaving,
+        Sign.TOLD_LEAVING: _reported_leaving,
     },
 )
-_OUT_OF_REACH: Final[_Table] = MappingProxyType(
+_UNREACHABLE_CHECKS: Final[_Table] = MappingProxyType(
     {
         Sign.FAILING: _failing,
         Sign.DOUBTED_FAILING: _doubted_failing,
@@ -76,7 +78,7 @@
 )
 
 
-def review(state: MembershipState, member: Member, now: float) -> None:
+def update_status(state: MembershipState, member: Member, now: float) -> None:
     """Work out the member's standing anew and tell a change.
 
     Reach is kept apart from leaving. A silent member that the list marked as
@@ -84,40 +86,40 @@
     recovery, its next silence would count as flapping, and a healthy endpoint
     would have to answer more often before it gets work.
     """
-    unreached = _find_sign(_OUT_OF_REACH, state, member, now)
-    _note_reach(state, member, now, unreached)
-    leaving = _find_sign(_LEAVING, state, member, now)
-    before = member.standing
-    if leaving:
-        member.sign = leaving
-        member.standing = Standing.LEAVING
-    elif member.silent:
-        member.sign = unreached or Sign.FAILING
-        member.standing = Standing.SILENT
+    unreachable_reason = _find_reason(_UNREACHABLE_CHECKS, state, member, now)
+    _update_reachability(state, member, now, unreachable_reason)
+    leaving_reason = _find_reason(_LEAVING_CHECKS, state, member, now)
+    before = member.status
+    if leaving_reason:
+        member.reason = leaving_reason
+        member.status = Standing.LEAVING
+    elif member.unresponsive:
+        member.reason = unreachable_reason or Sign.FAILING
+        member.status = Standing.SILENT
     else:
-        member.sign = Sign.ANSWERS
-        member.standing = Standing.LIVE
-    if member.standing is not before:
-        _tell(state, member, before)
+        member.reason = Sign.ANSWERS
+        member.status = Standing.LIVE
+    if member.status is not before:
+        _notify_change(state, member, before)
 
 
-def _find_sign(
+def _find_reason(
     table: _Table,
     state: MembershipState,
     member: Member,
     now: float,
 ) -> Sign | None:
-    for sign, holds in table.items():
+    for reason, holds in table.items():
         if holds(state, member, now):
-            return sign
+            return reason
     return None
 
 
-def _note_reach(
+def _update_reachability(
     state: MembershipState,
     member: Member,
     now: float,
-    unreached: Sign | None,
+    unreachable_reason: Sign | None,
 ) -> None:
     """Keep whether the member is silent.
 
@@ -125,28 +127,30 @@
     (``observe_answer`` then clears its failures), though a sign such as its
     peers' suspicion may have grown old meanwhile.
     """
-    if unreached and not member.silent:
-        _fall_silent(state, member, now)
-    elif member.silent and not unreached and not member.failures:
-        member.silent = False
+    if unreachable_reason and not member.unresponsive:
+        _mark_unresponsive(state, member, now)
+    elif member.unresponsive and not unreachable_reason and not member.failures:
+        member.unresponsive = False
         member.recovered_at = now
 
 
-def _fall_silent(state: MembershipState, member: Member, now: float) -> None:
+def _mark_unresponsive(
+    state: MembershipState, member: Member, now: float
+) -> None:
     """Keep the marks that damp flapping and space the probes."""
     rules = state.rules
     recovered_at = member.recovered_at
     flapped = (
         recovered_at is not None and now - recovered_at < rules.flap_window_s
     )
-    member.silent = True
+    member.unresponsive = True
     member.flaps = min(member.flaps + 1, rules.flap_limit) if flapped else 0
     member.successes = 0
     member.probe_delay = rules.probe_first_s
     member.probe_at = now + member.probe_delay
 
 
-def _tell(
+def _notify_change(
     state: MembershipState,
     member: Member,
     before: Standing | None,
@@ -156,8 +160,8 @@
         StandingChange(
             member.endpoint,
             before,
-            member.standing,
-            member.sign,
+            member.status,
+            member.reason,
             member.failures,
         ),
     )
--- a/packages/verbenahall/tests/membership/test_differential.py
+++ b/packages/verbenahall/tests/membership/test_differential.py
@@ -58,30 +58,30 @@
             observe_failure(state, one, now)
         case ('leaving', one):
             observe_leaving(state, one, now)
-        case (said, one, incarnation):
+        case (reported, one, incarnation):
             observe_word(
-                state, one, incarnation, leaving=said == 'leaves', now=now
+                state, one, incarnation, leaving=reported == 'leaves', now=now
             )
 
 
 def find_incarnation(events, one):
     """Replay which process bears a name: a replaced one never returns."""
-    born = [
-        (index, heard)
+    seen = [
+        (index, incarnation)
         for index, (_, what) in enumerate(events)
-        for heard in find_heard(what, one)
+        for incarnation in list_incarnations(what, one)
     ]
     lives = {}
-    for index, heard in born:
-        lives.setdefault(heard, index)
+    for index, incarnation in seen:
+        lives.setdefault(incarnation, index)
     return max(lives.items(), key=lambda life: life[1], default=(None, 0))
 
 
-def find_heard(what, one):
+def list_incarnations(what, one):
     match what:
         case ('list', rows):
             return [row[1] for row in rows if row[0] == one]
-        case ('stays' | 'leaves', said_of, incarnation) if said_of == one:
+        case ('stays' | 'leaves', subject, incarnation) if subject == one:
             return [incarnation]
     return []
 
@@ -91,7 +91,7 @@
 
     A list that shows another process 30 s on names processes in its own way.
     """
-    shown, said = [False], [False]
+    shown, reported = [False], [False]
     born_at = events[0][0]
     for at, what in events:
         match what:
@@ -102,11 +102,11 @@
                     for row in rows
                     if row[0] == one and own in {True, row[:2]}
                 ]
-            case ('leaving', told) if told == one:
-                said.append(True)
-            case (word, *about) if about == [one, incarnation]:
-                said.append(word == 'leaves')
-    return shown[-1], said[-1]
+            case ('leaving', subject) if subject == one:
+                reported.append(True)
+            case (kind, *about) if about == [one, incarnation]:
+                reported.append(kind == 'leaves')
+    return shown[-1], reported[-1]
 
 
 class Reach:
@@ -117,28 +117,28 @@
         self.answers = 0
         self.flaps = 0
         self.recovered_at = -100
-        self.silent = False
+        self.unresponsive = False
 
     def fail(self, at):
         self.failures.append(at)
         self.answers = 0
         span = at - self.failures[0]
-        if not self.silent and (len(self.failures) >= 3 or span >= 2):
+        if not self.unresponsive and (len(self.failures) >= 3 or span >= 2):
             recent = at - self.recovered_at < 30
             self.flaps = min(self.flaps + 1, 4) if recent else 0
-            self.silent = True
+            self.unresponsive = True
 
     def answer(self, at):
         self.answers += bool(self.failures)
-        if self.silent and self.answers <= self.flaps:
+        if self.unresponsive and self.answers <= self.flaps:
             return
-        if self.silent:
+        if self.unresponsive:
             self.recovered_at = at
         self.failures = []
-        self.silent = False
+        self.unresponsive = False
 
 
-def judge(events, one):
+def compute_status(events, one):
     """Work out one name's standing from the whole history."""
     incarnation, since = find_incarnation(events, one)
     if incarnation is None:
@@ -151,7 +151,7 @@
             reach.fail(at)
         elif what == ('answer', one):
             reach.answer(at)
-    return Standing.SILENT if reach.silent else Standing.LIVE
+    return Standing.SILENT if reach.unresponsive else Standing.LIVE
 
 
 def fill(rows):
@@ -185,7 +185,7 @@
             continue
         apply(state, what, now)
         events.append((now, what))
-        standings = {one: judge(events, one) for one in NAMES}
+        standings = {one: compute_status(events, one) for one in NAMES}
         assert {one: standing_of(state, one, now) for one in NAMES} == standings
         assert [one.name for one in live(state, EndpointKind.ENGINE, now)] == [
             one for one in NAMES if standings[one] is Standing.LIVE
--- a/packages/verbenahall/tests/membership/test_peers.py
+++ b/packages/verbenahall/tests/membership/test_peers.py
@@ -19,8 +19,8 @@
     standing_of,
 )
 from verbenahall.membership._peers import (
-    apply_digest,
-    build_digest,
+    apply_heartbeat,
+    build_heartbeat,
     choose_peers,
 )
 
@@ -39,15 +39,15 @@
     return state
 
 
-def tell(source, name, target, now):
-    digest = build_digest(
+def send_heartbeat(source, name, target, now):
+    heartbeat = build_heartbeat(
         source,
         (name, 'own-life'),
         OwnReport(ready=True, position=7),
         now,
         leaving=False,
     )
-    apply_digest(target, digest, now)
+    apply_heartbeat(target, heartbeat, now)
 
 
 def test_leaving_word_spreads_and_dies_out():
@@ -58,16 +58,16 @@
     """
     first, second, third = make_state(), make_state(), make_state()
     observe_leaving(first, 'e', 1)
-    tell(first, 'i0', second, 1.5)
-    tell(second, 'i1', third, 2)
+    send_heartbeat(first, 'i0', second, 1.5)
+    send_heartbeat(second, 'i1', third, 2)
     assert standing_of(third, 'e', 2) is Standing.LEAVING
 
     observe_word(third, 'e', 'a', leaving=False, now=3)
-    tell(second, 'i1', third, 4)
+    send_heartbeat(second, 'i1', third, 4)
     assert standing_of(third, 'e', 4) is Standing.LIVE
 
     newcomer = make_state()
-    tell(first, 'i0', newcomer, 30)
+    send_heartbeat(first, 'i0', newcomer, 30)
     assert standing_of(newcomer, 'e', 30) is Standing.LIVE
 
 
@@ -81,7 +81,7 @@
     for name in NAMES[1:4]:
         peer = make_state()
         observe_failure(peer, 'e', 1)
-        tell(peer, name, state, 1)
+        send_heartbeat(peer, name, state, 1)
     assert standing_of(state, 'e', 1) is Standing.LIVE
 
     observe_failure(state, 'e', 1.5)
@@ -94,7 +94,7 @@
     Taken for another process, it would be deaf to the list's leaving mark.
     """
     state = make_state()
-    tell(make_state(), 'i0', state, 1)
+    send_heartbeat(make_state(), 'i0', state, 1)
     gone = [ListEntry(make_instance('i0', '127.0.0.1:i0'), leaving=True)]
     rest = [make_instance(name, f'127.0.0.1:{name}') for name in NAMES[1:]]
     apply_list(state, [*gone, *map(ListEntry, (ENGINE, *rest))], 2)
