--- a/packages/verbenahall/src/verbenahall/membership/__init__.py
+++ b/packages/verbenahall/src/verbenahall/membership/__init__.py
@@ -1,4 +1,4 @@
-"""Which endpoints and instances are live, leaving or silent."""
+"""Tracks which endpoints and instances are live, leaving or unresponsive."""
 
 from verbenahall.membership._decisions import (
     all_endpoints,
