--- a/packages/verbenahall/src/verbenahall/membership/_codec.py
+++ b/packages/verbenahall/src/verbenahall/membership/_codec.py
@@ -1,4 +1,4 @@
-"""The list service's and the peers' JSON as messages."""
+"""Decodes the platform's list; encodes and decodes heartbeats."""
 
 from typing import Any, Final
 
@@ -21,9 +21,9 @@
 
 
 def decode_list(table: dict[str, Any]) -> Result[ListAnswer, Problem]:
-    """Decode the list; one bad entry refuses the whole of it.
+    """Decode the list; fail if any entry is invalid.
 
-    Leaving out what can't be read would look like its removal.
+    An entry that was left out would look as if it had been removed.
     """
     try:
         return Success(_build_list(table))
@@ -83,7 +83,7 @@
     try:
         return Success(_build_heartbeat(table))
     except _UNREADABLE as error:
-        return Failure(Problem(ErrorKind.BAD_REQUEST, f'digest: {error!r}'))
+        return Failure(Problem(ErrorKind.BAD_REQUEST, f'heartbeat: {error!r}'))
 
 
 def _build_heartbeat(table: dict[str, Any]) -> Heartbeat:
