--- a/packages/verbenahall/src/verbenahall/membership/_decisions.py
+++ b/packages/verbenahall/src/verbenahall/membership/_decisions.py
@@ -1,4 +1,4 @@
-"""Observations folded into standings, and the questions asked of them."""
+"""Applies observations of endpoints, and answers queries about them."""
 
 import dataclasses
 import random
@@ -15,7 +15,7 @@
 
 
 def observe_answer(state: MembershipState, name: str, now: float) -> None:
-    """Note that the endpoint answered, whatever it answered."""
+    """Record that an endpoint answered, with any status."""
     member = state.members.get(name)
     if member is None or not member.failures:
         return
@@ -29,7 +29,7 @@
 
 
 def observe_failure(state: MembershipState, name: str, now: float) -> None:
-    """Note a failure to reach the endpoint or to get its answer."""
+    """Record a failure to connect to an endpoint or to get its answer."""
     member = state.members.get(name)
     if member is None:
         return
@@ -42,7 +42,7 @@
 
 
 def observe_leaving(state: MembershipState, name: str, now: float) -> None:
-    """Note the endpoint's own word that it is leaving."""
+    """Record that an endpoint announced that it is leaving."""
     member = state.members.get(name)
     if member is not None:
         apply_state_report(
@@ -58,10 +58,10 @@
     leaving: bool,
     now: float,
 ) -> None:
-    """Note what the endpoint's own ``/state`` says of it.
+    """Record the answer of an endpoint's ``/state``.
 
     An incarnation that the list doesn't show yet replaces the member at
-    once; a word that it stays takes back an earlier one that it leaves.
+    once. A report with ``leaving=False`` cancels an earlier announcement.
     """
     member = state.members.get(name)
     if member is None or incarnation in member.former:
@@ -83,7 +83,7 @@
     state_report: StateReport,
     now: float,
 ) -> None:
-    """Keep the later of two words about a member."""
+    """Keep the later of two reports about a member."""
     if (
         member.state_report is None
         or state_report.reported_at >= member.state_report.reported_at
@@ -98,9 +98,9 @@
     now: float,
     service: str = '',
 ) -> tuple[Endpoint, ...]:
-    """Return the endpoints of a kind that may get new work, by name.
+    """Return the endpoints of a kind that may get requests, by name.
 
-    ``service`` narrows services to one name that callers use.
+    ``service`` restricts them to one service name, as callers use it.
     """
     expire_members(state, now)
     found = state.live_cache.get((kind, service))
@@ -123,7 +123,7 @@
 
 
 def expire_members(state: MembershipState, now: float) -> None:
-    """Forget members that are long gone; at most once a second."""
+    """Remove members that left the list long ago, at most once a second."""
     if now < state.next_expiry_at:
         return
     state.next_expiry_at = now + _EXPIRY_INTERVAL_S
@@ -143,7 +143,7 @@
 
 
 def standing_of(state: MembershipState, name: str, now: float) -> Standing:
-    """Return an endpoint's standing; an unknown name is silent."""
+    """Return an endpoint's status, ``SILENT`` for an unknown name."""
     expire_members(state, now)
     member = state.members.get(name)
     if member is None or member.status is None:
@@ -152,7 +152,7 @@
 
 
 def find(state: MembershipState, name: str) -> Endpoint | None:
-    """Return the endpoint of a name, whatever its standing."""
+    """Return the endpoint of a name with any status, None if unknown."""
     member = state.members.get(name)
     return member.endpoint if member else None
 
@@ -168,13 +168,12 @@
     now: float,
     rng: random.Random,
 ) -> tuple[Endpoint, ...]:
-    """Take the endpoints to probe now.
+    """Return the endpoints to probe now, and schedule their next probes.
 
-    These are silent ones, doubted ones, and those that said they leave.
-
-    Each is put off by a growing delay with jitter and few go at once, so
-    that instances that saw the same fault don't ask all at the same moment
-    when it ends.
+    Probed are endpoints that are unresponsive, that are in doubt, or that
+    announced that they leave. The delay between probes grows and has jitter,
+    and only a few endpoints are probed at once. Otherwise instances that saw
+    the same fault would all send their probes at the moment when it ends.
     """
     members = state.members.values()
     waiting = [member for member in members if _needs_probe(member, now)]
