--- a/packages/verbenahall/src/verbenahall/membership/_list_updates.py
+++ b/packages/verbenahall/src/verbenahall/membership/_list_updates.py
@@ -1,4 +1,4 @@
-"""The platform's list folded in: it lags, shrinks, freezes and restarts."""
+"""Applies the platform's list, which may lag, shrink, freeze or restart."""
 
 import collections
 import dataclasses
@@ -10,8 +10,9 @@
 from verbenahall.membership._status import update_status
 from verbenahall.membership._state import Group, Member, MembershipState
 
-#: A list may take away one member of a group, or this share of it, within
-#: the removal window. More is taken for a fault of the list.
+#: Within the removal window a list may remove one member of a group, or the
+#: group's size divided by this number. More removals count as a fault of the
+#: list.
 _REMOVABLE_DIVISOR: Final = 3
 _MAX_FORMER: Final = 4
 _LISTED: Final = frozenset((Listing.SHOWN, Listing.DOUBTED))
@@ -22,7 +23,7 @@
     entries: Iterable[ListEntry],
     now: float,
 ) -> None:
-    """Fold one answer of the platform's list."""
+    """Apply one answer of the platform's list."""
     shown = {entry.endpoint.name: entry for entry in entries}
     if state.first_listed_at is None:
         state.first_listed_at = now
@@ -42,11 +43,10 @@
     endpoint: Endpoint,
     now: float,
 ) -> Member:
-    """Put a new incarnation in place, without the old one's evidence.
+    """Replace a member by a new incarnation, without its observations.
 
-    An endpoint that was replaced under its name has answered for none of
-    the failures of its predecessor: keeping them would leave a healthy
-    process idle until somebody probes it.
+    The failures belong to the previous process under this name. If they were
+    kept, a healthy process would get no requests until it is probed.
     """
     old = state.members.get(endpoint.name)
     former: tuple[str, ...] = ()
@@ -68,7 +68,7 @@
 
 
 def remove_member(state: MembershipState, member: Member) -> None:
-    """Drop a member and its claim to its address."""
+    """Remove a member and release its address."""
     state.members.pop(member.endpoint.name)
     state.revision += 1
     state.peers.pop(member.endpoint.name, None)
@@ -87,8 +87,8 @@
 ) -> None:
     member = state.members.get(entry.endpoint.name)
     if member is not None and _is_lagging(state, member, entry, now):
-        # Taking the entry would bring back the old process's address and
-        # drop the new one's evidence, and each poll would do so again.
+        # Applying the entry would restore the old process's address and
+        # drop the new one's observations, again at each poll.
         return
     endpoint = _resolve_incarnation(entry.endpoint, member)
     if member is None or member.endpoint != endpoint:
@@ -104,10 +104,10 @@
     entry: ListEntry,
     now: float,
 ) -> bool:
-    """Whether the list still shows a life that the endpoint has left behind.
+    """Whether the list still shows an incarnation that was replaced.
 
-    It may do so for a while only. A list that names lives in its own way
-    always shows another one; what it says is then said of this one.
+    A list counts as lagging for ``list_lag_s`` only. After that it is taken
+    to use incarnations of its own, and its entry applies to this process.
     """
     if entry.endpoint.incarnation not in member.former:
         return False
@@ -115,7 +115,11 @@
 
 
 def _resolve_incarnation(endpoint: Endpoint, member: Member | None) -> Endpoint:
-    """Give an entry the known life where the list names none or its own."""
+    """Return the endpoint of an entry with the member's incarnation.
+
+    An incarnation of the list is kept only if it is new. A list without
+    incarnations, or with its own ones, doesn't replace a member.
+    """
     if member is None:
         return endpoint
     if endpoint.incarnation and endpoint.incarnation not in member.former:
@@ -163,11 +167,11 @@
     shown: Mapping[str, ListEntry],
     now: float,
 ) -> set[str]:
-    """Name the missing members that the list can't be believed about.
+    """Return the missing members whose removal is not accepted.
 
-    A list that was restarted, cut off or half filled shows too few entries.
-    Believing it would take every endpoint of a data centre out of work at
-    once, and callers would be told that there is none.
+    A list that was restarted, truncated or only partly filled shows too few
+    entries. Accepting it could remove every endpoint of a data centre at
+    once, and callers would get errors although the endpoints work.
     """
     seen = {entry.endpoint.data_centre for entry in shown.values()}
     doubted: set[str] = set()
