--- a/packages/verbenahall/src/verbenahall/membership/_messages.py
+++ b/packages/verbenahall/src/verbenahall/membership/_messages.py
@@ -1,4 +1,4 @@
-"""What membership hears and says."""
+"""Messages, rules and enumerations of membership."""
 
 import dataclasses
 import enum
@@ -11,8 +11,8 @@
 class Listing(enum.Enum):
     """How the platform's list shows a member.
 
-    ``DOUBTED`` is a member that vanished together with more others than a
-    list may take away at once; what it answers decides about it.
+    ``DOUBTED`` is a member that disappeared together with more others than a
+    list may remove at once. Its status depends on whether it answers.
     """
 
     SHOWN = 'shown'
@@ -23,7 +23,7 @@
 
 @final
 class Sign(enum.Enum):
-    """Why a member has its standing; the value stands in decision lines."""
+    """The reason for a member's status; the values are logged."""
 
     ADDRESS_TAKEN = 'address_taken'
     LIST_LEAVING = 'list_leaving'
@@ -45,7 +45,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class ListAnswer:
-    """The platform's whole list; ``version`` grows with each change."""
+    """The platform's complete list; each change increases ``version``."""
 
     version: int
     entries: tuple[ListEntry, ...]
@@ -53,10 +53,10 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class StateReport:
-    """What an endpoint said of itself, and when that was said.
+    """Whether an endpoint reported that it leaves, and when.
 
-    ``reported_at`` is in this process's monotonic seconds, also for a word that
-    a peer passed on with its age.
+    ``reported_at`` is in monotonic seconds of this process. For a report
+    that a peer forwarded it is computed from the age.
     """
 
     leaving: bool
@@ -65,7 +65,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class StandingChange:
-    """One member's standing changed, by the sign that decided."""
+    """A change of a member's status, with its reason."""
 
     endpoint: Endpoint
     before: Standing | None
@@ -76,12 +76,13 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class MembershipRules:
-    """Bounds of the decisions; seconds and counts.
+    """Limits of the decisions; times in seconds.
 
-    ``failures`` in a row make a member silent, as do two that lie
-    ``silent_after_s`` apart with no answer between. A member that falls
-    silent within ``flap_window_s`` of its recovery needs one more answer to
-    recover each time, up to ``flap_limit`` more.
+    A member becomes unresponsive after ``failures`` failures in a row, or
+    after two that are ``silent_after_s`` apart without an answer between
+    them. Each time that it becomes unresponsive again within
+    ``flap_window_s`` of its recovery, it needs one more answer to recover, up
+    to ``flap_limit`` more.
     """
 
     failures: int = 3
@@ -104,7 +105,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class LeavingNotice:
-    """An endpoint's word that it leaves, passed on with its age."""
+    """An endpoint's announcement that it leaves, forwarded with its age."""
 
     name: str
     incarnation: str
@@ -113,7 +114,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Suspicion:
-    """A peer's failures in a row with an endpoint."""
+    """The number of a peer's failures in a row with an endpoint."""
 
     name: str
     incarnation: str
@@ -122,7 +123,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class OwnReport:
-    """What an instance says of itself: readiness and settings offset."""
+    """An instance's readiness and settings offset."""
 
     ready: bool
     position: int
@@ -130,9 +131,9 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Heartbeat:
-    """One heartbeat between instances of a data centre.
+    """A heartbeat between instances of a data centre.
 
-    Ages stand in for times, since no two clocks agree.
+    It holds ages and no timestamps, since clocks of two machines differ.
     """
 
     sender: str
@@ -145,7 +146,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class PeerView:
-    """What a peer last said of itself, and when that was heard."""
+    """A peer's last report about itself, and when it was received."""
 
     incarnation: str
     report: OwnReport
