--- a/packages/verbenahall/src/verbenahall/membership/_peer_shell.py
+++ b/packages/verbenahall/src/verbenahall/membership/_peer_shell.py
@@ -1,4 +1,4 @@
-"""Shell of the heartbeats between instances."""
+"""Sends and receives heartbeats between instances over HTTP."""
 
 import asyncio
 import random
@@ -24,14 +24,15 @@
 
 _PATH: Final = '/peer/v1/heartbeat'
 _TIMEOUT: Final = ClientTimeout(total=1)
-#: Peers of one heartbeat; with the answers, news takes a few rounds to reach
-#: a data centre's instances while each one's traffic stays the same.
+#: Recipients of one heartbeat. Through the answers an update reaches all
+#: instances of a data centre in a few rounds, and the traffic of an instance
+#: does not grow with their number.
 _FAN_OUT: Final = 2
 _FAN_OUT_LEAVING: Final = 8
 _EPOCH_S: Final = 8
 _JITTER: Final = (0.8, 1.2)
 _MAX_HEARTBEAT_BYTES: Final = 16_384
-#: Headers that peers don't read: half of a heartbeat's bytes.
+#: Headers that peers don't use; they would be half of a heartbeat's bytes.
 _SKIPPED_REQUEST_HEADERS: Final = (
     hdrs.USER_AGENT,
     hdrs.ACCEPT,
@@ -43,9 +44,9 @@
 
 @final
 class PeerExchange:
-    """Sends and answers heartbeats within a data centre.
+    """Exchanges heartbeats within a data centre.
 
-    ``local`` is this instance as the list names it, ``report`` tells its
+    ``local`` is this instance as the list shows it, ``report`` returns its
     readiness and settings offset.
     """
 
@@ -58,7 +59,7 @@
         period_s: float,
         now: clock.Clock = clock.monotonic,
     ) -> None:
-        """Exchange over ``session`` each ``period_s``."""
+        """Send heartbeats over ``session`` every ``period_s`` seconds."""
         self._session = session
         self._state = state
         self._local = local
@@ -69,7 +70,7 @@
         self._rng = random.Random(f'{local.name}/{local.incarnation}')
 
     def add_routes(self, app: web.Application) -> None:
-        """Answer heartbeats on the instance's own port."""
+        """Receive heartbeats on the instance's port."""
         app.router.add_post(_PATH, self._handle_heartbeat)
         app.on_response_prepare.append(_strip_headers)
 
@@ -82,7 +83,7 @@
             await asyncio.sleep(self._period_s * jitter)
 
     async def announce_leaving(self) -> None:
-        """Tell peers at once that this instance leaves; a hook of the stop."""
+        """Announce to peers that this instance leaves; called on shutdown."""
         self._leaving = True
         await self._send_to(self._choose_recipients(0, _FAN_OUT_LEAVING))
 
@@ -155,8 +156,8 @@
     def _is_peer(self, sender: str, request: web.Request) -> bool:
         """Check that a heartbeat comes from an instance of the list.
 
-        Anyone who reaches the port could else tell that every engine
-        leaves, and callers would find none.
+        Otherwise any process that reaches the port could announce that all
+        engines leave, and callers would find none.
         """
         peer = find(self._state, sender)
         if peer is None:
@@ -167,7 +168,7 @@
 async def _strip_headers(
     request: web.Request, response: web.StreamResponse
 ) -> None:
-    """Leave out what peers don't read."""
+    """Remove response headers that peers don't use."""
     if request.path == _PATH:
         for name in _DROPPED_RESPONSE_HEADERS:
             response.headers.pop(name, None)
