--- a/packages/verbenahall/src/verbenahall/membership/_peers.py
+++ b/packages/verbenahall/src/verbenahall/membership/_peers.py
@@ -1,4 +1,4 @@
-"""Digests between instances: what to say, to whom, and what to believe."""
+"""Chooses peers for heartbeats, and builds and applies heartbeats."""
 
 import heapq
 from collections.abc import Iterable, Iterator
@@ -23,7 +23,7 @@
 from verbenahall.membership._status import update_status
 from verbenahall.membership._state import Member, MembershipState
 
-#: Bounds on one digest, so that a rack's failure does not swell it.
+#: Limits of one heartbeat, which keep it small when a whole rack fails.
 _MAX_NOTICES: Final = 16
 _MAX_SUSPICIONS: Final = 8
 _AGE_DIGITS: Final = 2
@@ -37,8 +37,9 @@
 ) -> list[str]:
     """Choose ``count`` peers by rendezvous hashing.
 
-    The choice holds for an epoch, so that connections are used again, and
-    differs between epochs, so that no pair stays strangers.
+    The choice stays the same within an epoch, so that connections are
+    reused, and differs between epochs, so that all pairs exchange
+    heartbeats at some time.
     """
     others = (name for name in names if name != local)
     return heapq.nlargest(
@@ -58,7 +59,7 @@
     data_centre: str,
     now: float,
 ) -> list[str]:
-    """List the live instances of a data centre but for ``local``."""
+    """Return the live instances of a data centre except ``local``."""
     return [
         endpoint.name
         for endpoint in live(state, EndpointKind.INSTANCE, now)
@@ -74,10 +75,10 @@
     *,
     leaving: bool,
 ) -> Heartbeat:
-    """Build the heartbeat of ``sender``, a name with its incarnation.
+    """Build the heartbeat of ``sender``, a name and an incarnation.
 
-    A word is passed on only while it is young, so that a word taken back
-    dies out among the peers.
+    A leaving notice is forwarded only while it is recent, so that a notice
+    that was cancelled does not circulate among the peers for ever.
     """
     name, incarnation = sender
     leaving_notices = heapq.nsmallest(
@@ -125,12 +126,15 @@
 def apply_heartbeat(
     state: MembershipState, heartbeat: Heartbeat, now: float
 ) -> None:
-    """Fold a peer's heartbeat; evidence on other lives is dropped."""
+    """Apply a peer's heartbeat.
+
+    Notices and suspicions about other incarnations are ignored.
+    """
     sender = state.members.get(heartbeat.sender)
     if sender is None:
         return
-    # The list names an instance's life in its own way, so the life that the
-    # digest tells does not replace the member.
+    # The list may use its own incarnation for an instance, so the one in the
+    # heartbeat does not replace the member.
     apply_state_report(state, sender, StateReport(heartbeat.leaving, now), now)
     observe_answer(state, heartbeat.sender, now)
     state.peers[heartbeat.sender] = PeerView(
