--- a/packages/verbenahall/src/verbenahall/membership/_poller.py
+++ b/packages/verbenahall/src/verbenahall/membership/_poller.py
@@ -1,4 +1,4 @@
-"""Shell of the platform's list: polls it into a membership state."""
+"""Polls the platform's list and applies it to a membership state."""
 
 import asyncio
 from http import HTTPStatus
@@ -16,19 +16,21 @@
 from verbenahall.membership._state import MembershipState
 
 _POLL_TIMEOUT: Final = aiohttp.ClientTimeout(total=2)
-#: A list that goes on showing a lower version has been restarted.
+#: After this many polls with a lower version the list counts as restarted.
 _LOWER_VERSION_POLLS: Final = 5
-#: A list that has not changed is folded again this often only: time alone
-#: settles what was doubted or taken for lag, and folding all is dear.
+#: An unchanged list is applied again after this many seconds only. Entries
+#: that are in doubt or taken for lagging depend on time, and applying the
+#: whole list is expensive.
 _REAPPLY_INTERVAL_S: Final = 5.0
 
 
 @final
 class ListPoller:
-    """Reads the platform's list into a membership state.
+    """Applies the platform's list to a membership state.
 
-    A poll that fails changes nothing: the last known list stays and own
-    experience decides, so an outage of the list takes no endpoint away.
+    A failed poll changes nothing. The last list stays valid and the
+    instance's own observations decide, so that an outage of the list removes
+    no endpoint.
     """
 
     def __init__(
@@ -39,7 +41,7 @@
         period_s: float,
         now: clock.Clock = clock.monotonic,
     ) -> None:
-        """Poll ``address`` (``IP:port``) each ``period_s``."""
+        """Poll ``address`` (``IP:port``) every ``period_s`` seconds."""
         self._url = f'http://{address}/list'
         self._session = session
         self._state = state
@@ -84,13 +86,13 @@
         response: aiohttp.ClientResponse,
         body: bytes,
     ) -> Result[ListAnswer, Problem]:
-        """Decode a list; one that has not changed is the last one again."""
+        """Decode a list; return the last one if it has not changed."""
         if response.status == HTTPStatus.NOT_MODIFIED:
             return Success(self._last_answer)
         decoded = wire.decode_table(body).bind(decode_list)
         if isinstance(decoded, Success):
-            # The tag of a list that could not be read is not kept: every
-            # later poll would be told that nothing has changed since.
+            # The ETag of a list that can't be decoded is not kept. Otherwise
+            # later polls would be answered with 304 Not Modified.
             self._last_answer = decoded.unwrap()
             tag = response.headers.get(aiohttp.hdrs.ETAG)
             self._conditional_headers = (
@@ -111,11 +113,10 @@
         self._next_reapply_at = now + _REAPPLY_INTERVAL_S
 
     def _is_stale(self, version: int) -> bool:
-        """Tell an older copy of the list from a list that began anew.
+        """Whether a list is an older copy and not one that was restarted.
 
-        Behind one address may stand copies that lag differently. Following
-        the older one would bring back endpoints that have left, at every
-        other poll.
+        Replicas behind one address may lag differently. Applying the older
+        one would restore endpoints that have left, at every other poll.
         """
         if version < self._version and self._lower_polls < _LOWER_VERSION_POLLS:
             self._lower_polls += 1
