--- a/packages/verbenahall/src/verbenahall/membership/_prober.py
+++ b/packages/verbenahall/src/verbenahall/membership/_prober.py
@@ -1,4 +1,4 @@
-"""Shell of the probes: asks endpoints whether they are back."""
+"""Probes endpoints to find out whether they answer again."""
 
 import asyncio
 import random
@@ -21,8 +21,8 @@
 _TIMEOUT_S: Final = 1.0
 _TIMEOUT: Final = aiohttp.ClientTimeout(total=_TIMEOUT_S)
 _CHECK_INTERVAL_S: Final = 0.1
-#: The asterisk form asks the server itself and no path of the service, so
-#: that a probe can never count as a run. aiohttp's client can't send it.
+#: The asterisk form addresses the server and no path of the service, so that
+#: a probe never counts as a run. aiohttp's client can't send it.
 _PING: Final = (
     'OPTIONS * HTTP/1.1\r\nHost: {0}\r\n'
     'Content-Length: 0\r\nConnection: close\r\n\r\n'
@@ -34,10 +34,10 @@
 
 @final
 class Prober:
-    """Asks silent and doubted endpoints, and those that said they leave.
+    """Probes endpoints that are unresponsive, in doubt or leaving.
 
-    An engine's own ``/state`` may take back that it leaves; other endpoints
-    only have to answer.
+    The ``/state`` of an engine may cancel its announcement that it leaves;
+    other endpoints only have to answer.
     """
 
     def __init__(
@@ -61,7 +61,7 @@
             await asyncio.sleep(_CHECK_INTERVAL_S)
 
     async def probe(self, endpoint: Endpoint) -> None:
-        """Ask one endpoint and note what came of it."""
+        """Probe one endpoint and record the result."""
         match await self._query(endpoint):
             case Success(table):
                 self._apply_state(endpoint, table)
@@ -84,8 +84,8 @@
         ) as answer:
             found = wire.decode_table(await answer.read())
         table = found.value_or({})
-        # Another process may have been given the address; that it answers
-        # says nothing of the endpoint that is asked for.
+        # Another process may use the address now. Its answer tells nothing
+        # about the probed endpoint.
         if table.get('name') != endpoint.name:
             return _fail('another endpoint answers')
         return found
@@ -105,7 +105,7 @@
 
 
 async def _ping(endpoint: Endpoint) -> _ProbeResult:
-    """Ask whether an HTTP server answers, whatever it answers."""
+    """Check that an HTTP server answers, with any status."""
     host, _, port = endpoint.address.rpartition(':')
     ping = _PING.format(endpoint.address).encode()
     async with asyncio.timeout(_TIMEOUT_S):
