--- a/packages/verbenahall/src/verbenahall/membership/_state.py
+++ b/packages/verbenahall/src/verbenahall/membership/_state.py
@@ -1,4 +1,4 @@
-"""What an instance knows of endpoints and other instances."""
+"""The state of endpoints and peers as one instance sees it."""
 
 import collections
 from collections.abc import Callable
@@ -22,12 +22,12 @@
 
 @final
 class Member:
-    """One name at one incarnation, with all evidence since ``born_at``.
+    """One incarnation of an endpoint, with observations since ``born_at``.
 
-    ``suspicions`` maps a peer's name to when it last said that this member
-    fails. ``unresponsive`` is whether it is out of reach, also while it leaves.
-    ``former`` holds incarnations that this one replaced, so that a
-    lagging list can't bring them back.
+    ``suspicions`` maps a peer's name to the time of its last report that
+    this member fails. ``unresponsive`` is also set while the member leaves.
+    ``former`` holds the incarnations that this one replaced, so that a
+    lagging list can't restore them.
     """
 
     __slots__ = (
@@ -57,7 +57,7 @@
         former: tuple[str, ...],
         born_at: float,
     ) -> None:
-        """Start without evidence."""
+        """Create a member without observations."""
         self.endpoint = endpoint
         self.listing = Listing.SHOWN
         self.unlisted_at: float | None = None
@@ -92,12 +92,12 @@
 
 @final
 class MembershipState:
-    """All members by name, who owns each address, what peers last said.
+    """All members by name, the owners of addresses and the peers' reports.
 
-    ``notify`` gets each change of standing; by default it writes a decision
-    line. ``revision`` grows whenever a member comes, goes or is replaced, for
-    those who keep a list of them. ``live_cache`` is emptied at each change, so
-    that a request pays one look-up.
+    ``notify`` is called on each change of status and writes a decision line
+    by default. ``revision`` increases when a member is added, removed or
+    replaced, for users that keep a list of members. ``live_cache`` is cleared
+    on each change, so that a request costs one look-up.
     """
 
     __slots__ = (
@@ -119,7 +119,7 @@
         rules: MembershipRules = DEFAULT_RULES,
         notify: Callable[[StandingChange], None] = _write_change,
     ) -> None:
-        """Start knowing nothing."""
+        """Create a state without members."""
         self.rules = rules
         self.members: dict[str, Member] = {}
         self.address_owners: dict[str, str] = {}
