--- a/packages/verbenahall/src/verbenahall/membership/_status.py
+++ b/packages/verbenahall/src/verbenahall/membership/_status.py
@@ -1,4 +1,4 @@
-"""From evidence to standing: one ordered table of signs."""
+"""Computes a member's status from ordered tables of checks."""
 
 from collections.abc import Callable, Mapping
 from types import MappingProxyType
@@ -45,7 +45,11 @@
 
 
 def _peers_suspect(state: MembershipState, member: Member, now: float) -> bool:
-    """Peers alone silence nobody: they may be cut off where we are not."""
+    """Whether peers suspect a member that failed here at least once.
+
+    Suspicions alone don't suffice: the peers may be cut off from a member
+    that this instance still reaches.
+    """
     if not member.failures:
         return False
     fresh = [
@@ -59,8 +63,8 @@
 _Check = Callable[[MembershipState, Member, float], bool]
 _Table = Mapping[Sign, _Check]
 
-#: The first sign that holds decides. Leaving goes before silent: a member
-#: that is both must not be probed back into work.
+#: The first check that holds gives the reason. Leaving takes precedence over
+#: unresponsive: a leaving member must not get requests again after a probe.
 _LEAVING_CHECKS: Final[_Table] = MappingProxyType(
     {
         Sign.ADDRESS_TAKEN: _address_taken,
@@ -79,12 +83,13 @@
 
 
 def update_status(state: MembershipState, member: Member, now: float) -> None:
-    """Work out the member's standing anew and tell a change.
+    """Recompute a member's status and notify of a change.
 
-    Reach is kept apart from leaving. A silent member that the list marked as
-    leaving and unmarked again has not recovered in between; taken for a
-    recovery, its next silence would count as flapping, and a healthy endpoint
-    would have to answer more often before it gets work.
+    Reachability is tracked independently of leaving. If the list marks an
+    unresponsive member as leaving and removes the mark again, the member has
+    not recovered in between. If that counted as a recovery, its next failure
+    would count as flapping, and a healthy endpoint would have to answer more
+    often before it gets requests.
     """
     unreachable_reason = _find_reason(_UNREACHABLE_CHECKS, state, member, now)
     _update_reachability(state, member, now, unreachable_reason)
@@ -121,11 +126,11 @@
     now: float,
     unreachable_reason: Sign | None,
 ) -> None:
-    """Keep whether the member is silent.
+    """Update whether the member is unresponsive.
 
-    A silent member stays so until it has answered often enough
-    (``observe_answer`` then clears its failures), though a sign such as its
-    peers' suspicion may have grown old meanwhile.
+    It stays so until it has answered often enough (``observe_answer`` then
+    clears its failures), even if a reason such as its peers' suspicions has
+    expired meanwhile.
     """
     if unreachable_reason and not member.unresponsive:
         _mark_unresponsive(state, member, now)
@@ -137,7 +142,7 @@
 def _mark_unresponsive(
     state: MembershipState, member: Member, now: float
 ) -> None:
-    """Keep the marks that damp flapping and space the probes."""
+    """Mark a member unresponsive; set its flap count and next probe."""
     rules = state.rules
     recovered_at = member.recovered_at
     flapped = (
