--- a/packages/verbenahall/tests/membership/test_differential.py
+++ b/packages/verbenahall/tests/membership/test_differential.py
@@ -1,4 +1,4 @@
-"""Membership against a naive fold of everything that was ever observed."""
+"""Compares membership with a naive recomputation from all observations."""
 
 from hypothesis import example, given
 from hypothesis import strategies as st
@@ -24,7 +24,7 @@
 event = st.one_of(
     st.tuples(st.just('list'), st.lists(listed, unique_by=lambda row: row[0])),
     st.tuples(st.sampled_from(('answer', 'failure', 'leaving')), name),
-    # Mostly failures and answers of one name, so that it flaps.
+    # Mostly failures and answers of one endpoint, so that it flaps.
     st.tuples(st.sampled_from(('failure', 'failure', 'answer')), st.just('a')),
     st.tuples(st.sampled_from(('failure', 'failure', 'answer')), st.just('a')),
     st.tuples(
@@ -65,16 +65,16 @@
 
 
 def find_incarnation(events, one):
-    """Replay which process bears a name: a replaced one never returns."""
+    """Replay which incarnation has a name; a replaced one never returns."""
     seen = [
         (index, incarnation)
         for index, (_, what) in enumerate(events)
         for incarnation in list_incarnations(what, one)
     ]
-    lives = {}
+    first_seen = {}
     for index, incarnation in seen:
-        lives.setdefault(incarnation, index)
-    return max(lives.items(), key=lambda life: life[1], default=(None, 0))
+        first_seen.setdefault(incarnation, index)
+    return max(first_seen.items(), key=lambda pair: pair[1], default=(None, 0))
 
 
 def list_incarnations(what, one):
@@ -87,9 +87,9 @@
 
 
 def find_marks(events, one, incarnation):
-    """Return the last mark of the list and the last word on a process.
+    """Return whether the list and the last report say that a process leaves.
 
-    A list that shows another process 30 s on names processes in its own way.
+    A list that still shows another incarnation after 30 s uses its own ones.
     """
     shown, reported = [False], [False]
     born_at = events[0][0]
@@ -110,7 +110,7 @@
 
 
 class Reach:
-    """Answers and failures of one process, with one more answer each flap."""
+    """Reachability of a process; each flap requires one more answer."""
 
     def __init__(self):
         self.failures = []
@@ -139,7 +139,7 @@
 
 
 def compute_status(events, one):
-    """Work out one name's standing from the whole history."""
+    """Compute the status of a name from all events."""
     incarnation, since = find_incarnation(events, one)
     if incarnation is None:
         return Standing.SILENT
@@ -155,14 +155,14 @@
 
 
 def fill(rows):
-    """Keep every name on the list, so that nothing is ever removed."""
+    """Add missing names to a list, so that none is ever removed."""
     shown = {row[0] for row in rows}
     return [*rows, *((one, '1', False) for one in NAMES if one not in shown)]
 
 
 @given(history)
 @example(
-    # A silent endpoint is marked as leaving, unmarked, and answers once.
+    # An unresponsive endpoint is listed as leaving and then not, and answers.
     [
         (1, ('list', [])),
         (1, ('failure', 'a')),
@@ -173,7 +173,7 @@
     ],
 )
 def test_same_standing_as_the_naive_fold(steps):
-    """Observations come in any order; every instance must judge alike."""
+    """The status must match the naive one for observations in any order."""
     state = MembershipState(notify=lambda change: None)
     events = []
     now = 0
@@ -194,9 +194,9 @@
 
 @given(history)
 def test_lists_alone_never_empty_the_fleet(steps):
-    """The list shows any subsets, in any order; every engine answers.
+    """The list shows any subsets, in any order, while all engines answer.
 
-    Without leaving marks at most a third may go in a minute.
+    Without leaving marks at most a third may be removed in a minute.
     """
     state = MembershipState(notify=lambda change: None)
     apply_list(state, map(make_entry, fill([])), 0)
@@ -211,19 +211,19 @@
 
 
 def test_silent_endpoint_stays_silent_until_it_answers():
-    """The list drops all endpoints, one of them fails, the list is back.
+    """The list loses all endpoints, one of them fails, the list is restored.
 
-    The list's return says nothing about the one that failed. Given work
-    before it has answered, it would fail callers once more.
+    The restored list doesn't show that the failed endpoint works. If it got
+    requests before it has answered, they would fail again.
     """
     state = MembershipState(notify=lambda change: None)
-    everyone = [make_entry(row) for row in fill([])]
-    apply_list(state, everyone, 0)
+    entries = [make_entry(row) for row in fill([])]
+    apply_list(state, entries, 0)
     apply_list(state, [], 1)
     observe_failure(state, 'a', 2)
     assert standing_of(state, 'a', 2) is Standing.SILENT
 
-    apply_list(state, everyone, 3)
+    apply_list(state, entries, 3)
     assert standing_of(state, 'a', 3) is Standing.SILENT
 
     observe_answer(state, 'a', 4)
