--- a/packages/verbenahall/tests/membership/test_peers.py
+++ b/packages/verbenahall/tests/membership/test_peers.py
@@ -1,4 +1,4 @@
-"""Heartbeats between instances: what is said, believed and refused."""
+"""Heartbeats between instances: contents, effects and refusals."""
 
 import asyncio
 from collections import Counter
@@ -51,10 +51,10 @@
 
 
 def test_leaving_word_spreads_and_dies_out():
-    """An engine tells one instance that it leaves, then that it stays.
+    """An engine reports to one instance that it leaves, then that it stays.
 
-    Peers must hear both; an old word that goes round among them for ever
-    would keep a healthy engine idle.
+    Both reports must reach the peers. A notice that circulates among them
+    for ever would keep a healthy engine without requests.
     """
     first, second, third = make_state(), make_state(), make_state()
     observe_leaving(first, 'e', 1)
@@ -74,8 +74,8 @@
 def test_peers_alone_silence_nobody():
     """Peers are cut off from an engine that this instance still reaches.
 
-    Believing them would take a working engine away here as well; with a
-    failure of our own they spare callers two more.
+    Their suspicions alone must not remove it here. Together with one failure
+    seen by this instance they spare callers two more failures.
     """
     state = make_state()
     for name in NAMES[1:4]:
@@ -89,9 +89,10 @@
 
 
 def test_a_peer_may_name_its_life_in_its_own_way():
-    """An instance can't know what life the platform's list gives it.
+    """The list uses another incarnation for an instance than itself does.
 
-    Taken for another process, it would be deaf to the list's leaving mark.
+    If the instance counted as another process, the list's leaving mark
+    would be ignored.
     """
     state = make_state()
     send_heartbeat(make_state(), 'i0', state, 1)
@@ -102,7 +103,7 @@
 
 
 def test_peers_are_chosen_evenly():
-    """Heartbeats must not pile up on one instance, nor miss one for long."""
+    """No instance may get too many heartbeats, or none for a long time."""
     names = [f'i{number}' for number in range(50)]
     chosen = Counter()
     for epoch in range(20):
@@ -115,7 +116,7 @@
 
 
 async def start_instance(name, session):
-    """Serve one exchange; return its runner, state, exchange, endpoint."""
+    """Start an exchange; return its runner, state, exchange and endpoint."""
     app = web.Application()
     runner = web.AppRunner(app)
     state = MembershipState()
@@ -143,9 +144,9 @@
 
 
 def test_heartbeats_over_http():
-    """An engine tells one of six instances that it leaves; one stops.
+    """An engine reports to one of six instances that it leaves; one stops.
 
-    All the others must know of both within seconds, though the platform's
+    All other instances must learn both within seconds, though the platform's
     list shows neither.
     """
 
@@ -186,7 +187,11 @@
     ],
 )
 def test_strangers_are_refused(body, status):
-    """Somebody who reaches the port says that every engine is leaving."""
+    """Malformed heartbeats, and those of unlisted senders, are refused.
+
+    Otherwise any process that reaches the port could announce that all
+    engines leave.
+    """
 
     async def main():
         async with ClientSession() as session:
