--- a/packages/verbenahall/tests/membership/test_shells.py
+++ b/packages/verbenahall/tests/membership/test_shells.py
@@ -1,4 +1,4 @@
-"""The list's poller and the prober against small servers."""
+"""The list poller and the prober against HTTP servers."""
 
 import asyncio
 import random
@@ -65,9 +65,9 @@
     ],
 )
 def test_bad_lists_change_nothing(bad):
-    """The list is down, garbled, or an older copy of it answers.
+    """The list is down or malformed, or an older replica of it answers.
 
-    What was known must stay: no endpoint has left because of it.
+    The last known endpoints must stay.
     """
     good = wire.encode({'version': 3, 'entries': [dict(ROW)]})
     answers = iter((web.Response(body=good), bad))
@@ -97,10 +97,10 @@
     ],
 )
 def test_probe_of_a_silent_endpoint(kind, answer, after):
-    """An endpoint was silent; something answers at its address again.
+    """An unresponsive endpoint's address answers again.
 
-    A probe must not be a run of the service, nor take the word of another
-    process that was given the address.
+    A probe must not count as a run of the service, and the answer of another
+    process at this address must be ignored.
     """
     asked = []
 
@@ -125,9 +125,9 @@
 
 
 def test_word_is_taken_back():
-    """An engine said that it leaves; then its operator changed the mind.
+    """An engine announces that it leaves, and its operator cancels that.
 
-    Nothing asks it any more, so only a probe can hear that it stays.
+    The engine gets no requests any more, so only a probe finds out.
     """
 
     async def handler(request):
@@ -152,11 +152,11 @@
 
 
 def test_unchanged_list_is_not_sent_again():
-    """Twelve thousand endpoints stand in the list and few of them change.
+    """The list has twelve thousand endpoints, few of which change.
 
-    Read whole at each poll, the list alone takes many times the bytes that
-    an instance may spend on control. A list that could not be read must not
-    be the one that later polls are compared with.
+    Read completely at each poll, the list alone would take many times the
+    bytes that an instance may use for control traffic. The ETag of a list
+    that can't be decoded must not be used in later polls.
     """
     good = wire.encode({'version': 3, 'entries': [dict(ROW)]})
     bodies = {'"3"': good, '"4"': b'{"version": 4, "entr'}
