--- a/packages/verbenahall/tests/membership/test_standings.py
+++ b/packages/verbenahall/tests/membership/test_standings.py
@@ -1,4 +1,4 @@
-"""Standings from a lagging list, an endpoint's own word and experience."""
+"""Endpoints' status from a lagging list, their reports and failures."""
 
 import random
 
@@ -45,9 +45,9 @@
 
 
 def test_list_says_leaving():
-    """The platform withdraws an engine and shows it as leaving.
+    """The platform removes an engine and lists it as leaving.
 
-    A request sent there after that would be refused or cut.
+    Later requests to it would be refused or broken off.
     """
     state, changes = make_state(*ENTRIES)
     apply_list(state, (*ENTRIES[:5], make_entry('engine-5', leaving=True)), 1)
@@ -57,9 +57,9 @@
 
 
 def test_own_word_outlives_a_lagging_list():
-    """An engine says that it is leaving while the list still shows it live.
+    """An engine reports that it is leaving while the list shows it as live.
 
-    Following the list again at the next poll would send it new work.
+    The list's next poll must not let it get requests again.
     """
     state, _ = make_state(*ENTRIES)
     observe_leaving(state, 'engine-0', 1)
@@ -73,24 +73,24 @@
 
 @pytest.mark.parametrize('kept', [0, 1, 3])
 def test_shrunken_list_empties_nothing(kept):
-    """The list restarts or is cut off and shows few entries or none.
+    """The list restarts or is truncated and shows few entries or none.
 
-    Callers would be told that there is no engine though all of them answer.
+    Callers would get errors although all engines answer.
     """
     state, _ = make_state(*ENTRIES)
     apply_list(state, ENTRIES[:kept], 1)
 
     assert len(names(state, 1)) == 6
 
-    # Own experience decides: one failure is enough for a doubted engine.
+    # One failure seen here is enough for an engine in doubt.
     observe_failure(state, 'engine-5', 2)
     assert names(state, 2) == [f'engine-{number}' for number in range(5)]
 
 
 def test_trickle_of_removals_stops():
-    """A broken list loses one engine at each poll.
+    """A faulty list loses one engine at each poll.
 
-    Each step looks like an ordinary removal; together they empty the fleet.
+    Each step looks like a normal removal; together they remove all engines.
     """
     state, _ = make_state(*ENTRIES)
     for kept in range(5, -1, -1):
@@ -100,7 +100,7 @@
 
 
 def test_one_removal_is_believed():
-    """An engine vanishes from the list without being shown as leaving."""
+    """An engine disappears from the list without being listed as leaving."""
     state, _ = make_state(*ENTRIES)
     apply_list(state, ENTRIES[1:], 1)
 
@@ -118,7 +118,7 @@
     ],
 )
 def test_failures_in_a_row(failures, standing):
-    """An engine hangs or is killed; its callers' requests keep failing."""
+    """An engine hangs or is killed, and requests to it fail."""
     state, _ = make_state(*ENTRIES)
     for now in failures:
         observe_failure(state, 'engine-0', now)
@@ -129,7 +129,8 @@
 def test_new_incarnation_starts_clean():
     """A crashed engine is replaced under its name and address.
 
-    With its predecessor's failures it would stand idle though it is well.
+    With the failures of the previous process a healthy one would get no
+    requests.
     """
     state, _ = make_state(*ENTRIES)
     for _ in range(3):
@@ -140,14 +141,14 @@
 
     assert 'engine-0' in names(state, 2)
 
-    # The list falls back behind: the old incarnation must not return.
+    # The list lags again: the old incarnation must not be restored.
     observe_leaving(state, 'engine-0', 3)
     apply_list(state, ENTRIES, 4)
     assert 'engine-0' not in names(state, 4)
 
 
 def test_own_word_of_a_new_incarnation():
-    """A replacement answers before the list shows it."""
+    """A new incarnation answers before the list shows it."""
     state, _ = make_state(*ENTRIES)
     observe_leaving(state, 'engine-0', 1)
     observe_word(state, 'engine-0', 'b', leaving=False, now=2)
@@ -157,9 +158,9 @@
 
 
 def test_list_that_names_lives_in_its_own_way():
-    """The list and the engine never agree on the engine's incarnation.
+    """The list always shows another incarnation than the engine.
 
-    Taken for lag for ever, the list's leaving mark would go unheard.
+    If that counted as lag for ever, its leaving mark would be ignored.
     """
     state, _ = make_state(*ENTRIES)
     observe_word(state, 'engine-0', 'own', leaving=False, now=1)
@@ -170,9 +171,9 @@
 
 
 def test_reused_address():
-    """The platform gives a gone engine's address to another.
+    """The platform gives the address of a removed engine to another one.
 
-    Work for the old name would reach the wrong process.
+    Requests for the old name would reach the wrong process.
     """
     state, _ = make_state(*ENTRIES)
     address = ENTRIES[0].endpoint.address
@@ -190,7 +191,7 @@
 
 
 def test_flapping_is_damped():
-    """An engine answers a probe, gets work, fails again, over and over.
+    """An engine repeatedly answers a probe, gets requests and fails again.
 
     Each round costs callers three attempts.
     """
@@ -208,9 +209,9 @@
 
 
 def test_probes_are_few_and_spread():
-    """A data centre heals after every engine in it went silent.
+    """A data centre recovers after all engines in it were unresponsive.
 
-    Instances that all probe every engine at once would add to the load.
+    Instances that probe all engines at the same time would add to the load.
     """
     entries = [
         make_entry(f'e{number}', address=f'1:{number}') for number in range(40)
