--- a/packages/verbenahall/src/verbenahall/log/_answers.py
+++ b/packages/verbenahall/src/verbenahall/log/_answers.py
@@ -9,7 +9,7 @@
 from verbenahall.errors import ErrorKind, Problem, Ran
 from verbenahall.log._messages import (
     MAX_RECORD_BYTES,
-    Lost,
+    AnswerLost,
     Outcome,
     Refused,
 )
@@ -19,15 +19,15 @@
 _TOO_LARGE: Final = 413
 
 
-def classify(status: int) -> Outcome:
+def classify_status(status: int) -> Outcome:
     """Say what a status other than 200 tells about the append."""
     if status == _TOO_LARGE:
         return Refused(Problem(ErrorKind.TOO_LARGE, 'the log refused its size'))
-    problem = unavailable(f'answered {status}', Ran.UNKNOWN)
+    problem = build_unavailable(f'answered {status}', Ran.UNKNOWN)
     if status in {_BUSY, _DOWN}:
         refusal = dataclasses.replace(problem, ran=Ran.NO)
-        return Refused(refusal, again=status == _BUSY)
-    return Lost(problem)
+        return Refused(refusal, retryable=status == _BUSY)
+    return AnswerLost(problem)
 
 
 def decode_answer(body: bytes) -> dict[str, Any]:
@@ -43,7 +43,7 @@
     return str(error) or type(error).__name__
 
 
-def describe_too_large(payload: bytes) -> Problem:
+def build_too_large(payload: bytes) -> Problem:
     """Say that a record is over the limit."""
     return Problem(
         ErrorKind.TOO_LARGE,
@@ -51,6 +51,6 @@
     )
 
 
-def unavailable(complaint: str, ran: Ran) -> Problem:
+def build_unavailable(reason: str, ran: Ran) -> Problem:
     """Return the problem of a log that did not do what was asked."""
-    return Problem(ErrorKind.LOG_UNAVAILABLE, f'log: {complaint}', ran)
+    return Problem(ErrorKind.LOG_UNAVAILABLE, f'log: {reason}', ran)
--- a/packages/verbenahall/src/verbenahall/log/_client.py
+++ b/packages/verbenahall/src/verbenahall/log/_client.py
@@ -13,31 +13,31 @@
 from verbenahall import clock, wire
 from verbenahall.errors import Problem, Ran
 from verbenahall.log._answers import (
-    classify,
+    classify_status,
     decode_answer,
     describe_error,
-    describe_too_large,
-    unavailable,
+    build_too_large,
+    build_unavailable,
 )
 from verbenahall.log._messages import (
     MAX_RECORD_BYTES,
     Append,
     Appended,
-    Lost,
+    AnswerLost,
     Outcome,
     Page,
     Refused,
     read_page,
 )
 
-_GIVE_UP_S: Final = 5.0
-_ATTEMPT_S: Final = 2.0
-_CONNECT_S: Final = 1.0
+_APPEND_TIMEOUT_S: Final = 5.0
+_ATTEMPT_TIMEOUT_S: Final = 2.0
+_CONNECT_TIMEOUT_S: Final = 1.0
 #: How much longer than asked a waiting read may take.
-_READ_SLACK_S: Final = 2.0
+_READ_MARGIN_S: Final = 2.0
 _BACKOFF_S: Final = 0.05
-_LEAST_SHARE: Final = 0.5
-_FIND_LIMIT: Final = 500
+_MIN_PAUSE_SHARE: Final = 0.5
+_PAGE_LIMIT: Final = 500
 _OK: Final = 200
 
 #: Raised before a byte of the request is written.
@@ -51,24 +51,24 @@
     """One holder's access to the log.
 
     ``holder`` goes into each append's identity, so that the log shows who
-    wrote it. An append takes at most ``give_up_s`` seconds and a few more
+    wrote it. An append takes at most ``append_timeout_s`` seconds and a few more
     for the last read.
     """
 
-    __slots__ = ('holder', '_address', '_give_up_s', '_head', '_session')
+    __slots__ = ('holder', '_address', '_append_timeout_s', '_head', '_session')
 
     def __init__(
         self,
         address: str,
         session: aiohttp.ClientSession,
         holder: str,
-        give_up_s: float = _GIVE_UP_S,
+        append_timeout_s: float = _APPEND_TIMEOUT_S,
     ) -> None:
         """Use ``session`` for the log at ``address`` (``IP:port``)."""
         self.holder = holder
         self._address = address
         self._session = session
-        self._give_up_s = give_up_s
+        self._append_timeout_s = append_timeout_s
         self._head = -1
 
     async def append(
@@ -88,16 +88,18 @@
             {'stream': stream, 'id': identity, 'body': body},
         )
         if len(payload) > MAX_RECORD_BYTES:
-            return Failure(describe_too_large(payload))
+            return Failure(build_too_large(payload))
         if self._head < 0:
             # Without an offset older than the append, looking for it after
             # a lost answer would read the log from its start.
             page = await self.read(0, 1, 0, (stream,))
             if isinstance(page, Failure):
-                return Failure(unavailable('cannot read its head', Ran.NO))
-        give_up_at = clock.monotonic() + self._give_up_s
+                return Failure(
+                    build_unavailable('cannot read its head', Ran.NO)
+                )
+        deadline = clock.monotonic() + self._append_timeout_s
         return await self._append_once(
-            Append(stream, identity, payload, self._head, give_up_at),
+            Append(stream, identity, payload, self._head, deadline),
         )
 
     async def read(
@@ -116,11 +118,11 @@
         if streams:
             query['streams'] = ','.join(streams)
         try:
-            page = await self._get_page(query, wait_s + _READ_SLACK_S)
+            page = await self._get_page(query, wait_s + _READ_MARGIN_S)
         except (aiohttp.ClientError, asyncio.TimeoutError) as error:
-            return Failure(unavailable(describe_error(error), Ran.NO))
+            return Failure(build_unavailable(describe_error(error), Ran.NO))
         except (KeyError, TypeError, ValueError) as error:
-            return Failure(unavailable(f'bad page: {error!r}', Ran.NO))
+            return Failure(build_unavailable(f'bad page: {error!r}', Ran.NO))
         self._head = max(self._head, page.last)
         return Success(page)
 
@@ -128,7 +130,7 @@
         """Append, waiting while the log is only busy."""
         pause_s = _BACKOFF_S
         outcome = await self._post(append)
-        while _is_busy(outcome) and not _is_late(append):
+        while _is_busy(outcome) and not _is_past_deadline(append):
             await _pause(pause_s)
             pause_s *= 2
             outcome = await self._post(append)
@@ -137,10 +139,10 @@
                 return Success(offset)
             case Refused(problem):
                 return Failure(problem)
-            case Lost(problem):
-                return await self._settle(append, problem)
+            case AnswerLost(problem):
+                return await self._resolve_lost_append(append, problem)
 
-    async def _settle(
+    async def _resolve_lost_append(
         self,
         append: Append,
         problem: Problem,
@@ -162,7 +164,7 @@
                     return found
                 case Success(_):
                     await self._post(append)
-            if _is_late(append):
+            if _is_past_deadline(append):
                 return Failure(dataclasses.replace(problem, ran=Ran.UNKNOWN))
             await _pause(pause_s)
             pause_s *= 2
@@ -171,12 +173,12 @@
         """Return the offset of the append's first copy, 0 for none yet."""
         after = append.before
         while True:
-            read = await self.read(after, _FIND_LIMIT, 0, (append.stream,))
+            read = await self.read(after, _PAGE_LIMIT, 0, (append.stream,))
             if isinstance(read, Failure):
                 return read
             page = read.unwrap()
             offset = _find_identity(page, append.identity)
-            if offset or len(page.records) < _FIND_LIMIT:
+            if offset or len(page.records) < _PAGE_LIMIT:
                 return Success(offset)
             after = page.records[-1].offset
 
@@ -184,12 +186,14 @@
         try:
             return await self._post_once(append)
         except _NOT_SENT as not_sent:
-            return Refused(unavailable(describe_error(not_sent), Ran.NO))
+            return Refused(build_unavailable(describe_error(not_sent), Ran.NO))
         except (aiohttp.ClientError, asyncio.TimeoutError) as error:
-            return Lost(unavailable(describe_error(error), Ran.UNKNOWN))
+            return AnswerLost(
+                build_unavailable(describe_error(error), Ran.UNKNOWN)
+            )
         except (KeyError, TypeError, ValueError) as bad_answer:
-            complaint = f'bad answer: {bad_answer!r}'
-            return Lost(unavailable(complaint, Ran.UNKNOWN))
+            reason = f'bad answer: {bad_answer!r}'
+            return AnswerLost(build_unavailable(reason, Ran.UNKNOWN))
 
     async def _post_once(self, append: Append) -> Outcome:
         async with self._session.post(
@@ -197,8 +201,8 @@
             data=append.payload,
             headers={'Content-Type': 'application/json'},
             timeout=aiohttp.ClientTimeout(
-                total=_ATTEMPT_S,
-                sock_connect=_CONNECT_S,
+                total=_ATTEMPT_TIMEOUT_S,
+                sock_connect=_CONNECT_TIMEOUT_S,
             ),
         ) as answer:
             body = await answer.read()
@@ -207,7 +211,7 @@
             offset = int(decode_answer(body)['offset'])
             self._head = max(self._head, offset)
             return Appended(offset)
-        return classify(status)
+        return classify_status(status)
 
     async def _get_page(
         self,
@@ -219,7 +223,7 @@
             params=query,
             timeout=aiohttp.ClientTimeout(
                 total=timeout_s,
-                sock_connect=_CONNECT_S,
+                sock_connect=_CONNECT_TIMEOUT_S,
             ),
             raise_for_status=True,
         ) as answer:
@@ -228,15 +232,15 @@
 
 
 def _is_busy(outcome: Outcome) -> bool:
-    return isinstance(outcome, Refused) and outcome.again
+    return isinstance(outcome, Refused) and outcome.retryable
 
 
-def _is_late(append: Append) -> bool:
-    return clock.monotonic() >= append.give_up_at
+def _is_past_deadline(append: Append) -> bool:
+    return clock.monotonic() >= append.deadline
 
 
-async def _pause(longest_s: float) -> None:
-    await asyncio.sleep(longest_s * random.uniform(_LEAST_SHARE, 1))
+async def _pause(max_s: float) -> None:
+    await asyncio.sleep(max_s * random.uniform(_MIN_PAUSE_SHARE, 1))
 
 
 def _find_identity(page: Page, identity: str) -> int:
--- a/packages/verbenahall/src/verbenahall/log/_follower.py
+++ b/packages/verbenahall/src/verbenahall/log/_follower.py
@@ -29,10 +29,10 @@
     CLAIMS_STREAM,
     MARKS_STREAM,
 )
-_LIMIT: Final = 500
+_PAGE_LIMIT: Final = 500
 _WAIT_S: Final = 5.0
-_FIRST_PAUSE_S: Final = 0.05
-_LONGEST_PAUSE_S: Final = 2.0
+_MIN_PAUSE_S: Final = 0.05
+_MAX_PAUSE_S: Final = 2.0
 
 #: Applies one record; must not await.
 Handler = Callable[[Record], None]
@@ -83,7 +83,7 @@
         self._client = client
         self._handlers = tuple(handlers)
         self._streams = tuple(streams)
-        self._pause_s = _FIRST_PAUSE_S
+        self._pause_s = _MIN_PAUSE_S
 
     async def run(self) -> None:
         """Follow until cancelled, through outages of any length."""
@@ -102,13 +102,13 @@
         """
         page = await self._client.read(
             self.position,
-            _LIMIT,
+            _PAGE_LIMIT,
             wait_s,
             self._streams,
         )
         match page:
             case Success(found):
-                return await self._take(found)
+                return await self._handle_page(found)
             case Failure(problem):
                 logging.log_every_n_seconds(
                     logging.WARNING,
@@ -123,7 +123,7 @@
         """Move past records that a loaded snapshot already holds."""
         self.position = max(self.position, position)
 
-    async def _take(self, page: Page) -> bool:
+    async def _handle_page(self, page: Page) -> bool:
         self.head = max(self.head, page.last)
         self.first = page.first
         self.last_contact = clock.monotonic()
@@ -133,10 +133,10 @@
         self.gap = page.first > self.position + 1
         if self.gap:
             return await self._recover_gap()
-        self._pause_s = _FIRST_PAUSE_S
+        self._pause_s = _MIN_PAUSE_S
         for record in page.records:
             self._apply(record)
-        if len(page.records) < _LIMIT:
+        if len(page.records) < _PAGE_LIMIT:
             self.advance(page.last)
         return True
 
@@ -160,7 +160,7 @@
         an outage ends, and keep the log down.
         """
         await asyncio.sleep(self._pause_s * random.uniform(0.5, 1))
-        self._pause_s = min(2 * self._pause_s, _LONGEST_PAUSE_S)
+        self._pause_s = min(2 * self._pause_s, _MAX_PAUSE_S)
 
 
 def _call_handler(handler: Handler, record: Record) -> None:
--- a/packages/verbenahall/src/verbenahall/log/_messages.py
+++ b/packages/verbenahall/src/verbenahall/log/_messages.py
@@ -31,7 +31,7 @@
     identity: str
     payload: bytes
     before: int
-    give_up_at: float
+    deadline: float
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -43,20 +43,20 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Refused:
-    """The log surely did not append; ``again`` when it was only busy."""
+    """The log surely did not append; ``retryable`` when it was only busy."""
 
     problem: Problem
-    again: bool = False
+    retryable: bool = False
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Lost:
+class AnswerLost:
     """No usable answer came after the request may have been written."""
 
     problem: Problem
 
 
-Outcome = Appended | Refused | Lost
+Outcome = Appended | Refused | AnswerLost
 
 
 def read_page(body: dict[str, Any]) -> Page:
--- a/packages/verbenahall/tests/log/test_client.py
+++ b/packages/verbenahall/tests/log/test_client.py
@@ -65,7 +65,7 @@
 
 
 @contextlib.asynccontextmanager
-async def run_log(script=(), give_up_s=5.0):
+async def run_log(script=(), append_timeout_s=5.0):
     """Yield the fake log and a client of it."""
     log = FakeLog(script)
     app = web.Application()
@@ -76,13 +76,13 @@
     await web.TCPSite(runner, '127.0.0.1', 0).start()
     address = '{}:{}'.format(*runner.addresses[0])
     async with ClientSession() as session:
-        yield log, LogClient(address, session, 'entry-1', give_up_s)
+        yield log, LogClient(address, session, 'entry-1', append_timeout_s)
     await runner.cleanup()
 
 
-async def append(script, give_up_s=5.0):
+async def append(script, append_timeout_s=5.0):
     """Append one body; return the outcome and the log."""
-    async with run_log(script, give_up_s) as (log, client):
+    async with run_log(script, append_timeout_s) as (log, client):
         log.add({'stream': 'settings', 'id': 'older', 'body': {}})
         return await client.append('settings', {'a': 1}), log
 
@@ -125,7 +125,7 @@
     A claim reported as surely absent lets a caller send the same call
     again, so only refusals before the effect may say so.
     """
-    outcome, _ = asyncio.run(append(script, give_up_s=0.3))
+    outcome, _ = asyncio.run(append(script, append_timeout_s=0.3))
 
     assert outcome.failure().kind is ErrorKind.LOG_UNAVAILABLE
     assert outcome.failure().ran is ran
