--- a/packages/verbenahall/src/verbenahall/log/__init__.py
+++ b/packages/verbenahall/src/verbenahall/log/__init__.py
@@ -1,11 +1,11 @@
-"""The platform's log: appends with one identity, reads, and following.
+"""Client of the platform's log: appends, reads and following.
 
 Example::
 
     client = LogClient('127.0.0.1:7100', session, holder='entry-1')
     match await client.append('settings', body):
         case Success(offset): ...
-        case Failure(problem): ...  # problem.ran says whether it may exist
+        case Failure(problem): ...  # problem.ran: may the record exist?
 """
 
 from verbenahall.log._client import LogClient
