--- a/packages/verbenahall/src/verbenahall/log/_answers.py
+++ b/packages/verbenahall/src/verbenahall/log/_answers.py
@@ -1,4 +1,4 @@
-"""What the log's answers and errors tell about a request."""
+"""Interprets the log's answers and errors."""
 
 import dataclasses
 from typing import Any, Final
@@ -20,9 +20,13 @@
 
 
 def classify_status(status: int) -> Outcome:
-    """Say what a status other than 200 tells about the append."""
+    """Return the outcome of an append with a status other than 200."""
     if status == _TOO_LARGE:
-        return Refused(Problem(ErrorKind.TOO_LARGE, 'the log refused its size'))
+        return Refused(
+            Problem(
+                ErrorKind.TOO_LARGE, 'the log refused a record of this size'
+            )
+        )
     problem = build_unavailable(f'answered {status}', Ran.UNKNOWN)
     if status in {_BUSY, _DOWN}:
         refusal = dataclasses.replace(problem, ran=Ran.NO)
@@ -31,7 +35,7 @@
 
 
 def decode_answer(body: bytes) -> dict[str, Any]:
-    """Decode an answer; raise ``ValueError`` on another shape."""
+    """Decode a JSON answer; raise ``ValueError`` if it is invalid."""
     table = wire.decode_table(body)
     if isinstance(table, Failure):
         raise ValueError(table.failure().message)
@@ -39,18 +43,18 @@
 
 
 def describe_error(error: Exception) -> str:
-    """Return an error in words; some have none of their own."""
+    """Return the message of an error, or its class name without one."""
     return str(error) or type(error).__name__
 
 
 def build_too_large(payload: bytes) -> Problem:
-    """Say that a record is over the limit."""
+    """Return the problem of a record that is over the limit."""
     return Problem(
         ErrorKind.TOO_LARGE,
-        f'record of {len(payload)} bytes; the most is {MAX_RECORD_BYTES}',
+        f'record of {len(payload)} bytes; the limit is {MAX_RECORD_BYTES}',
     )
 
 
 def build_unavailable(reason: str, ran: Ran) -> Problem:
-    """Return the problem of a log that did not do what was asked."""
+    """Return the problem of a request to the log that failed."""
     return Problem(ErrorKind.LOG_UNAVAILABLE, f'log: {reason}', ran)
