--- a/packages/verbenahall/src/verbenahall/log/_client.py
+++ b/packages/verbenahall/src/verbenahall/log/_client.py
@@ -33,14 +33,14 @@
 _APPEND_TIMEOUT_S: Final = 5.0
 _ATTEMPT_TIMEOUT_S: Final = 2.0
 _CONNECT_TIMEOUT_S: Final = 1.0
-#: How much longer than asked a waiting read may take.
+#: Timeout of a read beyond its requested wait, in seconds.
 _READ_MARGIN_S: Final = 2.0
 _BACKOFF_S: Final = 0.05
 _MIN_PAUSE_SHARE: Final = 0.5
 _PAGE_LIMIT: Final = 500
 _OK: Final = 200
 
-#: Raised before a byte of the request is written.
+#: Exceptions that are raised before any byte of the request is written.
 _NOT_SENT: Final = (
     aiohttp.ClientConnectorError,
     aiohttp.ConnectionTimeoutError,
@@ -48,11 +48,11 @@
 
 
 class LogClient:
-    """One holder's access to the log.
+    """Client of the log for one holder.
 
-    ``holder`` goes into each append's identity, so that the log shows who
-    wrote it. An append takes at most ``append_timeout_s`` seconds and a few more
-    for the last read.
+    ``holder`` is part of each append's identity, so that the log shows which
+    instance wrote a record. An append takes at most ``append_timeout_s``
+    seconds and a few more for the last read.
     """
 
     __slots__ = ('holder', '_address', '_append_timeout_s', '_head', '_session')
@@ -78,9 +78,8 @@
     ) -> Result[int, Problem]:
         """Append one record and return its offset.
 
-        The failure is ``LOG_UNAVAILABLE``; its ``ran`` is ``NO`` when the
-        record surely does not exist and ``UNKNOWN`` when it may exist, now
-        or later.
+        The failure is ``LOG_UNAVAILABLE``. Its ``ran`` is ``NO`` if the
+        record does not exist, and ``UNKNOWN`` if it may exist, now or later.
         """
         suffix = uuid.uuid4().hex
         identity = f'{self.holder}-{suffix}'
@@ -90,13 +89,11 @@
         if len(payload) > MAX_RECORD_BYTES:
             return Failure(build_too_large(payload))
         if self._head < 0:
-            # Without an offset older than the append, looking for it after
-            # a lost answer would read the log from its start.
+            # An offset before the append is needed: looking for the record
+            # after a lost answer would otherwise read the log from its start.
             page = await self.read(0, 1, 0, (stream,))
             if isinstance(page, Failure):
-                return Failure(
-                    build_unavailable('cannot read its head', Ran.NO)
-                )
+                return Failure(build_unavailable('cannot read its end', Ran.NO))
         deadline = clock.monotonic() + self._append_timeout_s
         return await self._append_once(
             Append(stream, identity, payload, self._head, deadline),
@@ -111,8 +108,8 @@
     ) -> Result[Page, Problem]:
         """Return records after an offset, waiting for the first one.
 
-        At most ``limit`` records of ``streams`` (all when empty); an empty
-        page after ``wait_s`` seconds without any.
+        Returned are at most ``limit`` records of ``streams`` (of all streams
+        if empty), or an empty page after ``wait_s`` seconds without any.
         """
         query = {'after': after, 'limit': limit, 'wait': wait_s}
         if streams:
@@ -122,12 +119,14 @@
         except (aiohttp.ClientError, asyncio.TimeoutError) as error:
             return Failure(build_unavailable(describe_error(error), Ran.NO))
         except (KeyError, TypeError, ValueError) as error:
-            return Failure(build_unavailable(f'bad page: {error!r}', Ran.NO))
+            return Failure(
+                build_unavailable(f'invalid page: {error!r}', Ran.NO)
+            )
         self._head = max(self._head, page.last)
         return Success(page)
 
     async def _append_once(self, append: Append) -> Result[int, Problem]:
-        """Append, waiting while the log is only busy."""
+        """Append a record; retry while the log is busy."""
         pause_s = _BACKOFF_S
         outcome = await self._post(append)
         while _is_busy(outcome) and not _is_past_deadline(append):
@@ -147,14 +146,13 @@
         append: Append,
         problem: Problem,
     ) -> Result[int, Problem]:
-        """Find out what became of an append whose answer was lost.
-
-        The answer may be lost after the effect: a record then stands of
-        which its author knows nothing, and a second try would be a second
-        record. A request that timed out may also lie in the log's socket
-        still. So only a read decides: each further try has the same
-        identity, comes after a read without it, and of two copies the first
-        counts, as it does for the folds.
+        """Determine the outcome of an append whose answer was lost.
+
+        The answer may be lost after the record was appended, and a second
+        try would then append it twice. A request that timed out may also
+        still wait in the log's socket. So only a read decides: each further
+        try has the same identity and follows a read that did not find it. Of
+        two copies the first one counts, here as in the folds.
         """
         pause_s = _BACKOFF_S
         while True:
@@ -170,7 +168,7 @@
             pause_s *= 2
 
     async def _find(self, append: Append) -> Result[int, Problem]:
-        """Return the offset of the append's first copy, 0 for none yet."""
+        """Return the offset of the append's first copy, 0 if there is none."""
         after = append.before
         while True:
             read = await self.read(after, _PAGE_LIMIT, 0, (append.stream,))
@@ -192,7 +190,7 @@
                 build_unavailable(describe_error(error), Ran.UNKNOWN)
             )
         except (KeyError, TypeError, ValueError) as bad_answer:
-            reason = f'bad answer: {bad_answer!r}'
+            reason = f'invalid answer: {bad_answer!r}'
             return AnswerLost(build_unavailable(reason, Ran.UNKNOWN))
 
     async def _post_once(self, append: Append) -> Outcome:
