--- a/packages/verbenahall/src/verbenahall/log/_follower.py
+++ b/packages/verbenahall/src/verbenahall/log/_follower.py
@@ -1,4 +1,4 @@
-"""Follows the log and hands each record to the folds, in order, once."""
+"""Follows the log and passes each record to the folds, in order, once."""
 
 import asyncio
 import random
@@ -20,8 +20,8 @@
     Record,
 )
 
-#: All but the snapshots: those are read when one is needed, and would
-#: otherwise reach every instance each time that one of them writes.
+#: All streams but the snapshots. These are read when one is needed; followed,
+#: they would be sent to every instance each time that one of them writes one.
 FOLLOWED_STREAMS: Final = (
     SETTINGS_STREAM,
     AUTHORITY_STREAM,
@@ -36,19 +36,19 @@
 
 #: Applies one record; must not await.
 Handler = Callable[[Record], None]
-#: Called on a gap; returns once the follower was moved past it.
+#: Called on a gap; returns after it has moved the follower past it.
 Recover = Callable[[], Awaitable[None]]
 
 
 class LogFollower:
-    """Reads on from ``position`` for as long as ``run`` runs.
+    """Reads and applies records after ``position``.
 
-    ``position`` is the offset up to which every followed record was applied,
-    ``head`` the highest offset that the log was seen to have given (-1 before
-    the first answer), ``first`` the lowest that it keeps, ``last_contact`` the
+    ``position`` is the offset up to which every followed record was applied.
+    ``first`` is the lowest offset that the log keeps and ``head`` the highest
+    that it reported (-1 before the first answer). ``last_contact`` is the
     monotonic time of the last answer.
-    A gap (records between ``position`` and the oldest kept are gone) stops
-    the applying until ``recover`` has moved the position past it.
+    If records after ``position`` have expired, there is a gap. No records
+    are applied until ``recover`` has moved the position past it.
     """
 
     __slots__ = (
@@ -73,7 +73,7 @@
         streams: Sequence[str] = FOLLOWED_STREAMS,
         recover: Recover | None = None,
     ) -> None:
-        """Start after ``position``; nothing is read before ``run``."""
+        """Start after ``position``; call ``run`` or ``poll`` to read."""
         self.position = position
         self.head = -1
         self.first = 1
@@ -86,10 +86,10 @@
         self._pause_s = _MIN_PAUSE_S
 
     async def run(self) -> None:
-        """Follow until cancelled, through outages of any length."""
+        """Follow the log until cancelled; outages are retried."""
         while True:
-            # The first answer comes at once, so that an instance that starts
-            # on a quiet log knows the log's end and is soon ready.
+            # The first poll doesn't wait, so that an instance that starts
+            # on a quiet log learns the log's end and is ready soon.
             wait_s = 0 if self.head < 0 else _WAIT_S
             if not await self.poll(wait_s):
                 await self._pause()
@@ -97,8 +97,8 @@
     async def poll(self, wait_s: float = _WAIT_S) -> bool:
         """Read and apply one page; return whether the log answered.
 
-        A page that shows a gap is not applied; it counts as no answer when
-        there is no way to recover.
+        A page with a gap is not applied and returns False, so that the next
+        poll follows after a pause.
         """
         page = await self._client.read(
             self.position,
@@ -120,16 +120,16 @@
         return False
 
     def advance(self, position: int) -> None:
-        """Move past records that a loaded snapshot already holds."""
+        """Move past records that a loaded snapshot contains."""
         self.position = max(self.position, position)
 
     async def _handle_page(self, page: Page) -> bool:
         self.head = max(self.head, page.last)
         self.first = page.first
         self.last_contact = clock.monotonic()
-        # Records that expired before they were read are gone for good.
-        # Reading on would leave this instance with other settings than the
-        # rest, without a sign; a snapshot has what they changed.
+        # Records that expired before they were read can't be read any more.
+        # Without them this instance would have other settings than the rest,
+        # and no error would show it. A snapshot contains their changes.
         self.gap = page.first > self.position + 1
         if self.gap:
             return await self._recover_gap()
@@ -141,7 +141,7 @@
         return True
 
     async def _recover_gap(self) -> bool:
-        logging.warning('records after offset %d are gone', self.position)
+        logging.warning('records after offset %d have expired', self.position)
         if self.recover is not None:
             await self.recover()
         return False
@@ -154,10 +154,10 @@
         self.position = record.offset
 
     async def _pause(self) -> None:
-        """Wait longer after each failure, spread over the instances.
+        """Wait with exponential backoff and jitter.
 
-        Without the spread all instances would ask at the same moment when
-        an outage ends, and keep the log down.
+        Without jitter all instances would poll at the same moment when an
+        outage ends, and overload the log again.
         """
         await asyncio.sleep(self._pause_s * random.uniform(0.5, 1))
         self._pause_s = min(2 * self._pause_s, _MAX_PAUSE_S)
@@ -167,6 +167,6 @@
     try:
         handler(record)
     except Exception:
-        # One record that a fold cannot take must not end the following: the
-        # instance would stay at an old offset for ever without saying why.
+        # A record that a fold can't apply must not end the following: the
+        # instance would stay at an old offset without an error.
         logging.exception('record %d could not be applied', record.offset)
