--- a/packages/verbenahall/src/verbenahall/log/_messages.py
+++ b/packages/verbenahall/src/verbenahall/log/_messages.py
@@ -1,4 +1,4 @@
-"""Messages of the log slice and the log's own bounds."""
+"""Messages of the log client and the limits of the log."""
 
 import dataclasses
 from typing import Any, Final
@@ -6,16 +6,16 @@
 from verbenahall.errors import Problem
 from verbenahall.records import Record
 
-#: A record's JSON, with stream and identity, is at most this long.
+#: Maximum size of a record's JSON with stream and identity.
 MAX_RECORD_BYTES: Final = 65_536
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Page:
-    """One answer to a read.
+    """The answer to a read.
 
     ``first`` is the lowest offset that the log still keeps and ``last`` the
-    highest that it ever gave; both and the records are of one moment.
+    highest that it has assigned, both at the time of the read.
     """
 
     records: tuple[Record, ...]
@@ -25,7 +25,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Append:
-    """One append: ``before`` is an offset known to be older than it."""
+    """An append; ``before`` is an offset from before it."""
 
     stream: str
     identity: str
@@ -43,7 +43,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Refused:
-    """The log surely did not append; ``retryable`` when it was only busy."""
+    """The log did not append; ``retryable`` if it was only busy."""
 
     problem: Problem
     retryable: bool = False
@@ -51,7 +51,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class AnswerLost:
-    """No usable answer came after the request may have been written."""
+    """The request may have been sent, but no valid answer was received."""
 
     problem: Problem
 
@@ -60,7 +60,7 @@
 
 
 def read_page(body: dict[str, Any]) -> Page:
-    """Build a page from its JSON; raises ``KeyError`` or ``TypeError``."""
+    """Decode a page; ``KeyError`` or ``TypeError`` if it is invalid."""
     return Page(
         records=tuple(_read_record(row) for row in body['records']),
         first=int(body['first']),
@@ -69,8 +69,8 @@
 
 
 def _read_record(row: dict[str, Any]) -> Record:
-    # Anyone who reaches the log can append a body that is no object; the
-    # folds see an empty body then and refuse it, and following goes on.
+    # Any process that reaches the log can append a body that is no object.
+    # The folds get an empty body instead and refuse it.
     body = row.get('body')
     return Record(
         offset=int(row['offset']),
