--- a/packages/verbenahall/tests/log/test_client.py
+++ b/packages/verbenahall/tests/log/test_client.py
@@ -1,4 +1,4 @@
-"""Appends whose answers are lost, busy and silent logs, and following."""
+"""Appends to busy logs or with lost answers, and following of the log."""
 
 import asyncio
 import contextlib
@@ -13,7 +13,7 @@
 
 
 class FakeLog:
-    """A log in memory; ``script`` names what the next appends meet."""
+    """A log in memory; ``script`` holds the faults of the next appends."""
 
     def __init__(self, script=()):
         self.records = []
@@ -22,13 +22,13 @@
         self.reads = 0
 
     def add(self, message):
-        """Append one record, second copies too."""
+        """Append a record, also one that exists already."""
         offset = len(self.records) + 1
         self.records.append({**message, 'offset': offset})
         return offset
 
     async def append(self, request):
-        """Answer, or do as the script says."""
+        """Handle an append as the next step of the script says."""
         message = wire.decode_table(await request.read()).unwrap()
         step = self.script.pop(0) if self.script else 'answer'
         match step:
@@ -42,7 +42,7 @@
                 self.add(message)
                 request.transport.close()
             case 'late':
-                # The request is cut off, its effect comes afterwards.
+                # The connection is closed, and the append happens later.
                 loop = asyncio.get_running_loop()
                 loop.call_later(0.08, self.add, message)
                 request.transport.close()
@@ -53,7 +53,7 @@
         return web.json_response({'offset': self.add(message)})
 
     async def read(self, request):
-        """Answer a page at once, or after a short wait when it is empty."""
+        """Return a page, after a short wait if it is empty."""
         self.reads += 1
         after = int(request.query['after'])
         page = self.records[after : after + int(request.query['limit'])]
@@ -66,7 +66,7 @@
 
 @contextlib.asynccontextmanager
 async def run_log(script=(), append_timeout_s=5.0):
-    """Yield the fake log and a client of it."""
+    """Yield a fake log and a client for it."""
     log = FakeLog(script)
     app = web.Application()
     app.router.add_post('/append', log.append)
@@ -99,10 +99,10 @@
     ],
 )
 def test_append_returns_the_first_copy(script, copies):
-    """The log is busy, or its answer is lost before or after the effect.
+    """The log is busy, or an answer is lost before or after the append.
 
-    An author who is told another offset than the folds count, or an error
-    for a record that stands, orders engines under a wrong fencing token.
+    The offset is used as a fencing token. It must be that of the copy which
+    the folds count, and an existing record must not be reported as failed.
     """
     outcome, log = asyncio.run(append(script))
     offsets = [row['offset'] for row in log.records if row['id'] != 'older']
@@ -120,10 +120,10 @@
     ],
 )
 def test_failure_says_whether_the_record_may_exist(script, ran):
-    """The log stays away for longer than the append may take.
+    """The log fails for longer than an append may take.
 
-    A claim reported as surely absent lets a caller send the same call
-    again, so only refusals before the effect may say so.
+    A claim that is reported as absent lets a caller send its request again,
+    so only refusals before the append may be reported so.
     """
     outcome, _ = asyncio.run(append(script, append_timeout_s=0.3))
 
@@ -132,14 +132,14 @@
 
 
 def test_unreachable_log_surely_has_no_record():
-    """Nothing listens at the log's address."""
+    """Nothing listens at the log's address, so no record can exist."""
     outcome = asyncio.run(_append_unreachable())
 
     assert outcome.failure().ran is Ran.NO
 
 
 def test_record_over_the_limit_is_not_sent():
-    """The log would refuse it, or cut it."""
+    """The log would refuse or truncate the record."""
     outcome, log = asyncio.run(_append_large())
 
     assert outcome.failure().kind is ErrorKind.TOO_LARGE
@@ -147,10 +147,9 @@
 
 
 def test_follower_applies_each_record_once_past_a_bad_one():
-    """A record makes a fold raise.
+    """A record makes a fold raise an exception.
 
-    The instance goes on with the records after it; it would otherwise stay
-    at an old offset for ever.
+    The instance must apply the later records and not stay at an old offset.
     """
     seen = []
     follower = asyncio.run(_follow(seen))
@@ -160,9 +159,9 @@
 
 
 def test_follower_does_not_skip_a_gap():
-    """The instance was away for longer than the log keeps records.
+    """The instance was disconnected for longer than the log keeps records.
 
-    Reading on would leave it with other settings than everyone else.
+    Without the expired records its settings would differ from the others'.
     """
     seen = []
     follower = asyncio.run(_follow(seen, position=1, first=3))
