--- a/packages/verbenahall/src/verbenahall/snapshots/_folds.py
+++ b/packages/verbenahall/src/verbenahall/snapshots/_folds.py
@@ -12,15 +12,15 @@
 class FoldSet:
     """Dumps and loads every fold together.
 
-    ``foreign`` names the sections of the last loaded snapshot that no fold
+    ``unknown_sections`` names the sections of the last loaded snapshot that no fold
     here has: a later release wrote it.
     """
 
-    __slots__ = ('foreign', '_folds')
+    __slots__ = ('unknown_sections', '_folds')
 
     def __init__(self, folds: Sequence[Foldable]) -> None:
         """Keep the folds in this order."""
-        self.foreign: frozenset[str] = frozenset()
+        self.unknown_sections: frozenset[str] = frozenset()
         self._folds = tuple(folds)
 
     def dump(self, position: int) -> Snapshot:
@@ -43,7 +43,7 @@
                     f'snapshot at {snapshot.upto}: {error!r}',
                 ),
             )
-        self.foreign = frozenset(snapshot.sections) - frozenset(before)
+        self.unknown_sections = frozenset(snapshot.sections) - frozenset(before)
         return Success(None)
 
     def _dump_sections(self) -> dict[str, dict[str, Any]]:
--- a/packages/verbenahall/src/verbenahall/snapshots/_marks.py
+++ b/packages/verbenahall/src/verbenahall/snapshots/_marks.py
@@ -6,8 +6,8 @@
 from verbenahall.records import MARKS_STREAM, Record
 from verbenahall.snapshots._messages import Mark
 
-_MOST_PARTS: Final = 4096
-_MEMBERS: Final = ('upto', 'parts', 'start')
+_MAX_PARTS: Final = 4096
+_NUMBER_KEYS: Final = ('upto', 'parts', 'start')
 
 
 def encode_mark(mark: Mark) -> dict[str, Any]:
@@ -20,20 +20,20 @@
 def decode_mark(record: Record) -> Mark | None:
     """Read a mark, or ``None`` from what is none."""
     body = record.body
-    numbers = [body.get(member) for member in _MEMBERS]
+    numbers = [body.get(key) for key in _NUMBER_KEYS]
     sha256 = body.get('sha256')
     if record.stream != MARKS_STREAM or not isinstance(sha256, str):
         return None
     if not all(isinstance(number, int) for number in numbers):
         return None
-    mark = Mark(record.offset, sha256=sha256, **_pick(body))
-    return mark if _is_sound(mark) else None
+    mark = Mark(record.offset, sha256=sha256, **_select_numbers(body))
+    return mark if _is_valid(mark) else None
 
 
-def _pick(body: dict[str, Any]) -> dict[str, int]:
-    return {member: body[member] for member in _MEMBERS}
+def _select_numbers(body: dict[str, Any]) -> dict[str, int]:
+    return {key: body[key] for key in _NUMBER_KEYS}
 
 
-def _is_sound(mark: Mark) -> bool:
+def _is_valid(mark: Mark) -> bool:
     ordered = mark.upto < mark.start and mark.start < mark.offset
-    return mark.upto >= 0 and ordered and 0 < mark.parts <= _MOST_PARTS
+    return mark.upto >= 0 and ordered and 0 < mark.parts <= _MAX_PARTS
--- a/packages/verbenahall/src/verbenahall/snapshots/_packing.py
+++ b/packages/verbenahall/src/verbenahall/snapshots/_packing.py
@@ -16,15 +16,15 @@
 #: Bytes of a part before base64; with it a record stays below its limit.
 PART_BYTES: Final = 45_000
 #: A state larger than this is refused before it fills the memory.
-MOST_STATE_BYTES: Final = 134_217_728
-_FAST: Final = 1
+MAX_STATE_BYTES: Final = 134_217_728
+_COMPRESSION_LEVEL: Final = 1
 _PIECE_BYTES: Final = 262_144
 
 
 async def pack(snapshot: Snapshot) -> Packed:
     """Pack a snapshot, letting other work go on between pieces."""
     text = wire.encode({'upto': snapshot.upto, 'sections': snapshot.sections})
-    packer = zlib.compressobj(_FAST)
+    packer = zlib.compressobj(_COMPRESSION_LEVEL)
     pieces: list[bytes] = []
     start = 0
     while start < len(text):
@@ -41,14 +41,14 @@
     """Return the snapshot, or say what is wrong with the bytes."""
     digest = hashlib.sha256(packed.state).hexdigest()
     if digest != packed.sha256:
-        return _refuse('its checksum does not match')
+        return _fail('its checksum does not match')
     unpacker = zlib.decompressobj()
     try:
-        text = unpacker.decompress(packed.state, MOST_STATE_BYTES)
+        text = unpacker.decompress(packed.state, MAX_STATE_BYTES)
     except zlib.error as error:
-        return _refuse(str(error))
+        return _fail(str(error))
     if not unpacker.eof:
-        return _refuse('it is cut off or too large')
+        return _fail('it is cut off or too large')
     return wire.decode_table(text).bind(_read_snapshot)
 
 
@@ -109,7 +109,7 @@
     part = decode_part({**table, 'part': 0})
     upto = table.get('upto')
     if part is None or not isinstance(upto, int):
-        return _refuse('a member is missing')
+        return _fail('a member is missing')
     return Success(Packed(upto, part.sha256, part.state))
 
 
@@ -118,8 +118,8 @@
     sections = table.get('sections')
     if isinstance(upto, int) and isinstance(sections, dict):
         return Success(Snapshot(upto, sections))
-    return _refuse('it has no sections')
+    return _fail('it has no sections')
 
 
-def _refuse(complaint: str) -> Result[Any, Problem]:
-    return Failure(Problem(ErrorKind.CONFLICT, f'snapshot: {complaint}'))
+def _fail(reason: str) -> Result[Any, Problem]:
+    return Failure(Problem(ErrorKind.CONFLICT, f'snapshot: {reason}'))
--- a/packages/verbenahall/src/verbenahall/snapshots/_peers.py
+++ b/packages/verbenahall/src/verbenahall/snapshots/_peers.py
@@ -14,7 +14,7 @@
 SNAPSHOT_PATH: Final = '/peer/v1/snapshot'
 _TIMEOUT_S: Final = 5.0
 #: Peers asked at once: the newest of a few is enough.
-_MOST_ASKED: Final = 3
+_MAX_PEERS: Final = 3
 _OK: Final = 200
 
 
@@ -24,7 +24,7 @@
 ) -> Snapshot | None:
     """Return the newest good snapshot of a few peers, if any."""
     answers = await asyncio.gather(
-        *(_fetch(session, address) for address in addresses[:_MOST_ASKED]),
+        *(_fetch(session, address) for address in addresses[:_MAX_PEERS]),
     )
     snapshots = [
         answer.unwrap() for answer in answers if isinstance(answer, Success)
@@ -44,13 +44,13 @@
             body = await answer.read()
             status = answer.status
     except (aiohttp.ClientError, asyncio.TimeoutError) as error:
-        return _refuse(address, str(error))
+        return _fail(address, str(error))
     if status != _OK:
-        return _refuse(address, f'answered {status}')
+        return _fail(address, f'answered {status}')
     return decode_packed(body).bind(unpack)
 
 
-def _refuse(address: str, complaint: str) -> Result[Snapshot, Problem]:
+def _fail(address: str, reason: str) -> Result[Snapshot, Problem]:
     return Failure(
-        Problem(ErrorKind.NOT_READY, f'peer {address}: {complaint}'),
+        Problem(ErrorKind.NOT_READY, f'peer {address}: {reason}'),
     )
--- a/packages/verbenahall/src/verbenahall/snapshots/_schedule.py
+++ b/packages/verbenahall/src/verbenahall/snapshots/_schedule.py
@@ -14,8 +14,8 @@
 
 _REFRESH_S: Final = 300.0
 _SPREAD_S: Final = 20.0
-_LONGEST_TAIL: Final = 20_000
-_HURRIED_SPREAD_S: Final = 0.5
+_MAX_TAIL_RECORDS: Final = 20_000
+_URGENT_SPREAD_S: Final = 0.5
 _HALF: Final = 0.5
 _QUARTER: Final = 0.25
 
@@ -30,7 +30,7 @@
 
     refresh_s: float = _REFRESH_S
     spread_s: float = _SPREAD_S
-    longest_tail: int = _LONGEST_TAIL
+    max_tail_records: int = _MAX_TAIL_RECORDS
 
 
 class ScheduleState:
@@ -62,7 +62,7 @@
     state.planned_at = math.inf
 
 
-def put_off(state: ScheduleState) -> None:
+def reschedule(state: ScheduleState) -> None:
     """Draw the moment again, after a write that failed.
 
     While the log is away a snapshot becomes due for every instance. With the
@@ -75,24 +75,24 @@
     state: ScheduleState,
     schedule: Schedule,
     now: float,
-    random_source: random.Random,
+    rng: random.Random,
 ) -> bool:
     """Whether this instance should write a snapshot now.
 
     The first call after one is due draws the moment, later calls wait for
     it.
     """
-    spread_s = _find_spread(state, schedule, now)
+    spread_s = _compute_spread(state, schedule, now)
     if spread_s is None:
         state.planned_at = math.inf
         return False
-    drawn = now + random_source.uniform(0, spread_s)
+    drawn = now + rng.uniform(0, spread_s)
     if math.isinf(state.planned_at) or spread_s < schedule.spread_s:
         state.planned_at = min(state.planned_at, drawn)
     return now >= state.planned_at
 
 
-def _find_spread(
+def _compute_spread(
     state: ScheduleState,
     schedule: Schedule,
     now: float,
@@ -112,10 +112,10 @@
     joined = upto - state.first + 1
     moving = state.first > 1
     if moving and joined <= _QUARTER * kept:
-        return min(_HURRIED_SPREAD_S, schedule.spread_s)
+        return min(_URGENT_SPREAD_S, schedule.spread_s)
     overdue = now - state.seen_at >= schedule.refresh_s
     tail = state.head - upto
     nearing = moving and joined <= _HALF * kept
-    if overdue or nearing or tail > schedule.longest_tail:
+    if overdue or nearing or tail > schedule.max_tail_records:
         return schedule.spread_s
     return None
--- a/packages/verbenahall/src/verbenahall/snapshots/_shell.py
+++ b/packages/verbenahall/src/verbenahall/snapshots/_shell.py
@@ -30,7 +30,7 @@
 IsPeer = Callable[[str], bool]
 
 
-def _admit_all(host: str) -> bool:
+def _allow_all(host: str) -> bool:
     return True
 
 
@@ -62,7 +62,7 @@
         session: ClientSession,
         peers: Peers,
         schedule: Schedule | None = None,
-        is_peer: IsPeer = _admit_all,
+        is_peer: IsPeer = _allow_all,
     ) -> None:
         """Keep ``folds``; ``session`` is for peers.
 
@@ -73,7 +73,7 @@
         self.reason = 'the log was not read yet'
         self.follower = LogFollower(
             client,
-            [self._note_mark, *(fold.apply_record for fold in folds)],
+            [self._record_mark, *(fold.apply_record for fold in folds)],
             recover=self.recover,
         )
         self._client = client
@@ -98,7 +98,7 @@
     async def start(self) -> None:
         """Return once the folds stand at a known position."""
         while not (
-            await self._start_from_log() or await self._take_from_peer()
+            await self._start_from_log() or await self._load_from_peer()
         ):
             logging.warning('not ready: %s', self.reason)
             await asyncio.sleep(_RETRY_S * random.uniform(1, 2))
@@ -108,15 +108,15 @@
 
     async def recover(self) -> None:
         """Load what the records that are gone had changed."""
-        if await self._take_from_log() or await self._take_from_peer():
+        if await self._load_from_log() or await self._load_from_peer():
             logging.info('gap closed at offset %d', self.follower.position)
 
     def add_routes(self, app: web.Application) -> None:
         """Serve this instance's snapshot to its peers."""
-        app.router.add_get(SNAPSHOT_PATH, self._answer_peer)
+        app.router.add_get(SNAPSHOT_PATH, self._handle_peer)
 
     async def _start_from_log(self) -> bool:
-        if not await self._take_from_log():
+        if not await self._load_from_log():
             return False
         wanted = self.follower.head
         while self.follower.position < wanted:
@@ -126,7 +126,7 @@
                 return False
         return True
 
-    async def _take_from_log(self) -> bool:
+    async def _load_from_log(self) -> bool:
         """Load the newest snapshot if it is ahead and joins the log.
 
         Return whether the log can be followed from the position.
@@ -140,46 +140,46 @@
         # count it as unheard for a whole long poll, and claim no lease.
         self.follower.last_contact = clock.monotonic()
         self.follower.head = max(self.follower.head, page.last)
-        lowest = max(page.first - 1, self.follower.position)
-        taken = await self._store.take_newest(lowest, self._take)
-        if isinstance(taken, Failure):
-            self.reason = taken.failure().message
+        min_offset = max(page.first - 1, self.follower.position)
+        applied = await self._store.take_newest(min_offset, self._apply)
+        if isinstance(applied, Failure):
+            self.reason = applied.failure().message
             return False
-        self.reason = f'no good snapshot of offset {lowest} or later'
+        self.reason = f'no good snapshot of offset {min_offset} or later'
         return self.follower.position >= page.first - 1
 
-    async def _take_from_peer(self) -> bool:
+    async def _load_from_peer(self) -> bool:
         """Take over a peer's folds, which may be behind the log."""
         snapshot = await fetch_newest(self._session, self._peers())
         if snapshot is None:
             self.reason = f'{self.reason}; no peer has a snapshot'
             return False
-        taken = self._take(snapshot)
-        if isinstance(taken, Failure):
-            self.reason = taken.failure().message
-        return isinstance(taken, Success)
+        applied = self._apply(snapshot)
+        if isinstance(applied, Failure):
+            self.reason = applied.failure().message
+        return isinstance(applied, Success)
 
-    def _take(self, snapshot: Snapshot) -> Result[None, Problem]:
+    def _apply(self, snapshot: Snapshot) -> Result[None, Problem]:
         # The folds never go back: an instance that answered by a setting
         # once must not answer by an older one afterwards.
         position = self.follower.position
         if snapshot.upto < position:
-            complaint = f'snapshot at {snapshot.upto} is before {position}'
-            return Failure(Problem(ErrorKind.CONFLICT, complaint))
+            message = f'snapshot at {snapshot.upto} is before {position}'
+            return Failure(Problem(ErrorKind.CONFLICT, message))
         loaded = self._folds.load(snapshot)
         if isinstance(loaded, Success):
             self.follower.advance(snapshot.upto)
         return loaded
 
-    def _note_mark(self, record: Record) -> None:
-        self.writer.note_mark(record)
+    def _record_mark(self, record: Record) -> None:
+        self.writer.record_mark(record)
 
-    async def _answer_peer(self, request: web.Request) -> web.Response:
+    async def _handle_peer(self, request: web.Request) -> web.Response:
         # A snapshot holds every team's settings. Given to whoever reaches
         # the port, it would go around the credentials of the administration.
         if not self._is_peer(request.remote or ''):
-            complaint = 'snapshots are for instances on the list'
-            raise ProblemError(Problem(ErrorKind.FORBIDDEN, complaint))
+            message = 'snapshots are for instances on the list'
+            raise ProblemError(Problem(ErrorKind.FORBIDDEN, message))
         if not self.ready:
             raise ProblemError(Problem(ErrorKind.NOT_READY, self.reason))
         packed = await self.writer.pack()
--- a/packages/verbenahall/src/verbenahall/snapshots/_store.py
+++ b/packages/verbenahall/src/verbenahall/snapshots/_store.py
@@ -23,7 +23,7 @@
 _PARTS_LIMIT: Final = 16
 
 #: Takes a snapshot over, or says why it can't be.
-Take = Callable[[Snapshot], Result[None, Problem]]
+ApplySnapshot = Callable[[Snapshot], Result[None, Problem]]
 
 
 class SnapshotStore:
@@ -51,7 +51,7 @@
             records = read.unwrap().records
             marks.extend(_decode_marks(records))
             if len(records) < _MARKS_LIMIT:
-                return Success(sorted(marks, key=_by_age, reverse=True))
+                return Success(sorted(marks, key=_sort_key, reverse=True))
             after = records[-1].offset
 
     async def load(self, mark: Mark) -> Result[Snapshot, Problem]:
@@ -76,28 +76,28 @@
 
     async def take_newest(
         self,
-        lowest: int,
-        take: Take,
+        min_offset: int,
+        apply: ApplySnapshot,
     ) -> Result[int, Problem]:
-        """Hand the newest good snapshot to ``take``; return its offset.
+        """Hand the newest good snapshot to ``apply``; return its offset.
 
-        Only those at or after ``lowest`` count; 0 when none is good. A
+        Only those at or after ``min_offset`` count; 0 when none is good. A
         snapshot that is damaged, half expired, not what its mark says or
-        refused by ``take`` is passed over for the next older one.
+        refused by ``apply`` is passed over for the next older one.
         """
         found = await self.find_marks()
         if isinstance(found, Failure):
             return found
-        marks = [mark for mark in found.unwrap() if mark.upto >= lowest]
+        marks = [mark for mark in found.unwrap() if mark.upto >= min_offset]
         while marks:
             mark = marks.pop(0)
             loaded = await self.load(mark)
-            taken = loaded.bind(take)
-            if isinstance(taken, Success):
+            applied = loaded.bind(apply)
+            if isinstance(applied, Success):
                 return Success(mark.upto)
-            problem = taken.failure()
+            problem = applied.failure()
             if problem.kind is ErrorKind.LOG_UNAVAILABLE:
-                return taken
+                return applied
             logging.warning('%s; an older one is tried', problem.message)
         return Success(0)
 
@@ -136,5 +136,5 @@
     return [mark for mark in marks if mark is not None]
 
 
-def _by_age(mark: Mark) -> tuple[int, int]:
+def _sort_key(mark: Mark) -> tuple[int, int]:
     return mark.upto, mark.offset
--- a/packages/verbenahall/src/verbenahall/snapshots/_writer.py
+++ b/packages/verbenahall/src/verbenahall/snapshots/_writer.py
@@ -21,7 +21,7 @@
     is_due,
     observe_log,
     observe_mark,
-    put_off,
+    reschedule,
 )
 from verbenahall.snapshots._store import SnapshotStore
 
@@ -35,7 +35,7 @@
         '_folds',
         '_follower',
         '_packed',
-        '_random',
+        '_rng',
         '_schedule',
         '_state',
         '_store',
@@ -54,14 +54,14 @@
         self._follower = follower
         self._schedule = schedule
         self._state = ScheduleState(clock.monotonic())
-        self._random = random.Random()
+        self._rng = random.Random()
         self._packed: Packed | None = None
 
     async def run(self) -> None:
         """Write whenever a snapshot is due, until cancelled."""
         period_s = min(_CHECK_S, self._schedule.spread_s)
         while True:
-            await asyncio.sleep(period_s * self._random.uniform(1, 2))
+            await asyncio.sleep(period_s * self._rng.uniform(1, 2))
             if self._is_due():
                 await self.write()
 
@@ -73,7 +73,7 @@
                 observe_mark(self._state, mark, clock.monotonic())
                 logging.info('snapshot of offset %d written', mark.upto)
             case Failure(problem):
-                put_off(self._state)
+                reschedule(self._state)
                 logging.warning('snapshot not written: %s', problem.message)
         return written
 
@@ -86,18 +86,18 @@
             self._packed = packed
         return packed
 
-    def note_mark(self, record: Record) -> None:
+    def record_mark(self, record: Record) -> None:
         """Take a record of any stream; marks put our own snapshot off."""
         mark = decode_mark(record)
         if mark is not None:
             observe_mark(self._state, mark, clock.monotonic())
 
     def _is_due(self) -> bool:
-        if self._folds.foreign or self._follower.gap:
+        if self._folds.unknown_sections or self._follower.gap:
             # A later release's fold is in the snapshots; one written
             # without it would lose that fold's state for good. And one from
             # before a gap helps nobody, but would put off those that do.
             return False
         observe_log(self._state, self._follower.first, self._follower.head)
         now = clock.monotonic()
-        return is_due(self._state, self._schedule, now, self._random)
+        return is_due(self._state, self._schedule, now, self._rng)
--- a/packages/verbenahall/tests/snapshots/test_schedule.py
+++ b/packages/verbenahall/tests/snapshots/test_schedule.py
@@ -11,10 +11,10 @@
     is_due,
     observe_log,
     observe_mark,
-    put_off,
+    reschedule,
 )
 
-SCHEDULE = Schedule(refresh_s=300, spread_s=20, longest_tail=1000)
+SCHEDULE = Schedule(refresh_s=300, spread_s=20, max_tail_records=1000)
 
 
 @pytest.mark.parametrize(
@@ -51,11 +51,11 @@
     state = ScheduleState(0)
     observe_mark(state, Mark(upto + 2, upto, 1, '', upto + 1), 0)
     observe_log(state, first, head)
-    source = random.Random(now)
+    rng = random.Random(now)
     due = [
         now + step / 10
         for step in range(250)
-        if is_due(state, SCHEDULE, now + step / 10, source)
+        if is_due(state, SCHEDULE, now + step / 10, rng)
     ]
 
     assert bool(due) == (earliest is not None)
@@ -70,8 +70,10 @@
     is_due(state, SCHEDULE, 301, random.Random(1))
     observe_mark(state, Mark(503, 500, 1, '', 501), 305)
 
-    source = random.Random(1)
-    due = [moment for moment in range(305, 660) if ask(state, moment, source)]
+    rng = random.Random(1)
+    due = [
+        moment for moment in range(305, 660) if check_due(state, moment, rng)
+    ]
     assert 605 <= due[0] <= 626
 
 
@@ -87,16 +89,16 @@
     assert sum(moment < 1002 for moment in moments) < 30
 
 
-def draw_after_failure(source):
+def draw_after_failure(rng):
     """Return the first due moment after a write that failed at 1,000 s."""
     state = ScheduleState(0)
     observe_log(state, 1, 500)
-    is_due(state, SCHEDULE, 301, source)
-    put_off(state)
+    is_due(state, SCHEDULE, 301, rng)
+    reschedule(state)
     steps = (1000 + step / 10 for step in range(250))
-    return next(step for step in steps if ask(state, step, source))
+    return next(step for step in steps if check_due(state, step, rng))
 
 
-def ask(state, moment, source):
+def check_due(state, moment, rng):
     """Ask whether a snapshot is due at a moment."""
-    return is_due(state, SCHEDULE, moment, source)
+    return is_due(state, SCHEDULE, moment, rng)
--- a/packages/verbenahall/tests/snapshots/test_strangers.py
+++ b/packages/verbenahall/tests/snapshots/test_strangers.py
@@ -12,14 +12,14 @@
 
 
 @web.middleware
-async def tell_status(request, handler):
+async def convert_problem(request, handler):
     try:
         return await handler(request)
     except ProblemError as error:
         return web.Response(status=error.problem.answer.status)
 
 
-async def ask(is_peer):
+async def fetch_status(is_peer):
     keeper = SnapshotKeeper(
         MemoryLog(),
         [SettingsFold(SettingsState())],
@@ -28,7 +28,7 @@
         is_peer=is_peer,
     )
     await keeper.start()
-    app = web.Application(middlewares=(tell_status,))
+    app = web.Application(middlewares=(convert_problem,))
     keeper.add_routes(app)
     runner = web.AppRunner(app)
     await runner.setup()
@@ -51,4 +51,4 @@
 
     It would read the settings of every team, past all credentials.
     """
-    assert asyncio.run(ask(lambda remote: remote == host)) == status
+    assert asyncio.run(fetch_status(lambda remote: remote == host)) == status
