--- a/packages/verbenahall/src/verbenahall/catalog/_lookup.py
+++ b/packages/verbenahall/src/verbenahall/catalog/_lookup.py
@@ -25,9 +25,9 @@
     return Nothing
 
 
-def pick_service(route: Route, source: random.Random) -> str:
+def pick_service(route: Route, rng: random.Random) -> str:
     """Draw one of the route's services by weight."""
     if len(route.shares) == 1:
         return route.shares[0].service
     weights = [share.weight for share in route.shares]
-    return source.choices(route.shares, weights)[0].service
+    return rng.choices(route.shares, weights)[0].service
--- a/packages/verbenahall/tests/catalog/test_catalog.py
+++ b/packages/verbenahall/tests/catalog/test_catalog.py
@@ -68,8 +68,8 @@
 
 def test_split_follows_weights():
     route = make_route('/a/', shares=(Share('old', 90), Share('new', 10)))
-    source = random.Random(5)
-    drawn = [pick_service(route, source) for _ in range(2000)]
+    rng = random.Random(5)
+    drawn = [pick_service(route, rng) for _ in range(2000)]
     assert 140 < drawn.count('new') < 260
 
 
