--- a/packages/verbenahall/src/verbenahall/snapshots/__init__.py
+++ b/packages/verbenahall/src/verbenahall/snapshots/__init__.py
@@ -1,12 +1,12 @@
-"""Snapshots: the folds' states at one offset, kept in the log.
+"""Snapshots of the folds' states at one offset, stored in the log.
 
-Records expire, and with them what they changed. A snapshot holds every
-fold's state as of an offset; with the records after it an instance that
-keeps nothing of its own is whole again::
+Records expire, and their changes would be lost with them. A snapshot contains
+every fold's state as of an offset. An instance without a state of its own
+restores it from a snapshot and the records after it::
 
     keeper = SnapshotKeeper(client, folds, session, peers)
     keeper.add_routes(app)
-    await keeper.run()  # follows the log from the newest good snapshot
+    await keeper.run()  # follows the log from the newest valid snapshot
 """
 
 from verbenahall.snapshots._folds import FoldSet
