--- a/packages/verbenahall/src/verbenahall/snapshots/_folds.py
+++ b/packages/verbenahall/src/verbenahall/snapshots/_folds.py
@@ -1,4 +1,4 @@
-"""The folds of one instance as a whole."""
+"""Dumps and loads all folds of an instance together."""
 
 from collections.abc import Sequence
 from typing import Any
@@ -10,32 +10,32 @@
 
 
 class FoldSet:
-    """Dumps and loads every fold together.
+    """All folds of an instance.
 
-    ``unknown_sections`` names the sections of the last loaded snapshot that no fold
-    here has: a later release wrote it.
+    ``unknown_sections`` names the sections of the last loaded snapshot for
+    which there is no fold. They were written by a later release.
     """
 
     __slots__ = ('unknown_sections', '_folds')
 
     def __init__(self, folds: Sequence[Foldable]) -> None:
-        """Keep the folds in this order."""
+        """Use the folds in this order."""
         self.unknown_sections: frozenset[str] = frozenset()
         self._folds = tuple(folds)
 
     def dump(self, position: int) -> Snapshot:
-        """Return the snapshot of the folds, which stand at ``position``."""
+        """Return a snapshot of the folds, whose offset is ``position``."""
         return Snapshot(position, self._dump_sections())
 
     def load(self, snapshot: Snapshot) -> Result[None, Problem]:
-        """Load every section, or leave every fold as it was."""
+        """Load all sections; on an error restore all folds."""
         before = self._dump_sections()
         try:
             self._load_sections(snapshot.sections)
         except Exception as error:
-            # Anyone who reaches the log can write a snapshot with a right
-            # checksum and a section of any shape. One half taken over would
-            # leave folds of two offsets side by side.
+            # Any process that reaches the log can write a snapshot with a
+            # valid checksum and an invalid section. Loaded in part it would
+            # leave folds of two offsets.
             self._load_sections(before)
             return Failure(
                 Problem(
@@ -51,8 +51,8 @@
 
     def _load_sections(self, sections: dict[str, dict[str, Any]]) -> None:
         for fold in self._folds:
-            # A release from before this fold existed wrote no section for
-            # it, and no records either.
+            # A release without this fold wrote no section for it, and no
+            # records either.
             section = sections.get(fold.name)
             if section is not None:
                 fold.load(section)
