--- a/packages/verbenahall/src/verbenahall/snapshots/_marks.py
+++ b/packages/verbenahall/src/verbenahall/snapshots/_marks.py
@@ -1,4 +1,4 @@
-"""Marks on the wire."""
+"""Encodes and decodes marks."""
 
 import dataclasses
 from typing import Any, Final
@@ -11,14 +11,14 @@
 
 
 def encode_mark(mark: Mark) -> dict[str, Any]:
-    """Return a mark's body; its offset is the record's own."""
+    """Return a mark's body, without the offset, which the record has."""
     body = dataclasses.asdict(mark)
     body.pop('offset')
     return body
 
 
 def decode_mark(record: Record) -> Mark | None:
-    """Read a mark, or ``None`` from what is none."""
+    """Decode a mark; ``None`` if the record is no valid mark."""
     body = record.body
     numbers = [body.get(key) for key in _NUMBER_KEYS]
     sha256 = body.get('sha256')
