--- a/packages/verbenahall/src/verbenahall/snapshots/_messages.py
+++ b/packages/verbenahall/src/verbenahall/snapshots/_messages.py
@@ -1,4 +1,4 @@
-"""Snapshots, their parts and marks, and what can be part of one."""
+"""Snapshots, their parts and marks, and the protocol of folds."""
 
 import dataclasses
 from typing import Any, Protocol
@@ -7,29 +7,29 @@
 
 
 class Foldable(Protocol):
-    """One slice's state as a function of the log's prefix."""
+    """A state that is computed from the log's records."""
 
     @property
     def name(self) -> str:
-        """The section's name in snapshots; never changes."""
+        """The name of the section in snapshots, which must not change."""
 
     def apply_record(self, record: Record) -> object:
         """Apply one record of any stream."""
 
     def dump(self) -> dict[str, Any]:
-        """Return the whole state as JSON.
+        """Return the complete state as JSON.
 
-        It depends on the prefix alone, so that copies by different
-        instances are equal, and may share objects that never change.
+        It must depend on the applied records only, so that the dumps of all
+        instances are equal. It may share objects that never change.
         """
 
     def load(self, section: dict[str, Any]) -> None:
-        """Replace the state; raise any exception on another shape."""
+        """Replace the state; raise any exception if a section is invalid."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Snapshot:
-    """Every fold's section after the record at ``upto``."""
+    """The sections of all folds after the record at offset ``upto``."""
 
     upto: int
     sections: dict[str, dict[str, Any]]
@@ -37,7 +37,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Packed:
-    """A compressed snapshot and the SHA-256 of these bytes."""
+    """A compressed snapshot and the SHA-256 of the compressed bytes."""
 
     upto: int
     sha256: str
@@ -46,7 +46,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Part:
-    """One record's share of a packed snapshot; ``number`` counts from 0."""
+    """The part of a packed snapshot in one record, numbered from 0."""
 
     sha256: str
     number: int
@@ -55,7 +55,11 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Mark:
-    """Says that a whole snapshot stands between ``start`` and ``offset``."""
+    """A record after all parts of a snapshot, which makes it valid.
+
+    The parts have offsets from ``start`` on and below ``offset``, which is
+    that of the mark.
+    """
 
     offset: int
     upto: int
