--- a/packages/verbenahall/src/verbenahall/snapshots/_packing.py
+++ b/packages/verbenahall/src/verbenahall/snapshots/_packing.py
@@ -1,4 +1,4 @@
-"""Snapshots as bytes: encoded, compressed, checksummed and cut in parts."""
+"""Encodes, compresses and checksums snapshots, and splits them in parts."""
 
 import asyncio
 import base64
@@ -13,16 +13,16 @@
 from verbenahall.errors import ErrorKind, Problem
 from verbenahall.snapshots._messages import Packed, Part, Snapshot
 
-#: Bytes of a part before base64; with it a record stays below its limit.
+#: Bytes of a part before base64, so that a record stays below its limit.
 PART_BYTES: Final = 45_000
-#: A state larger than this is refused before it fills the memory.
+#: Maximum size of a decompressed snapshot, which bounds the memory used.
 MAX_STATE_BYTES: Final = 134_217_728
 _COMPRESSION_LEVEL: Final = 1
 _PIECE_BYTES: Final = 262_144
 
 
 async def pack(snapshot: Snapshot) -> Packed:
-    """Pack a snapshot, letting other work go on between pieces."""
+    """Encode and compress a snapshot; yield to other tasks between pieces."""
     text = wire.encode({'upto': snapshot.upto, 'sections': snapshot.sections})
     packer = zlib.compressobj(_COMPRESSION_LEVEL)
     pieces: list[bytes] = []
@@ -38,7 +38,7 @@
 
 
 def unpack(packed: Packed) -> Result[Snapshot, Problem]:
-    """Return the snapshot, or say what is wrong with the bytes."""
+    """Decode a packed snapshot, or return the problem with its bytes."""
     digest = hashlib.sha256(packed.state).hexdigest()
     if digest != packed.sha256:
         return _fail('its checksum does not match')
@@ -48,12 +48,12 @@
     except zlib.error as error:
         return _fail(str(error))
     if not unpacker.eof:
-        return _fail('it is cut off or too large')
+        return _fail('it is truncated or too large')
     return wire.decode_table(text).bind(_read_snapshot)
 
 
 def encode_parts(packed: Packed) -> Iterator[dict[str, Any]]:
-    """Yield the bodies of the records that hold a packed snapshot."""
+    """Yield the bodies of the records with the parts of a snapshot."""
     starts = range(0, len(packed.state), PART_BYTES)
     for number, start in enumerate(starts):
         chunk = packed.state[start : start + PART_BYTES]
@@ -67,7 +67,10 @@
 
 
 def decode_part(body: Mapping[str, Any]) -> Part | None:
-    """Read one part's body, which anyone may have written."""
+    """Decode a part's body; ``None`` if it is invalid.
+
+    Any process that reaches the log can write one.
+    """
     try:
         return Part(
             str(body['sha256']),
@@ -79,7 +82,7 @@
 
 
 def join_parts(upto: int, sha256: str, parts: Sequence[Part | None]) -> Packed:
-    """Join the parts of one checksum; missing ones fail it later."""
+    """Join the parts of one checksum; ``unpack`` detects missing ones."""
     chunks = {
         part.number: part.state
         for part in parts
@@ -90,7 +93,7 @@
 
 
 def encode_packed(packed: Packed) -> bytes:
-    """Return a packed snapshot as one JSON body for a peer."""
+    """Encode a packed snapshot as one JSON body for a peer."""
     return wire.encode(
         {
             'upto': packed.upto,
@@ -101,7 +104,7 @@
 
 
 def decode_packed(body: bytes) -> Result[Packed, Problem]:
-    """Read a peer's body."""
+    """Decode a packed snapshot from a peer."""
     return wire.decode_table(body).bind(_read_packed)
 
 
@@ -109,7 +112,7 @@
     part = decode_part({**table, 'part': 0})
     upto = table.get('upto')
     if part is None or not isinstance(upto, int):
-        return _fail('a member is missing')
+        return _fail('a field is missing')
     return Success(Packed(upto, part.sha256, part.state))
 
 
