--- a/packages/verbenahall/src/verbenahall/snapshots/_peers.py
+++ b/packages/verbenahall/src/verbenahall/snapshots/_peers.py
@@ -1,4 +1,4 @@
-"""Snapshots from peers, for when the log does not answer."""
+"""Fetches snapshots from peers if the log is unreachable."""
 
 import asyncio
 from collections.abc import Sequence
@@ -13,7 +13,7 @@
 
 SNAPSHOT_PATH: Final = '/peer/v1/snapshot'
 _TIMEOUT_S: Final = 5.0
-#: Peers asked at once: the newest of a few is enough.
+#: Maximum number of peers to fetch from; the newest of a few is enough.
 _MAX_PEERS: Final = 3
 _OK: Final = 200
 
@@ -22,7 +22,7 @@
     session: aiohttp.ClientSession,
     addresses: Sequence[str],
 ) -> Snapshot | None:
-    """Return the newest good snapshot of a few peers, if any."""
+    """Return the newest valid snapshot of the first peers, if any."""
     answers = await asyncio.gather(
         *(_fetch(session, address) for address in addresses[:_MAX_PEERS]),
     )
