--- a/packages/verbenahall/src/verbenahall/snapshots/_schedule.py
+++ b/packages/verbenahall/src/verbenahall/snapshots/_schedule.py
@@ -1,8 +1,8 @@
-"""When the next snapshot is due, and for whom.
+"""Schedules snapshots without coordination between instances.
 
-Every instance may write one. Each waits a random while after it is due, and
-whoever sees another's mark in the meantime does not write; so there are few
-copies without any agreement, and copies do no harm.
+Every instance may write a snapshot. When one is due, each instance waits a
+random time, and writes none if it sees the mark of another in the meantime.
+So there are few copies, and copies are harmless.
 """
 
 import dataclasses
@@ -22,10 +22,11 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Schedule:
-    """How old a snapshot may become, in seconds and in records after it.
+    """When a snapshot is due.
 
-    ``refresh_s`` must be well below the time for which the log keeps a
-    record; ``spread_s`` is the longest random wait.
+    It is due after ``refresh_s`` seconds or ``max_tail_records`` later
+    records. ``refresh_s`` must be well below the time for which the log keeps
+    a record. ``spread_s`` is the longest random wait.
     """
 
     refresh_s: float = _REFRESH_S
@@ -34,12 +35,12 @@
 
 
 class ScheduleState:
-    """The newest mark and this instance's own planned moment."""
+    """The newest mark, the log's offsets and the planned time of a snapshot."""
 
     __slots__ = ('first', 'head', 'mark', 'planned_at', 'seen_at')
 
     def __init__(self, now: float) -> None:
-        """Start without a mark."""
+        """Create a state without a mark."""
         self.mark: Mark | None = None
         self.seen_at = now
         self.first = 1
@@ -48,13 +49,13 @@
 
 
 def observe_log(state: ScheduleState, first: int, head: int) -> None:
-    """Note the lowest kept and the highest offset of the log."""
+    """Record the lowest kept and the highest offset of the log."""
     state.first = first
     state.head = max(state.head, head)
 
 
 def observe_mark(state: ScheduleState, mark: Mark, now: float) -> None:
-    """Note that somebody wrote a snapshot; ours can wait."""
+    """Record the mark of any instance and cancel the planned snapshot."""
     if state.mark is not None and mark.upto < state.mark.upto:
         return
     state.mark = mark
@@ -63,10 +64,10 @@
 
 
 def reschedule(state: ScheduleState) -> None:
-    """Draw the moment again, after a write that failed.
+    """Cancel the planned time after a failed write, so that it is drawn anew.
 
-    While the log is away a snapshot becomes due for every instance. With the
-    moments long past, all would write at once when the log comes back.
+    During an outage of the log a snapshot becomes due for all instances.
+    With planned times in the past, all would write at once at its end.
     """
     state.planned_at = math.inf
 
@@ -79,8 +80,8 @@
 ) -> bool:
     """Whether this instance should write a snapshot now.
 
-    The first call after one is due draws the moment, later calls wait for
-    it.
+    The first call after one is due draws the planned time, and later calls
+    wait for it.
     """
     spread_s = _compute_spread(state, schedule, now)
     if spread_s is None:
@@ -97,13 +98,13 @@
     schedule: Schedule,
     now: float,
 ) -> float | None:
-    """Return the longest wait for a snapshot that is due, or ``None``.
+    """Return the longest random wait, or ``None`` if no snapshot is due.
 
-    The log does not say how long it keeps a record. When its first offset
-    has moved up to where the records after the newest snapshot begin, that
-    snapshot no longer joins the log, and a new instance cannot start: the
-    nearer, the shorter the wait. A log at rest shows no movement while the
-    snapshot itself grows old; hence the refresh by time.
+    The log does not tell how long it keeps a record. When its first offset
+    passes the end of the newest snapshot, records between the two are lost
+    and a new instance cannot start. The closer it comes, the shorter the
+    wait. The first offset of a quiet log does not move while the snapshot's
+    own records get old; therefore snapshots are also due after a time.
     """
     if state.head == 0:
         return None
