--- a/packages/verbenahall/src/verbenahall/snapshots/_shell.py
+++ b/packages/verbenahall/src/verbenahall/snapshots/_shell.py
@@ -1,4 +1,4 @@
-"""Starts the folds, follows the log and serves snapshots to peers."""
+"""Restores the folds, follows the log and serves snapshots to peers."""
 
 import asyncio
 import random
@@ -24,9 +24,9 @@
 _RETRY_S: Final = 0.5
 _JSON: Final = 'application/json'
 
-#: Returns the addresses of peers, nearest first, at this moment.
+#: Returns the current addresses of peers, nearest first.
 Peers = Callable[[], Sequence[str]]
-#: Tells whether a host (an IP number) is that of a peer.
+#: Returns whether a host (an IP address) is that of a peer.
 IsPeer = Callable[[str], bool]
 
 
@@ -35,11 +35,12 @@
 
 
 class SnapshotKeeper:
-    """Holds the folds at one position and keeps that position safe.
+    """Keeps the folds up to date and writes snapshots of them.
 
-    ``ready`` turns true once, when the folds stand where the log stood at
-    the start (or where a peer stood, if the log does not answer); until then
-    ``reason`` says what is missing. ``follower`` tells the position.
+    ``ready`` becomes true once, when the folds have reached the end that the
+    log had at the start (or the position of a peer, if the log does not
+    answer). Until then ``reason`` is why they have not. The position is that
+    of ``follower``.
     """
 
     __slots__ = (
@@ -64,13 +65,13 @@
         schedule: Schedule | None = None,
         is_peer: IsPeer = _allow_all,
     ) -> None:
-        """Keep ``folds``; ``session`` is for peers.
+        """Manage ``folds``; use ``session`` for calls to peers.
 
-        ``is_peer`` says whether a host may have this instance's snapshot.
+        ``is_peer`` returns whether a host may read this instance's snapshot.
         """
         self._is_peer = is_peer
         self.ready = False
-        self.reason = 'the log was not read yet'
+        self.reason = 'the log has not been read yet'
         self.follower = LogFollower(
             client,
             [self._record_mark, *(fold.apply_record for fold in folds)],
@@ -89,14 +90,14 @@
         )
 
     async def run(self) -> None:
-        """Start, then follow the log and write snapshots until cancelled."""
+        """Restore the folds, then follow and write until cancelled."""
         await self.start()
         async with asyncio.TaskGroup() as tasks:
             tasks.create_task(self.follower.run())
             tasks.create_task(self.writer.run())
 
     async def start(self) -> None:
-        """Return once the folds stand at a known position."""
+        """Restore the folds from the log or a peer; retry until it succeeds."""
         while not (
             await self._start_from_log() or await self._load_from_peer()
         ):
@@ -104,12 +105,15 @@
             await asyncio.sleep(_RETRY_S * random.uniform(1, 2))
         self.ready = True
         self.reason = ''
-        logging.info('folds stand at offset %d', self.follower.position)
+        logging.info('folds restored at offset %d', self.follower.position)
 
     async def recover(self) -> None:
-        """Load what the records that are gone had changed."""
+        """Load a snapshot that contains the changes of expired records."""
         if await self._load_from_log() or await self._load_from_peer():
-            logging.info('gap closed at offset %d', self.follower.position)
+            logging.info(
+                'snapshot loaded at offset %d after a gap',
+                self.follower.position,
+            )
 
     def add_routes(self, app: web.Application) -> None:
         """Serve this instance's snapshot to its peers."""
@@ -127,17 +131,19 @@
         return True
 
     async def _load_from_log(self) -> bool:
-        """Load the newest snapshot if it is ahead and joins the log.
+        """Load the newest snapshot that is ahead of the position.
 
-        Return whether the log can be followed from the position.
+        Return whether no record between the position and the log has expired,
+        so that the log can be followed.
         """
         read = await self._client.read(0, 1)
         if isinstance(read, Failure):
             self.reason = read.failure().message
             return False
         page = read.unwrap()
-        # The log has answered. An instance on a quiet log would otherwise
-        # count it as unheard for a whole long poll, and claim no lease.
+        # The log has answered. Otherwise an instance on a quiet log would
+        # count it as unreachable during a whole long poll and claim no
+        # lease.
         self.follower.last_contact = clock.monotonic()
         self.follower.head = max(self.follower.head, page.last)
         min_offset = max(page.first - 1, self.follower.position)
@@ -145,11 +151,11 @@
         if isinstance(applied, Failure):
             self.reason = applied.failure().message
             return False
-        self.reason = f'no good snapshot of offset {min_offset} or later'
+        self.reason = f'no valid snapshot of offset {min_offset} or later'
         return self.follower.position >= page.first - 1
 
     async def _load_from_peer(self) -> bool:
-        """Take over a peer's folds, which may be behind the log."""
+        """Load the snapshot of a peer, which may be behind the log."""
         snapshot = await fetch_newest(self._session, self._peers())
         if snapshot is None:
             self.reason = f'{self.reason}; no peer has a snapshot'
@@ -160,8 +166,8 @@
         return isinstance(applied, Success)
 
     def _apply(self, snapshot: Snapshot) -> Result[None, Problem]:
-        # The folds never go back: an instance that answered by a setting
-        # once must not answer by an older one afterwards.
+        # The position never decreases: an instance that has applied a setting
+        # must not return to an older one.
         position = self.follower.position
         if snapshot.upto < position:
             message = f'snapshot at {snapshot.upto} is before {position}'
@@ -175,8 +181,9 @@
         self.writer.record_mark(record)
 
     async def _handle_peer(self, request: web.Request) -> web.Response:
-        # A snapshot holds every team's settings. Given to whoever reaches
-        # the port, it would go around the credentials of the administration.
+        # A snapshot contains the settings of all teams. Served to any process
+        # that reaches the port, it would bypass the credentials of the
+        # administration.
         if not self._is_peer(request.remote or ''):
             message = 'snapshots are for instances on the list'
             raise ProblemError(Problem(ErrorKind.FORBIDDEN, message))
--- a/packages/verbenahall/tests/snapshots/test_snapshots.py
+++ b/packages/verbenahall/tests/snapshots/test_snapshots.py
@@ -1,4 +1,4 @@
-"""Snapshots under expiry, two writers and a silent log."""
+"""Snapshots with expired records, several writers and log outages."""
 
 import asyncio
 import random
@@ -13,10 +13,9 @@
 
 
 def test_settings_outlive_their_records():
-    """Every record before the snapshot expires and all instances go.
+    """Every record before the snapshot expires and all instances are replaced.
 
-    Without snapshots the new ones would start with nothing and answer as if
-    nothing had ever been published.
+    Without snapshots the new ones would start without any settings.
     """
     asyncio.run(_outlive())
 
@@ -34,7 +33,7 @@
 
 
 def test_writer_that_dies_halfway_leaves_no_snapshot():
-    """The writer is killed after its parts and before its mark."""
+    """The writer fails after its parts and before its mark."""
     asyncio.run(_die_halfway())
 
 
@@ -78,9 +77,10 @@
 
 
 def test_new_instance_without_any_snapshot_is_not_ready():
-    """Records expired that no snapshot holds.
+    """Records have expired that no snapshot contains.
 
-    The instance says why it is not ready; serving would revert settings.
+    The instance must give the reason why it is not ready; if it served, it
+    would revert settings.
     """
     asyncio.run(_start_without_snapshot())
 
@@ -93,11 +93,11 @@
         fresh = Instance(log, session)
         assert not await fresh.try_start()
     assert not fresh.keeper.ready
-    assert 'no good snapshot' in fresh.keeper.reason
+    assert 'no valid snapshot' in fresh.keeper.reason
 
 
 def test_new_instance_starts_from_a_peer_while_the_log_is_down():
-    """An instance is replaced in the middle of the log's outage."""
+    """An instance is replaced during an outage of the log."""
     asyncio.run(_start_from_peer())
 
 
@@ -123,7 +123,7 @@
 
 
 async def _refuse_older_peer(log, session, peers):
-    """An instance ahead of its peers does not go back to them."""
+    """An instance ahead of its peers does not load their snapshots."""
     log.down = False
     ahead = Instance(log, session, peers)
     await publish(log, 'club', 1, 2)
@@ -137,8 +137,8 @@
 def test_instance_that_fell_behind_loads_and_never_goes_back():
     """An instance is paused for longer than the log keeps records.
 
-    It must neither skip what expired nor load a snapshot older than what it
-    has answered by.
+    It must not skip the expired records, nor load a snapshot that is older
+    than its position.
     """
     asyncio.run(_fall_behind())
 
@@ -171,8 +171,8 @@
 def test_few_copies_are_written_when_one_is_due():
     """Nine instances see at the same time that a snapshot is due.
 
-    Without the random wait each would write one, at the worst moment for a
-    log that takes few appends.
+    Without the random wait each would write one and overload a log with a
+    low append rate.
     """
     marks = asyncio.run(_run_nine())
 
