--- a/packages/verbenahall/src/verbenahall/snapshots/_store.py
+++ b/packages/verbenahall/src/verbenahall/snapshots/_store.py
@@ -1,4 +1,4 @@
-"""Snapshots in the log: written part by part, found through their marks."""
+"""Stores snapshots in the log, in parts that a mark follows."""
 
 from collections.abc import Callable, Iterable, Sequence
 from typing import Final
@@ -19,10 +19,11 @@
 )
 
 _MARKS_LIMIT: Final = 500
-#: Parts are as large as records may be; a page of them stays below 1 MB.
+#: Parts have nearly the maximum size of records; a page of them stays below
+#: 1 MB.
 _PARTS_LIMIT: Final = 16
 
-#: Takes a snapshot over, or says why it can't be.
+#: Applies a snapshot, or returns why it can't be applied.
 ApplySnapshot = Callable[[Snapshot], Result[None, Problem]]
 
 
@@ -32,11 +33,11 @@
     __slots__ = ('_client',)
 
     def __init__(self, client: LogClient) -> None:
-        """Use the client's log."""
+        """Use the log of ``client``."""
         self._client = client
 
     async def find_marks(self) -> Result[Sequence[Mark], Problem]:
-        """Return every kept mark, newest state first."""
+        """Return all marks that the log keeps, newest state first."""
         marks: list[Mark] = []
         after = 0
         while True:
@@ -55,7 +56,7 @@
             after = records[-1].offset
 
     async def load(self, mark: Mark) -> Result[Snapshot, Problem]:
-        """Read a mark's snapshot; its bytes are checked."""
+        """Read a mark's snapshot and check its bytes."""
         parts: list[Part | None] = []
         after = mark.start - 1
         while after < mark.offset:
@@ -79,11 +80,11 @@
         min_offset: int,
         apply: ApplySnapshot,
     ) -> Result[int, Problem]:
-        """Hand the newest good snapshot to ``apply``; return its offset.
+        """Pass the newest valid snapshot to ``apply``; return its offset.
 
-        Only those at or after ``min_offset`` count; 0 when none is good. A
-        snapshot that is damaged, half expired, not what its mark says or
-        refused by ``apply`` is passed over for the next older one.
+        Only snapshots at or after ``min_offset`` count; returns 0 if none is
+        valid. A snapshot that is damaged, partly expired, not as its mark
+        says or refused by ``apply`` is skipped for the next older one.
         """
         found = await self.find_marks()
         if isinstance(found, Failure):
@@ -98,14 +99,14 @@
             problem = applied.failure()
             if problem.kind is ErrorKind.LOG_UNAVAILABLE:
                 return applied
-            logging.warning('%s; an older one is tried', problem.message)
+            logging.warning('%s; trying an older one', problem.message)
         return Success(0)
 
     async def write(self, packed: Packed) -> Result[Mark, Problem]:
         """Append the parts and then the mark.
 
-        A writer that dies in between leaves parts without a mark, which
-        nobody looks at.
+        If the writer dies in between, its parts have no mark and are never
+        read.
         """
         bodies = list(encode_parts(packed))
         start = 0
