--- a/packages/verbenahall/src/verbenahall/snapshots/_writer.py
+++ b/packages/verbenahall/src/verbenahall/snapshots/_writer.py
@@ -48,7 +48,7 @@
         follower: LogFollower,
         schedule: Schedule,
     ) -> None:
-        """Write the folds that ``follower`` feeds."""
+        """Write the folds to which ``follower`` applies records."""
         self._store = store
         self._folds = folds
         self._follower = follower
@@ -66,7 +66,7 @@
                 await self.write()
 
     async def write(self) -> Result[Mark, Problem]:
-        """Write one snapshot of the folds as they stand."""
+        """Write a snapshot of the folds' current state."""
         written = await self._store.write(await self.pack())
         match written:
             case Success(mark):
@@ -78,7 +78,7 @@
         return written
 
     async def pack(self) -> Packed:
-        """Return the folds packed; the same bytes at the same position."""
+        """Return the packed folds; equal positions give equal bytes."""
         position = self._follower.position
         packed = self._packed
         if packed is None or packed.upto != position:
@@ -87,16 +87,16 @@
         return packed
 
     def record_mark(self, record: Record) -> None:
-        """Take a record of any stream; marks put our own snapshot off."""
+        """Handle a record of any stream; a mark postpones the next snapshot."""
         mark = decode_mark(record)
         if mark is not None:
             observe_mark(self._state, mark, clock.monotonic())
 
     def _is_due(self) -> bool:
         if self._folds.unknown_sections or self._follower.gap:
-            # A later release's fold is in the snapshots; one written
-            # without it would lose that fold's state for good. And one from
-            # before a gap helps nobody, but would put off those that do.
+            # Snapshots contain a fold of a later release; one written without
+            # it would lose that fold's state for good. A snapshot from before
+            # a gap is of no use, and would postpone useful ones.
             return False
         observe_log(self._state, self._follower.first, self._follower.head)
         now = clock.monotonic()
