--- a/packages/verbenahall/tests/snapshots/conftest.py
+++ b/packages/verbenahall/tests/snapshots/conftest.py
@@ -1,4 +1,4 @@
-"""Instances over a log in memory, as the tests of snapshots need them."""
+"""Instances on a log in memory for the tests of snapshots."""
 
 import asyncio
 
@@ -8,7 +8,7 @@
 
 
 class OtherFold:
-    """Another slice's fold: the offsets that it was given."""
+    """A fold that keeps the offsets of its records."""
 
     name = 'other'
 
@@ -16,7 +16,7 @@
         self.seen = []
 
     def apply_record(self, record):
-        """Keep the offset."""
+        """Append the offset."""
         self.seen.append(record.offset)
 
     def dump(self):
@@ -24,12 +24,12 @@
         return {'seen': list(self.seen)}
 
     def load(self, section):
-        """Take the offsets over."""
+        """Replace the offsets."""
         self.seen = list(section['seen'])
 
 
 class Instance:
-    """One instance's folds and keeper."""
+    """The folds and the snapshot keeper of one instance."""
 
     def __init__(self, log, session=None, peers=(), schedule=None):
         self.settings = SettingsState()
@@ -52,7 +52,7 @@
         }
 
     async def try_start(self):
-        """Start within a moment; return whether it is ready."""
+        """Start within 0.2 s; return whether it is ready."""
         try:
             async with asyncio.timeout(0.2):
                 await self.keeper.start()
