--- a/packages/verbenahall/tests/snapshots/test_damage.py
+++ b/packages/verbenahall/tests/snapshots/test_damage.py
@@ -1,4 +1,4 @@
-"""Snapshots that are cut, altered or of another shape."""
+"""Snapshots that are truncated, changed or malformed."""
 
 import asyncio
 import base64
@@ -54,10 +54,10 @@
     ],
 )
 def test_damaged_snapshot_gives_way_to_the_older(damage):
-    """The newest snapshot is cut, altered or not what its mark says.
+    """The newest snapshot is truncated, changed or not as its mark says.
 
-    An instance that took it over would serve settings that nobody published;
-    it starts from the older one and the records after it.
+    An instance that loaded it would serve settings that were never published.
+    It must start from the older snapshot and the records after that.
     """
     assert asyncio.run(_start_damaged(damage)) == {'club': 2}
 
@@ -76,10 +76,10 @@
 
 
 def test_section_of_another_shape_changes_nothing():
-    """A faulty release writes a section that this one cannot read.
+    """A faulty release writes a section that this one cannot load.
 
-    A fold that was loaded before it would stay at the snapshot's offset and
-    be given the same records twice.
+    A fold that was loaded before the error would stay at the snapshot's
+    offset and get the same records twice.
     """
     asyncio.run(_start_misshapen())
 
