--- a/packages/verbenahall/tests/snapshots/test_processes.py
+++ b/packages/verbenahall/tests/snapshots/test_processes.py
@@ -1,4 +1,4 @@
-"""Keepers against a log process: outages, lost answers, time in force."""
+"""Snapshot keepers on a log process: outages, lost answers, delays."""
 
 import asyncio
 import contextlib
@@ -50,7 +50,7 @@
         return keeper
 
     async def stop_all(self):
-        """End every instance, as a replacement of all does."""
+        """Stop all instances."""
         for task in self.tasks:
             task.cancel()
         await asyncio.gather(*self.tasks, return_exceptions=True)
@@ -73,7 +73,7 @@
         return outcome
 
     async def switch(self, **fault):
-        """Switch a fault of the log."""
+        """Switch a fault of the log process."""
         url = f'http://{self.address}/faults'
         async with self.session.post(url, json=fault) as answer:
             assert answer.status == 200
@@ -96,7 +96,7 @@
                 await asyncio.sleep(0.05)
 
     def start_all(self):
-        """Start as many instances as a user has today."""
+        """Start nine instances, as many as a user has."""
         for _ in range(INSTANCES):
             self.start()
 
@@ -148,10 +148,9 @@
 
 
 def test_setting_is_in_force_everywhere_within_a_second():
-    """In peace, an accepted setting reaches nine instances.
+    """Without faults, an accepted setting reaches nine instances.
 
-    A poll that waits, not one that repeats, is what makes it prompt; the
-    figures are printed for the record.
+    Long polls make this fast. The measured times are printed.
     """
     seconds = asyncio.run(_measure_in_peace())
     p50, p99 = statistics.median(seconds), seconds[int(0.99 * len(seconds))]
@@ -168,10 +167,10 @@
 
 
 def test_outage_ends_without_anything_lost():
-    """The log is down for seconds while instances run and one is new.
+    """The log is down for seconds while instances run and a new one starts.
 
-    The new one is not ready and says why; afterwards all take up what was
-    published, and nobody went back.
+    The new one must not be ready and must give the reason. Afterwards all
+    apply what was published, and none returns to an older setting.
     """
     asyncio.run(_outlast())
 
@@ -202,9 +201,9 @@
 
 
 def test_every_instance_replaced_after_retention():
-    """The log keeps 40 records; all instances are replaced again and again.
+    """The log keeps 40 records, and all instances are replaced repeatedly.
 
-    Without snapshots, the settings published first would be gone.
+    Without snapshots the settings that were published first would be lost.
     """
     asyncio.run(_replace_all())
 
@@ -231,10 +230,10 @@
 
 
 def test_lost_answers_leave_one_record_in_force():
-    """The log loses the answer to each of thirty appends, after the effect.
+    """The log loses the answers to thirty appends that it carries out.
 
-    Told as failures they would be published again by the operator, and told
-    at another offset their next change would be refused as stale.
+    Reported as failed, a change would be published again by the operator;
+    with a wrong offset, the next change would be refused as stale.
     """
     asyncio.run(_lose_answers())
 
@@ -256,10 +255,10 @@
 
 
 def test_racing_teams_get_the_same_verdict_everywhere():
-    """Four teams publish the same names at once, over the log's rate.
+    """Four teams publish the same names at once, above the log's rate limit.
 
-    Instances that judged by arrival, or by what they happened to know, would
-    each see another winner.
+    Instances that decided by the order of arrival or by their current state
+    would accept different changes.
     """
     verdicts = asyncio.run(_race())
 
