--- a/packages/verbenahall/tests/snapshots/test_schedule.py
+++ b/packages/verbenahall/tests/snapshots/test_schedule.py
@@ -1,4 +1,4 @@
-"""When a snapshot is due, by the log's offsets and by time."""
+"""Scheduling of snapshots by the log's offsets and by time."""
 
 import random
 
@@ -24,12 +24,12 @@
         (1, 0, 0, 1000, None, None),
         # A fresh snapshot on a log that expires nothing.
         (1, 500, 400, 10, None, None),
-        # The snapshot itself grows old on a log at rest.
+        # The snapshot's own records get old on a quiet log.
         (1, 500, 500, 270, None, None),
         (1, 500, 500, 300, 300, 320),
-        # Many records to read after it.
+        # Many records after the snapshot.
         (1, 2000, 900, 10, 10, 30),
-        # The log's start has come half and then nearly all of the way.
+        # The log's first offset approaches the snapshot.
         (201, 600, 450, 10, None, None),
         (201, 600, 350, 10, 10, 30),
         (201, 600, 250, 10, 10, 10.5),
@@ -44,9 +44,9 @@
     earliest,
     latest,
 ):
-    """Records expire, or the log rests and the snapshot itself grows old.
+    """Records expire, or the snapshot gets old on a quiet log.
 
-    Too late a snapshot leaves new instances without a start.
+    If the next snapshot is too late, new instances cannot start.
     """
     state = ScheduleState(0)
     observe_mark(state, Mark(upto + 2, upto, 1, '', upto + 1), 0)
@@ -64,7 +64,7 @@
 
 
 def test_mark_of_another_puts_the_own_snapshot_off():
-    """Two instances see that one is due; the first to write ends the wait."""
+    """Two instances see that one is due; the first mark cancels the other."""
     state = ScheduleState(0)
     observe_log(state, 1, 500)
     is_due(state, SCHEDULE, 301, random.Random(1))
@@ -78,9 +78,9 @@
 
 
 def test_failed_writes_are_spread_again():
-    """The log is away for long, and a snapshot becomes due for everyone.
+    """The log is down for long, and a snapshot becomes due for all instances.
 
-    When it comes back, all instances would write at the same moment.
+    Without a new random wait all would write at the end of the outage.
     """
     moments = [draw_after_failure(random.Random(seed)) for seed in range(100)]
 
@@ -90,7 +90,7 @@
 
 
 def draw_after_failure(rng):
-    """Return the first due moment after a write that failed at 1,000 s."""
+    """Return the first due time after a write that failed at 1,000 s."""
     state = ScheduleState(0)
     observe_log(state, 1, 500)
     is_due(state, SCHEDULE, 301, rng)
@@ -100,5 +100,5 @@
 
 
 def check_due(state, moment, rng):
-    """Ask whether a snapshot is due at a moment."""
+    """Return whether a snapshot is due at a time."""
     return is_due(state, SCHEDULE, moment, rng)
