--- a/packages/verbenahall/tests/snapshots/test_strangers.py
+++ b/packages/verbenahall/tests/snapshots/test_strangers.py
@@ -1,4 +1,4 @@
-"""Who is given an instance's snapshot."""
+"""Access to the snapshot of an instance."""
 
 import asyncio
 
@@ -47,8 +47,9 @@
     [('127.0.0.1', 200), ('127.0.0.2', 403)],
 )
 def test_only_hosts_of_listed_instances_get_snapshots(host, status):
-    """A process that is no instance asks for a snapshot.
+    """A process that is no listed instance requests a snapshot.
 
-    It would read the settings of every team, past all credentials.
+    With it the process could read the settings of all teams without
+    credentials.
     """
     assert asyncio.run(fetch_status(lambda remote: remote == host)) == status
