--- a/packages/verbenahall/src/verbenahall/catalog/__init__.py
+++ b/packages/verbenahall/src/verbenahall/catalog/__init__.py
@@ -1,4 +1,4 @@
-"""The newest manifest: routes, services and limits, and how they are found."""
+"""The catalog of the newest manifest, and the look-up of its routes."""
 
 from verbenahall.catalog._lookup import find_route, pick_service
 from verbenahall.catalog._messages import (
