--- a/packages/verbenahall/src/verbenahall/catalog/_lookup.py
+++ b/packages/verbenahall/src/verbenahall/catalog/_lookup.py
@@ -1,4 +1,4 @@
-"""The way from a request's host and path to a service."""
+"""Finds the route and the service of a request's host and path."""
 
 import random
 
@@ -8,10 +8,10 @@
 
 
 def find_route(catalog: Catalog, host: str, path: str) -> Maybe[Route]:
-    """Return the host's route with the longest prefix that begins the path.
+    """Return the host's route with the longest matching path prefix.
 
-    The path's own prefixes are tried, longest first, so the cost does not
-    grow with the number of routes.
+    The prefixes of the path are looked up, longest first, so the cost does
+    not depend on the number of routes.
     """
     routes = catalog.routes.get(host)
     if routes is None:
@@ -26,7 +26,7 @@
 
 
 def pick_service(route: Route, rng: random.Random) -> str:
-    """Draw one of the route's services by weight."""
+    """Return a random service of the route, chosen by weight."""
     if len(route.shares) == 1:
         return route.shares[0].service
     weights = [share.weight for share in route.shares]
