--- a/packages/verbenahall/src/verbenahall/catalog/_messages.py
+++ b/packages/verbenahall/src/verbenahall/catalog/_messages.py
@@ -1,4 +1,4 @@
-"""What operators publish for the request path; seconds and bytes."""
+"""The parts of a catalog; times in seconds, sizes in bytes."""
 
 import dataclasses
 import enum
@@ -10,7 +10,7 @@
 
 @final
 class Kind(enum.Enum):
-    """What may be repeated, and whether the answer is a stream of events."""
+    """Whether a request may be repeated, or its answer is an event stream."""
 
     IDEMPOTENT = 'idempotent'
     NON_IDEMPOTENT = 'non_idempotent'
@@ -19,7 +19,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Share:
-    """One service of a split route and its weight."""
+    """A service of a split route and its weight."""
 
     service: str
     weight: float
@@ -27,14 +27,13 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Route:
-    """Requests of one host below one path prefix.
-
-    ``timeout_s`` is the longest time that a caller is kept waiting,
-    ``objective_s`` the latency objective to the answer or the first event,
-    ``gap_s`` the longest pause between two events that is still on time.
-    ``priority`` is 0 for the most urgent. ``patience_s`` is how long callers
-    of a stream wait for an event before they leave. A ``public`` route asks for
-    no API key.
+    """A route for requests of one host below one path prefix.
+
+    A caller gets an answer within ``timeout_s``. ``objective_s`` is the
+    latency objective to the answer or the first event, ``gap_s`` the longest
+    pause between two events that is still on time. Priority 0 is the most
+    urgent. Callers of a stream leave after ``patience_s`` without an event. A
+    ``public`` route requires no API key.
     """
 
     name: str
@@ -53,7 +52,7 @@
 
     @property
     def repeatable(self) -> bool:
-        """Whether running a request twice harms nobody."""
+        """Whether a request may safely run twice."""
         if self.kind is Kind.STREAM:
             return self.resumable
         return self.kind is Kind.IDEMPOTENT
@@ -61,11 +60,12 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class EngineTraits:
-    """What all engines of a model service have in common.
+    """The properties that all engines of a model service share.
 
-    ``event_tokens`` is how many tokens one event of a stream holds at most,
-    ``link_bytes_s`` the speed at which KV cache moves between engines,
-    ``role_change_s`` how long a change of role takes an engine away.
+    ``event_tokens`` is the maximum number of tokens in one event of a stream,
+    ``link_bytes_s`` the speed of KV cache transfers between engines in bytes
+    per second, ``role_change_s`` how long an engine is unavailable while it
+    changes its role.
     """
 
     slots: int
@@ -78,12 +78,12 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class ScalingRules:
-    """Within which bounds a service is scaled, and what its engines cost.
+    """The limits for the scaling of a service, and the costs of engines.
 
-    ``least`` and ``most`` bound both kinds together, in each data centre. An
-    engine serves ``boot_s`` after its order. ``spot_share`` is the price of a
-    spot instance as a share of that of an on-demand one; ``prices`` are those
-    of the data centres, in units of each other.
+    ``least`` and ``most`` limit the number of spot and on-demand engines
+    together, in each data centre. An engine is ready ``boot_s`` after its
+    order. ``spot_share`` is the price of a spot instance as a fraction of
+    that of an on-demand one. ``prices`` are relative prices by data centre.
     """
 
     least: int
@@ -95,9 +95,9 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Service:
-    """A service behind routes; ``engine`` is None for a plain one.
+    """A service that routes refer to; ``engine`` is None for a plain one.
 
-    ``scaling`` is None for a service whose endpoints are not ordered.
+    ``scaling`` is None for a service that is not scaled.
     """
 
     name: str
@@ -107,7 +107,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Limits:
-    """Bounds on what callers may send, and how long they may be idle."""
+    """Limits of the size of requests and of the time that callers idle."""
 
     header_bytes: int
     body_bytes: int
@@ -119,7 +119,7 @@
 class Catalog:
     """One version of the manifest; routes by host, then by prefix.
 
-    ``keys`` is None where callers need no API key.
+    ``keys`` is None if callers need no API key.
     """
 
     version: int
