--- a/packages/verbenahall/src/verbenahall/catalog/_state.py
+++ b/packages/verbenahall/src/verbenahall/catalog/_state.py
@@ -1,4 +1,4 @@
-"""The catalog in force; it never goes back to a lower version."""
+"""The catalog in force; its version never decreases."""
 
 from typing import final
 
@@ -8,9 +8,9 @@
 
 @final
 class CatalogState:
-    """The catalog in force, None before the first one is known.
+    """The catalog in force, None before the first one.
 
-    ``keys`` remembers the API keys that it holds no more.
+    ``keys`` holds the API keys that are no longer in the catalog.
     """
 
     __slots__ = ('catalog', 'keys')
@@ -22,11 +22,11 @@
 
 
 def adopt(state: CatalogState, catalog: Catalog) -> bool:
-    """Put a catalog in force, unless it is not newer.
+    """Put a catalog in force if it is newer; return whether it is.
 
-    The store may answer a fresh read from before a record that was already
-    followed; taking that older version would send requests back to a
-    service that the operator has taken out.
+    A fresh read of the store may return an older record than one that was
+    followed. The older version would route requests to a service that the
+    operator has removed.
     """
     known = state.catalog
     if known is not None and catalog.version <= known.version:
