--- a/packages/verbenahall/tests/catalog/test_catalog.py
+++ b/packages/verbenahall/tests/catalog/test_catalog.py
@@ -1,4 +1,4 @@
-"""Routes are found by host and longest prefix; versions only rise."""
+"""Routes by host and longest prefix, and versions that only increase."""
 
 import random
 
@@ -74,9 +74,9 @@
 
 
 def test_older_version_is_not_taken():
-    # The store answers a read from behind what was followed already. Taking
-    # the older manifest, an instance would route to a service that the
-    # operator has just taken out, and users see old answers come back.
+    # A read of the store returns an older manifest than was followed. With it
+    # an instance would route to a service that the operator has removed, and
+    # users would get old answers again.
     state = CatalogState()
     assert adopt(state, make_catalog(version=7))
     assert not adopt(state, make_catalog(version=5))
