--- a/packages/verbenahall/src/verbenahall/platform/_store.py
+++ b/packages/verbenahall/src/verbenahall/platform/_store.py
@@ -119,8 +119,8 @@
                 case Success(page):
                     pages.append(page)
                     after = page.after
-                case Failure(away):
-                    return Failure(away)
+                case Failure(unavailable):
+                    return Failure(unavailable)
         return Success(_join_pages(pages))
 
     async def read(
@@ -168,8 +168,8 @@
         match answer:
             case Success((status, response_body)):
                 return _read_append(status, response_body)
-            case Failure(away):
-                return Unknown(away.reason)
+            case Failure(unavailable):
+                return Unknown(unavailable.reason)
         return Unknown('no answer')
 
     async def _get_page(
@@ -281,7 +281,7 @@
         case HTTPStatus.OK, Success({'offset': int(offset)}):
             return Appended(offset)
         case HTTPStatus.OK, _:
-            # Zero must not stand in: the offset is used as a fencing token.
+            # Not taken as zero: the offset is used as a fencing token.
             return Unknown('the answer has no offset')
         case _ if status in _REFUSED_STATUSES:
             return Refused()
