--- a/packages/verbenahall/tests/membership/test_differential.py
+++ b/packages/verbenahall/tests/membership/test_differential.py
@@ -185,10 +185,10 @@
             continue
         apply(state, what, now)
         events.append((now, what))
-        standings = {one: compute_status(events, one) for one in NAMES}
-        assert {one: standing_of(state, one, now) for one in NAMES} == standings
+        statuses = {one: compute_status(events, one) for one in NAMES}
+        assert {one: standing_of(state, one, now) for one in NAMES} == statuses
         assert [one.name for one in live(state, EndpointKind.ENGINE, now)] == [
-            one for one in NAMES if standings[one] is Standing.LIVE
+            one for one in NAMES if statuses[one] is Standing.LIVE
         ]
 
 
