--- a/packages/verbenahall/tests/membership/test_shells.py
+++ b/packages/verbenahall/tests/membership/test_shells.py
@@ -102,10 +102,10 @@
     A probe must not count as a run of the service, and the answer of another
     process at this address must be ignored.
     """
-    asked = []
+    requested = []
 
     async def handler(request):
-        asked.append((request.method, request.path))
+        requested.append((request.method, request.path))
         return web.Response(body=wire.encode(dict(answer)))
 
     async def check(address, session):
@@ -121,7 +121,7 @@
     wanted = (
         ('GET', '/state') if kind is EndpointKind.ENGINE else ('OPTIONS', '*')
     )
-    assert asked == [wanted]
+    assert requested == [wanted]
 
 
 def test_word_is_taken_back():
