--- a/packages/verbenahall/tests/snapshots/test_damage.py
+++ b/packages/verbenahall/tests/snapshots/test_damage.py
@@ -30,15 +30,15 @@
     log.replace(5, state=base64.b64encode(zlib.compress(text)).decode())
 
 
-def _misdate_mark(log):
+def _change_mark(log):
     log.replace(6, upto=3)
 
 
-def _garble_part(log):
+def _corrupt_part(log):
     log.replace(5, state=None, sha256=[])
 
 
-def _garble_mark(log):
+def _corrupt_mark(log):
     log.replace(6, parts='many', start=-1)
 
 
@@ -48,9 +48,9 @@
         _cut_part,
         _change_part,
         _forge_part,
-        _misdate_mark,
-        _garble_part,
-        _garble_mark,
+        _change_mark,
+        _corrupt_part,
+        _corrupt_mark,
     ],
 )
 def test_damaged_snapshot_gives_way_to_the_older(damage):
@@ -81,10 +81,10 @@
     A fold that was loaded before the error would stay at the snapshot's
     offset and get the same records twice.
     """
-    asyncio.run(_start_misshapen())
+    asyncio.run(_start_with_invalid_section())
 
 
-async def _start_misshapen():
+async def _start_with_invalid_section():
     log = MemoryLog()
     writer = Instance(log)
     await publish(log, 'club', 0, 1)
