--- a/packages/verbenahall/tests/snapshots/test_processes.py
+++ b/packages/verbenahall/tests/snapshots/test_processes.py
@@ -152,14 +152,14 @@
 
     Long polls make this fast. The measured times are printed.
     """
-    seconds = asyncio.run(_measure_in_peace())
+    seconds = asyncio.run(_measure_without_faults())
     p50, p99 = statistics.median(seconds), seconds[int(0.99 * len(seconds))]
     sys.stdout.write(f'in force on nine: p50 {p50:.4f} s, p99 {p99:.4f} s\n')
 
     assert p99 < 1
 
 
-async def _measure_in_peace():
+async def _measure_without_faults():
     async with run_fleet() as fleet:
         fleet.start_all()
         await fleet.wait_ready()
@@ -172,10 +172,10 @@
     The new one must not be ready and must give the reason. Afterwards all
     apply what was published, and none returns to an older setting.
     """
-    asyncio.run(_outlast())
+    asyncio.run(_run_outage())
 
 
-async def _outlast():
+async def _run_outage():
     async with run_fleet() as fleet:
         fleet.start_all()
         await fleet.wait_ready()
