--- a/packages/verbenahall/tests/snapshots/test_snapshots.py
+++ b/packages/verbenahall/tests/snapshots/test_snapshots.py
@@ -17,10 +17,10 @@
 
     Without snapshots the new ones would start without any settings.
     """
-    asyncio.run(_outlive())
+    asyncio.run(_restore_after_expiry())
 
 
-async def _outlive():
+async def _restore_after_expiry():
     log, writer = await prepare()
     log.expire(1)
     offset = await publish(log, 'late', 0, 7)
@@ -34,10 +34,10 @@
 
 def test_writer_that_dies_halfway_leaves_no_snapshot():
     """The writer fails after its parts and before its mark."""
-    asyncio.run(_die_halfway())
+    asyncio.run(_fail_before_mark())
 
 
-async def _die_halfway():
+async def _fail_before_mark():
     log, writer = await prepare()
     await publish(log, 'club', 1, 2)
     await writer.keeper.start()
@@ -140,10 +140,10 @@
     It must not skip the expired records, nor load a snapshot that is older
     than its position.
     """
-    asyncio.run(_fall_behind())
+    asyncio.run(_pause_instance())
 
 
-async def _fall_behind():
+async def _pause_instance():
     async with ClientSession() as session:
         log, writer = await prepare()
         await _load_after_gap(log, writer, Instance(log, session))
