--- a/packages/verbenahall/src/verbenahall/log/_answers.py
+++ b/packages/verbenahall/src/verbenahall/log/_answers.py
@@ -1,4 +1,4 @@
-"""What the log's answers and errors tell about a request."""
+"""Interprets the log's answers and errors."""
 
 import dataclasses
 from typing import Any, Final
@@ -9,7 +9,7 @@
 from verbenahall.errors import ErrorKind, Problem, Ran
 from verbenahall.log._messages import (
     MAX_RECORD_BYTES,
-    Lost,
+    AnswerLost,
     Outcome,
     Refused,
 )
@@ -19,19 +19,23 @@
 _TOO_LARGE: Final = 413
 
 
-def classify(status: int) -> Outcome:
-    """Say what a status other than 200 tells about the append."""
+def classify_status(status: int) -> Outcome:
+    """Return the outcome of an append with a status other than 200."""
     if status == _TOO_LARGE:
-        return Refused(Problem(ErrorKind.TOO_LARGE, 'the log refused its size'))
-    problem = unavailable(f'answered {status}', Ran.UNKNOWN)
+        return Refused(
+            Problem(
+                ErrorKind.TOO_LARGE, 'the log refused a record of this size'
+            )
+        )
+    problem = build_unavailable(f'answered {status}', Ran.UNKNOWN)
     if status in {_BUSY, _DOWN}:
         refusal = dataclasses.replace(problem, ran=Ran.NO)
-        return Refused(refusal, again=status == _BUSY)
-    return Lost(problem)
+        return Refused(refusal, retryable=status == _BUSY)
+    return AnswerLost(problem)
 
 
 def decode_answer(body: bytes) -> dict[str, Any]:
-    """Decode an answer; raise ``ValueError`` on another shape."""
+    """Decode a JSON answer; raise ``ValueError`` if it is invalid."""
     table = wire.decode_table(body)
     if isinstance(table, Failure):
         raise ValueError(table.failure().message)
@@ -39,18 +43,18 @@
 
 
 def describe_error(error: Exception) -> str:
-    """Return an error in words; some have none of their own."""
+    """Return the message of an error, or its class name without one."""
     return str(error) or type(error).__name__
 
 
-def describe_too_large(payload: bytes) -> Problem:
-    """Say that a record is over the limit."""
+def build_too_large(payload: bytes) -> Problem:
+    """Return the problem of a record that is over the limit."""
     return Problem(
         ErrorKind.TOO_LARGE,
-        f'record of {len(payload)} bytes; the most is {MAX_RECORD_BYTES}',
+        f'record of {len(payload)} bytes; the limit is {MAX_RECORD_BYTES}',
     )
 
 
-def unavailable(complaint: str, ran: Ran) -> Problem:
-    """Return the problem of a log that did not do what was asked."""
-    return Problem(ErrorKind.LOG_UNAVAILABLE, f'log: {complaint}', ran)
+def build_unavailable(reason: str, ran: Ran) -> Problem:
+    """Return the problem of a request to the log that failed."""
+    return Problem(ErrorKind.LOG_UNAVAILABLE, f'log: {reason}', ran)
--- a/packages/verbenahall/src/verbenahall/membership/_decisions.py
+++ b/packages/verbenahall/src/verbenahall/membership/_decisions.py
@@ -1,35 +1,35 @@
-"""Observations folded into standings, and the questions asked of them."""
+"""Applies observations of endpoints, and answers queries about them."""
 
 import dataclasses
 import random
 from typing import Final
 
 from verbenahall.fleet import Endpoint, EndpointKind, Standing
-from verbenahall.membership._listing import forget, replace_member
-from verbenahall.membership._messages import Listing, Sign, Word
-from verbenahall.membership._standing import review
+from verbenahall.membership._list_updates import remove_member, replace_member
+from verbenahall.membership._messages import Listing, Sign, StateReport
+from verbenahall.membership._status import update_status
 from verbenahall.membership._state import Member, MembershipState
 
-_SETTLE_EVERY_S: Final = 1.0
+_EXPIRY_INTERVAL_S: Final = 1.0
 _JITTER: Final = (0.5, 1.5)
 
 
 def observe_answer(state: MembershipState, name: str, now: float) -> None:
-    """Note that the endpoint answered, whatever it answered."""
+    """Record that an endpoint answered, with any status."""
     member = state.members.get(name)
     if member is None or not member.failures:
         return
-    if member.silent:
+    if member.unresponsive:
         member.successes += 1
         member.probe_delay = state.rules.probe_first_s
         if member.successes <= member.flaps:
             return
     member.failures = 0
-    review(state, member, now)
+    update_status(state, member, now)
 
 
 def observe_failure(state: MembershipState, name: str, now: float) -> None:
-    """Note a failure to reach the endpoint or to get its answer."""
+    """Record a failure to connect to an endpoint or to get its answer."""
     member = state.members.get(name)
     if member is None:
         return
@@ -38,14 +38,16 @@
     member.last_failure_at = now
     member.failures += 1
     member.successes = 0
-    review(state, member, now)
+    update_status(state, member, now)
 
 
 def observe_leaving(state: MembershipState, name: str, now: float) -> None:
-    """Note the endpoint's own word that it is leaving."""
+    """Record that an endpoint announced that it is leaving."""
     member = state.members.get(name)
     if member is not None:
-        hear_word(state, member, Word(leaving=True, said_at=now), now)
+        apply_state_report(
+            state, member, StateReport(leaving=True, reported_at=now), now
+        )
 
 
 def observe_word(
@@ -56,10 +58,10 @@
     leaving: bool,
     now: float,
 ) -> None:
-    """Note what the endpoint's own ``/state`` says of it.
+    """Record the answer of an endpoint's ``/state``.
 
     An incarnation that the list doesn't show yet replaces the member at
-    once; a word that it stays takes back an earlier one that it leaves.
+    once. A report with ``leaving=False`` cancels an earlier announcement.
     """
     member = state.members.get(name)
     if member is None or incarnation in member.former:
@@ -70,19 +72,24 @@
             incarnation=incarnation,
         )
         member = replace_member(state, endpoint, now)
-    hear_word(state, member, Word(leaving=leaving, said_at=now), now)
+    apply_state_report(
+        state, member, StateReport(leaving=leaving, reported_at=now), now
+    )
 
 
-def hear_word(
+def apply_state_report(
     state: MembershipState,
     member: Member,
-    word: Word,
+    state_report: StateReport,
     now: float,
 ) -> None:
-    """Keep the later of two words about a member."""
-    if member.word is None or word.said_at >= member.word.said_at:
-        member.word = word
-    review(state, member, now)
+    """Keep the later of two reports about a member."""
+    if (
+        member.state_report is None
+        or state_report.reported_at >= member.state_report.reported_at
+    ):
+        member.state_report = state_report
+    update_status(state, member, now)
 
 
 def live(
@@ -91,61 +98,61 @@
     now: float,
     service: str = '',
 ) -> tuple[Endpoint, ...]:
-    """Return the endpoints of a kind that may get new work, by name.
+    """Return the endpoints of a kind that may get requests, by name.
 
-    ``service`` narrows services to one name that callers use.
+    ``service`` restricts them to one service name, as callers use it.
     """
-    settle(state, now)
+    expire_members(state, now)
     found = state.live_cache.get((kind, service))
     if found is None:
         found = tuple(
             member.endpoint
             for _, member in sorted(state.members.items())
-            if _may_take(member, kind, service)
+            if _is_available(member, kind, service)
         )
         state.live_cache[kind, service] = found
     return found
 
 
-def _may_take(member: Member, kind: EndpointKind, service: str) -> bool:
+def _is_available(member: Member, kind: EndpointKind, service: str) -> bool:
     return (
-        member.standing is Standing.LIVE
+        member.status is Standing.LIVE
         and member.endpoint.kind is kind
         and service in {'', member.endpoint.service}
     )
 
 
-def settle(state: MembershipState, now: float) -> None:
-    """Forget members that are long gone; at most once a second."""
-    if now < state.settle_at:
+def expire_members(state: MembershipState, now: float) -> None:
+    """Remove members that left the list long ago, at most once a second."""
+    if now < state.next_expiry_at:
         return
-    state.settle_at = now + _SETTLE_EVERY_S
+    state.next_expiry_at = now + _EXPIRY_INTERVAL_S
     for member in tuple(state.members.values()):
-        if _is_forgotten(state, member, now):
-            forget(state, member)
+        if _is_expired(state, member, now):
+            remove_member(state, member)
 
 
-def _is_forgotten(
+def _is_expired(
     state: MembershipState,
     member: Member,
     now: float,
 ) -> bool:
-    if member.unlisted_at is None or member.standing is Standing.LIVE:
+    if member.unlisted_at is None or member.status is Standing.LIVE:
         return False
-    return now - member.unlisted_at >= state.rules.forget_after_s
+    return now - member.unlisted_at >= state.rules.expire_after_s
 
 
 def standing_of(state: MembershipState, name: str, now: float) -> Standing:
-    """Return an endpoint's standing; an unknown name is silent."""
-    settle(state, now)
+    """Return an endpoint's status, ``SILENT`` for an unknown name."""
+    expire_members(state, now)
     member = state.members.get(name)
-    if member is None or member.standing is None:
+    if member is None or member.status is None:
         return Standing.SILENT
-    return member.standing
+    return member.status
 
 
 def find(state: MembershipState, name: str) -> Endpoint | None:
-    """Return the endpoint of a name, whatever its standing."""
+    """Return the endpoint of a name with any status, None if unknown."""
     member = state.members.get(name)
     return member.endpoint if member else None
 
@@ -161,20 +168,19 @@
     now: float,
     rng: random.Random,
 ) -> tuple[Endpoint, ...]:
-    """Take the endpoints to probe now.
-
-    These are silent ones, doubted ones, and those that said they leave.
+    """Return the endpoints to probe now, and schedule their next probes.
 
-    Each is put off by a growing delay with jitter and few go at once, so
-    that instances that saw the same fault don't ask all at the same moment
-    when it ends.
+    Probed are endpoints that are unresponsive, that are in doubt, or that
+    announced that they leave. The delay between probes grows and has jitter,
+    and only a few endpoints are probed at once. Otherwise instances that saw
+    the same fault would all send their probes at the moment when it ends.
     """
     members = state.members.values()
-    wanting = [member for member in members if _wants_probe(member, now)]
-    wanting.sort(key=_probe_order)
-    chosen = wanting[: state.rules.probes_at_once]
-    for silent in chosen:
-        _put_off(state, silent, now, rng)
+    waiting = [member for member in members if _needs_probe(member, now)]
+    waiting.sort(key=_probe_order)
+    chosen = waiting[: state.rules.probes_at_once]
+    for due in chosen:
+        _schedule_next_probe(state, due, now, rng)
     return tuple(probed.endpoint for probed in chosen)
 
 
@@ -182,15 +188,15 @@
     return member.probe_at, member.endpoint.name
 
 
-def _wants_probe(member: Member, now: float) -> bool:
+def _needs_probe(member: Member, now: float) -> bool:
     if member.probe_at > now:
         return False
-    if member.standing is Standing.SILENT or member.sign is Sign.TOLD_LEAVING:
+    if member.status is Standing.SILENT or member.reason is Sign.TOLD_LEAVING:
         return True
     return member.listing is Listing.DOUBTED
 
 
-def _put_off(
+def _schedule_next_probe(
     state: MembershipState,
     member: Member,
     now: float,
@@ -198,4 +204,4 @@
 ) -> None:
     delay = max(member.probe_delay, state.rules.probe_first_s)
     member.probe_at = now + delay * rng.uniform(*_JITTER)
-    member.probe_delay = min(delay * 2, state.rules.probe_longest_s)
+    member.probe_delay = min(delay * 2, state.rules.probe_max_s)
--- a/packages/verbenahall/src/verbenahall/membership/_messages.py
+++ b/packages/verbenahall/src/verbenahall/membership/_messages.py
@@ -1,4 +1,4 @@
-"""What membership hears and says."""
+"""Messages, rules and enumerations of membership."""
 
 import dataclasses
 import enum
@@ -11,8 +11,8 @@
 class Listing(enum.Enum):
     """How the platform's list shows a member.
 
-    ``DOUBTED`` is a member that vanished together with more others than a
-    list may take away at once; what it answers decides about it.
+    ``DOUBTED`` is a member that disappeared together with more others than a
+    list may remove at once. Its status depends on whether it answers.
     """
 
     SHOWN = 'shown'
@@ -23,7 +23,7 @@
 
 @final
 class Sign(enum.Enum):
-    """Why a member has its standing; the value stands in decision lines."""
+    """The reason for a member's status; the values are logged."""
 
     ADDRESS_TAKEN = 'address_taken'
     LIST_LEAVING = 'list_leaving'
@@ -45,57 +45,58 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class ListAnswer:
-    """The platform's whole list; ``version`` grows with each change."""
+    """The platform's complete list; each change increases ``version``."""
 
     version: int
     entries: tuple[ListEntry, ...]
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Word:
-    """What an endpoint said of itself, and when that was said.
+class StateReport:
+    """Whether an endpoint reported that it leaves, and when.
 
-    ``said_at`` is in this process's monotonic seconds, also for a word that
-    a peer passed on with its age.
+    ``reported_at`` is in monotonic seconds of this process. For a report
+    that a peer forwarded it is computed from the age.
     """
 
     leaving: bool
-    said_at: float
+    reported_at: float
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class StandingChange:
-    """One member's standing changed, by the sign that decided."""
+    """A change of a member's status, with its reason."""
 
     endpoint: Endpoint
     before: Standing | None
     after: Standing
-    sign: Sign
+    reason: Sign
     failures: int
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class MembershipRules:
-    """Bounds of the decisions; seconds and counts.
+    """Limits of the decisions; times in seconds.
 
-    ``failures`` in a row make a member silent, as do two that lie
-    ``silent_after_s`` apart with no answer between. A member that falls
-    silent within ``flap_window_s`` of its recovery needs one more answer to
-    recover each time, up to ``flap_limit`` more.
+    A member becomes unresponsive after ``failures`` failures in a row, or
+    after two that are ``silent_after_s`` apart without an answer between
+    them. Each time that it becomes unresponsive again within
+    ``flap_window_s`` of its recovery, it needs one more answer to recover, up
+    to ``flap_limit`` more.
     """
 
     failures: int = 3
     silent_after_s: float = 2.0
     suspecting_peers: int = 2
     suspicion_s: float = 3.0
-    word_passed_on_s: float = 10.0
+    notice_lifetime_s: float = 10.0
     flap_window_s: float = 30.0
     flap_limit: int = 4
     probe_first_s: float = 0.5
-    probe_longest_s: float = 5.0
+    probe_max_s: float = 5.0
     probes_at_once: int = 4
     removal_window_s: float = 60.0
-    forget_after_s: float = 60.0
+    expire_after_s: float = 60.0
     list_lag_s: float = 30.0
 
 
@@ -103,8 +104,8 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class PassedWord:
-    """An endpoint's word that it leaves, passed on with its age."""
+class LeavingNotice:
+    """An endpoint's announcement that it leaves, forwarded with its age."""
 
     name: str
     incarnation: str
@@ -113,7 +114,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Suspicion:
-    """A peer's failures in a row with an endpoint."""
+    """The number of a peer's failures in a row with an endpoint."""
 
     name: str
     incarnation: str
@@ -122,31 +123,31 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class OwnReport:
-    """What an instance says of itself: readiness and settings offset."""
+    """An instance's readiness and settings offset."""
 
     ready: bool
     position: int
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Digest:
-    """One heartbeat between instances of a data centre.
+class Heartbeat:
+    """A heartbeat between instances of a data centre.
 
-    Ages stand in for times, since no two clocks agree.
+    It holds ages and no timestamps, since clocks of two machines differ.
     """
 
     sender: str
     incarnation: str
     report: OwnReport
     leaving: bool
-    words: tuple[PassedWord, ...] = ()
+    leaving_notices: tuple[LeavingNotice, ...] = ()
     suspicions: tuple[Suspicion, ...] = ()
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class PeerView:
-    """What a peer last said of itself, and when that was heard."""
+    """A peer's last report about itself, and when it was received."""
 
     incarnation: str
     report: OwnReport
-    heard_at: float
+    received_at: float
--- a/packages/verbenahall/src/verbenahall/membership/_state.py
+++ b/packages/verbenahall/src/verbenahall/membership/_state.py
@@ -1,4 +1,4 @@
-"""What an instance knows of endpoints and other instances."""
+"""The state of endpoints and peers as one instance sees it."""
 
 import collections
 from collections.abc import Callable
@@ -13,7 +13,7 @@
     PeerView,
     Sign,
     StandingChange,
-    Word,
+    StateReport,
 )
 
 #: Endpoints of one kind in one data centre.
@@ -22,19 +22,19 @@
 
 @final
 class Member:
-    """One name at one incarnation, with all evidence since ``born_at``.
+    """One incarnation of an endpoint, with observations since ``born_at``.
 
-    ``suspicions`` maps a peer's name to when it last said that this member
-    fails. ``silent`` is whether it is out of reach, also while it leaves.
-    ``former`` holds incarnations that this one replaced, so that a
-    lagging list can't bring them back.
+    ``suspicions`` maps a peer's name to the time of its last report that
+    this member fails. ``unresponsive`` is also set while the member leaves.
+    ``former`` holds the incarnations that this one replaced, so that a
+    lagging list can't restore them.
     """
 
     __slots__ = (
         'endpoint',
         'listing',
         'unlisted_at',
-        'word',
+        'state_report',
         'failures',
         'first_failure_at',
         'last_failure_at',
@@ -46,9 +46,9 @@
         'suspicions',
         'former',
         'born_at',
-        'silent',
-        'standing',
-        'sign',
+        'unresponsive',
+        'status',
+        'reason',
     )
 
     def __init__(
@@ -57,11 +57,11 @@
         former: tuple[str, ...],
         born_at: float,
     ) -> None:
-        """Start without evidence."""
+        """Create a member without observations."""
         self.endpoint = endpoint
         self.listing = Listing.SHOWN
         self.unlisted_at: float | None = None
-        self.word: Word | None = None
+        self.state_report: StateReport | None = None
         self.failures = 0
         self.first_failure_at = float('-inf')
         self.last_failure_at = float('-inf')
@@ -73,9 +73,9 @@
         self.suspicions: dict[str, float] = {}
         self.former = former
         self.born_at = born_at
-        self.silent = False
-        self.standing: Standing | None = None
-        self.sign = Sign.ANSWERS
+        self.unresponsive = False
+        self.status: Standing | None = None
+        self.reason = Sign.ANSWERS
 
 
 def _write_change(change: StandingChange) -> None:
@@ -85,30 +85,30 @@
         incarnation=change.endpoint.incarnation,
         before=change.before.value if change.before else 'unknown',
         after=change.after.value,
-        reason=change.sign.value,
+        reason=change.reason.value,
         failures=change.failures,
     )
 
 
 @final
 class MembershipState:
-    """All members by name, who owns each address, what peers last said.
+    """All members by name, the owners of addresses and the peers' reports.
 
-    ``notify`` gets each change of standing; by default it writes a decision
-    line. ``revision`` grows whenever a member comes, goes or is replaced, for
-    those who keep a list of them. ``live_cache`` is emptied at each change, so
-    that a request pays one look-up.
+    ``notify`` is called on each change of status and writes a decision line
+    by default. ``revision`` increases when a member is added, removed or
+    replaced, for users that keep a list of members. ``live_cache`` is cleared
+    on each change, so that a request costs one look-up.
     """
 
     __slots__ = (
         'rules',
         'members',
-        'owners',
+        'address_owners',
         'removals',
         'peers',
         'live_cache',
         'revision',
-        'settle_at',
+        'next_expiry_at',
         'first_listed_at',
         'listed_at',
         'notify',
@@ -119,17 +119,17 @@
         rules: MembershipRules = DEFAULT_RULES,
         notify: Callable[[StandingChange], None] = _write_change,
     ) -> None:
-        """Start knowing nothing."""
+        """Create a state without members."""
         self.rules = rules
         self.members: dict[str, Member] = {}
-        self.owners: dict[str, str] = {}
+        self.address_owners: dict[str, str] = {}
         self.removals: dict[Group, collections.deque[float]] = {}
         self.revision = 0
         self.live_cache: dict[
             tuple[EndpointKind, str], tuple[Endpoint, ...]
         ] = {}
         self.peers: dict[str, PeerView] = {}
-        self.settle_at = float('-inf')
+        self.next_expiry_at = float('-inf')
         self.first_listed_at: float | None = None
         self.listed_at: float | None = None
         self.notify = notify
--- a/packages/verbenahall/src/verbenahall/snapshots/_shell.py
+++ b/packages/verbenahall/src/verbenahall/snapshots/_shell.py
@@ -1,4 +1,4 @@
-"""Starts the folds, follows the log and serves snapshots to peers."""
+"""Restores the folds, follows the log and serves snapshots to peers."""
 
 import asyncio
 import random
@@ -24,22 +24,23 @@
 _RETRY_S: Final = 0.5
 _JSON: Final = 'application/json'
 
-#: Returns the addresses of peers, nearest first, at this moment.
+#: Returns the current addresses of peers, nearest first.
 Peers = Callable[[], Sequence[str]]
-#: Tells whether a host (an IP number) is that of a peer.
+#: Returns whether a host (an IP address) is that of a peer.
 IsPeer = Callable[[str], bool]
 
 
-def _admit_all(host: str) -> bool:
+def _allow_all(host: str) -> bool:
     return True
 
 
 class SnapshotKeeper:
-    """Holds the folds at one position and keeps that position safe.
+    """Keeps the folds up to date and writes snapshots of them.
 
-    ``ready`` turns true once, when the folds stand where the log stood at
-    the start (or where a peer stood, if the log does not answer); until then
-    ``reason`` says what is missing. ``follower`` tells the position.
+    ``ready`` becomes true once, when the folds have reached the end that the
+    log had at the start (or the position of a peer, if the log does not
+    answer). Until then ``reason`` is why they have not. The position is that
+    of ``follower``.
     """
 
     __slots__ = (
@@ -62,18 +63,18 @@
         session: ClientSession,
         peers: Peers,
         schedule: Schedule | None = None,
-        is_peer: IsPeer = _admit_all,
+        is_peer: IsPeer = _allow_all,
     ) -> None:
-        """Keep ``folds``; ``session`` is for peers.
+        """Manage ``folds``; use ``session`` for calls to peers.
 
-        ``is_peer`` says whether a host may have this instance's snapshot.
+        ``is_peer`` returns whether a host may read this instance's snapshot.
         """
         self._is_peer = is_peer
         self.ready = False
-        self.reason = 'the log was not read yet'
+        self.reason = 'the log has not been read yet'
         self.follower = LogFollower(
             client,
-            [self._note_mark, *(fold.apply_record for fold in folds)],
+            [self._record_mark, *(fold.apply_record for fold in folds)],
             recover=self.recover,
         )
         self._client = client
@@ -89,34 +90,37 @@
         )
 
     async def run(self) -> None:
-        """Start, then follow the log and write snapshots until cancelled."""
+        """Restore the folds, then follow and write until cancelled."""
         await self.start()
         async with asyncio.TaskGroup() as tasks:
             tasks.create_task(self.follower.run())
             tasks.create_task(self.writer.run())
 
     async def start(self) -> None:
-        """Return once the folds stand at a known position."""
+        """Restore the folds from the log or a peer; retry until it succeeds."""
         while not (
-            await self._start_from_log() or await self._take_from_peer()
+            await self._start_from_log() or await self._load_from_peer()
         ):
             logging.warning('not ready: %s', self.reason)
             await asyncio.sleep(_RETRY_S * random.uniform(1, 2))
         self.ready = True
         self.reason = ''
-        logging.info('folds stand at offset %d', self.follower.position)
+        logging.info('folds restored at offset %d', self.follower.position)
 
     async def recover(self) -> None:
-        """Load what the records that are gone had changed."""
-        if await self._take_from_log() or await self._take_from_peer():
-            logging.info('gap closed at offset %d', self.follower.position)
+        """Load a snapshot that contains the changes of expired records."""
+        if await self._load_from_log() or await self._load_from_peer():
+            logging.info(
+                'snapshot loaded at offset %d after a gap',
+                self.follower.position,
+            )
 
     def add_routes(self, app: web.Application) -> None:
         """Serve this instance's snapshot to its peers."""
-        app.router.add_get(SNAPSHOT_PATH, self._answer_peer)
+        app.router.add_get(SNAPSHOT_PATH, self._handle_peer)
 
     async def _start_from_log(self) -> bool:
-        if not await self._take_from_log():
+        if not await self._load_from_log():
             return False
         wanted = self.follower.head
         while self.follower.position < wanted:
@@ -126,60 +130,63 @@
                 return False
         return True
 
-    async def _take_from_log(self) -> bool:
-        """Load the newest snapshot if it is ahead and joins the log.
+    async def _load_from_log(self) -> bool:
+        """Load the newest snapshot that is ahead of the position.
 
-        Return whether the log can be followed from the position.
+        Return whether no record between the position and the log has expired,
+        so that the log can be followed.
         """
         read = await self._client.read(0, 1)
         if isinstance(read, Failure):
             self.reason = read.failure().message
             return False
         page = read.unwrap()
-        # The log has answered. An instance on a quiet log would otherwise
-        # count it as unheard for a whole long poll, and claim no lease.
+        # The log has answered. Otherwise an instance on a quiet log would
+        # count it as unreachable during a whole long poll and claim no
+        # lease.
         self.follower.last_contact = clock.monotonic()
         self.follower.head = max(self.follower.head, page.last)
-        lowest = max(page.first - 1, self.follower.position)
-        taken = await self._store.take_newest(lowest, self._take)
-        if isinstance(taken, Failure):
-            self.reason = taken.failure().message
+        min_offset = max(page.first - 1, self.follower.position)
+        applied = await self._store.take_newest(min_offset, self._apply)
+        if isinstance(applied, Failure):
+            self.reason = applied.failure().message
             return False
-        self.reason = f'no good snapshot of offset {lowest} or later'
+        self.reason = f'no valid snapshot of offset {min_offset} or later'
         return self.follower.position >= page.first - 1
 
-    async def _take_from_peer(self) -> bool:
-        """Take over a peer's folds, which may be behind the log."""
+    async def _load_from_peer(self) -> bool:
+        """Load the snapshot of a peer, which may be behind the log."""
         snapshot = await fetch_newest(self._session, self._peers())
         if snapshot is None:
             self.reason = f'{self.reason}; no peer has a snapshot'
             return False
-        taken = self._take(snapshot)
-        if isinstance(taken, Failure):
-            self.reason = taken.failure().message
-        return isinstance(taken, Success)
-
-    def _take(self, snapshot: Snapshot) -> Result[None, Problem]:
-        # The folds never go back: an instance that answered by a setting
-        # once must not answer by an older one afterwards.
+        applied = self._apply(snapshot)
+        if isinstance(applied, Failure):
+            self.reason = applied.failure().message
+        return isinstance(applied, Success)
+
+    def _apply(self, snapshot: Snapshot) -> Result[None, Problem]:
+        # The position never decreases: an instance that has applied a setting
+        # must not return to an older one.
         position = self.follower.position
         if snapshot.upto < position:
-            complaint = f'snapshot at {snapshot.upto} is before {position}'
-            return Failure(Problem(ErrorKind.CONFLICT, complaint))
+            message = f'snapshot at {snapshot.upto} is before {position}'
+            return Failure(Problem(ErrorKind.CONFLICT, message))
         loaded = self._folds.load(snapshot)
         if isinstance(loaded, Success):
             self.follower.advance(snapshot.upto)
         return loaded
 
-    def _note_mark(self, record: Record) -> None:
-        self.writer.note_mark(record)
+    def _record_mark(self, record: Record) -> None:
+        self.writer.record_mark(record)
 
-    async def _answer_peer(self, request: web.Request) -> web.Response:
-        # A snapshot holds every team's settings. Given to whoever reaches
-        # the port, it would go around the credentials of the administration.
+    async def _handle_peer(self, request: web.Request) -> web.Response:
+        # A snapshot contains the settings of all teams. Served to any process
+        # that reaches the port, it would bypass the credentials of the
+        # administration.
         if not self._is_peer(request.remote or ''):
-            complaint = 'snapshots are for instances on the list'
-            raise ProblemError(Problem(ErrorKind.FORBIDDEN, complaint))
+            message = 'snapshots are for instances on the list'
+            raise ProblemError(Problem(ErrorKind.FORBIDDEN, message))
         if not self.ready:
             raise ProblemError(Problem(ErrorKind.NOT_READY, self.reason))
         packed = await self.writer.pack()
--- a/packages/verbenahall/tests/catalog/test_catalog.py
+++ b/packages/verbenahall/tests/catalog/test_catalog.py
@@ -1,4 +1,4 @@
-"""Routes are found by host and longest prefix; versions only rise."""
+"""Routes by host and longest prefix, and versions that only increase."""
 
 import random
 
@@ -68,15 +68,15 @@
 
 def test_split_follows_weights():
     route = make_route('/a/', shares=(Share('old', 90), Share('new', 10)))
-    source = random.Random(5)
-    drawn = [pick_service(route, source) for _ in range(2000)]
+    rng = random.Random(5)
+    drawn = [pick_service(route, rng) for _ in range(2000)]
     assert 140 < drawn.count('new') < 260
 
 
 def test_older_version_is_not_taken():
-    # The store answers a read from behind what was followed already. Taking
-    # the older manifest, an instance would route to a service that the
-    # operator has just taken out, and users see old answers come back.
+    # A read of the store returns an older manifest than was followed. With it
+    # an instance would route to a service that the operator has removed, and
+    # users would get old answers again.
     state = CatalogState()
     assert adopt(state, make_catalog(version=7))
     assert not adopt(state, make_catalog(version=5))
--- a/packages/verbenahall/tests/snapshots/test_damage.py
+++ b/packages/verbenahall/tests/snapshots/test_damage.py
@@ -1,4 +1,4 @@
-"""Snapshots that are cut, altered or of another shape."""
+"""Snapshots that are truncated, changed or malformed."""
 
 import asyncio
 import base64
@@ -30,15 +30,15 @@
     log.replace(5, state=base64.b64encode(zlib.compress(text)).decode())
 
 
-def _misdate_mark(log):
+def _change_mark(log):
     log.replace(6, upto=3)
 
 
-def _garble_part(log):
+def _corrupt_part(log):
     log.replace(5, state=None, sha256=[])
 
 
-def _garble_mark(log):
+def _corrupt_mark(log):
     log.replace(6, parts='many', start=-1)
 
 
@@ -48,16 +48,16 @@
         _cut_part,
         _change_part,
         _forge_part,
-        _misdate_mark,
-        _garble_part,
-        _garble_mark,
+        _change_mark,
+        _corrupt_part,
+        _corrupt_mark,
     ],
 )
 def test_damaged_snapshot_gives_way_to_the_older(damage):
-    """The newest snapshot is cut, altered or not what its mark says.
+    """The newest snapshot is truncated, changed or not as its mark says.
 
-    An instance that took it over would serve settings that nobody published;
-    it starts from the older one and the records after it.
+    An instance that loaded it would serve settings that were never published.
+    It must start from the older snapshot and the records after that.
     """
     assert asyncio.run(_start_damaged(damage)) == {'club': 2}
 
@@ -76,15 +76,15 @@
 
 
 def test_section_of_another_shape_changes_nothing():
-    """A faulty release writes a section that this one cannot read.
+    """A faulty release writes a section that this one cannot load.
 
-    A fold that was loaded before it would stay at the snapshot's offset and
-    be given the same records twice.
+    A fold that was loaded before the error would stay at the snapshot's
+    offset and get the same records twice.
     """
-    asyncio.run(_start_misshapen())
+    asyncio.run(_start_with_invalid_section())
 
 
-async def _start_misshapen():
+async def _start_with_invalid_section():
     log = MemoryLog()
     writer = Instance(log)
     await publish(log, 'club', 0, 1)
--- a/packages/verbenahall/tests/snapshots/test_schedule.py
+++ b/packages/verbenahall/tests/snapshots/test_schedule.py
@@ -1,4 +1,4 @@
-"""When a snapshot is due, by the log's offsets and by time."""
+"""Scheduling of snapshots by the log's offsets and by time."""
 
 import random
 
@@ -11,10 +11,10 @@
     is_due,
     observe_log,
     observe_mark,
-    put_off,
+    reschedule,
 )
 
-SCHEDULE = Schedule(refresh_s=300, spread_s=20, longest_tail=1000)
+SCHEDULE = Schedule(refresh_s=300, spread_s=20, max_tail_records=1000)
 
 
 @pytest.mark.parametrize(
@@ -24,12 +24,12 @@
         (1, 0, 0, 1000, None, None),
         # A fresh snapshot on a log that expires nothing.
         (1, 500, 400, 10, None, None),
-        # The snapshot itself grows old on a log at rest.
+        # The snapshot's own records get old on a quiet log.
         (1, 500, 500, 270, None, None),
         (1, 500, 500, 300, 300, 320),
-        # Many records to read after it.
+        # Many records after the snapshot.
         (1, 2000, 900, 10, 10, 30),
-        # The log's start has come half and then nearly all of the way.
+        # The log's first offset approaches the snapshot.
         (201, 600, 450, 10, None, None),
         (201, 600, 350, 10, 10, 30),
         (201, 600, 250, 10, 10, 10.5),
@@ -44,18 +44,18 @@
     earliest,
     latest,
 ):
-    """Records expire, or the log rests and the snapshot itself grows old.
+    """Records expire, or the snapshot gets old on a quiet log.
 
-    Too late a snapshot leaves new instances without a start.
+    If the next snapshot is too late, new instances cannot start.
     """
     state = ScheduleState(0)
     observe_mark(state, Mark(upto + 2, upto, 1, '', upto + 1), 0)
     observe_log(state, first, head)
-    source = random.Random(now)
+    rng = random.Random(now)
     due = [
         now + step / 10
         for step in range(250)
-        if is_due(state, SCHEDULE, now + step / 10, source)
+        if is_due(state, SCHEDULE, now + step / 10, rng)
     ]
 
     assert bool(due) == (earliest is not None)
@@ -64,21 +64,23 @@
 
 
 def test_mark_of_another_puts_the_own_snapshot_off():
-    """Two instances see that one is due; the first to write ends the wait."""
+    """Two instances see that one is due; the first mark cancels the other."""
     state = ScheduleState(0)
     observe_log(state, 1, 500)
     is_due(state, SCHEDULE, 301, random.Random(1))
     observe_mark(state, Mark(503, 500, 1, '', 501), 305)
 
-    source = random.Random(1)
-    due = [moment for moment in range(305, 660) if ask(state, moment, source)]
+    rng = random.Random(1)
+    due = [
+        moment for moment in range(305, 660) if check_due(state, moment, rng)
+    ]
     assert 605 <= due[0] <= 626
 
 
 def test_failed_writes_are_spread_again():
-    """The log is away for long, and a snapshot becomes due for everyone.
+    """The log is down for long, and a snapshot becomes due for all instances.
 
-    When it comes back, all instances would write at the same moment.
+    Without a new random wait all would write at the end of the outage.
     """
     moments = [draw_after_failure(random.Random(seed)) for seed in range(100)]
 
@@ -87,16 +89,16 @@
     assert sum(moment < 1002 for moment in moments) < 30
 
 
-def draw_after_failure(source):
-    """Return the first due moment after a write that failed at 1,000 s."""
+def draw_after_failure(rng):
+    """Return the first due time after a write that failed at 1,000 s."""
     state = ScheduleState(0)
     observe_log(state, 1, 500)
-    is_due(state, SCHEDULE, 301, source)
-    put_off(state)
+    is_due(state, SCHEDULE, 301, rng)
+    reschedule(state)
     steps = (1000 + step / 10 for step in range(250))
-    return next(step for step in steps if ask(state, step, source))
+    return next(step for step in steps if check_due(state, step, rng))
 
 
-def ask(state, moment, source):
-    """Ask whether a snapshot is due at a moment."""
-    return is_due(state, SCHEDULE, moment, source)
+def check_due(state, moment, rng):
+    """Return whether a snapshot is due at a time."""
+    return is_due(state, SCHEDULE, moment, rng)
