--- a/packages/verbenahall/src/verbenahall/settings/_checks.py
+++ b/packages/verbenahall/src/verbenahall/settings/_checks.py
@@ -17,17 +17,17 @@
     RefusalKind,
 )
 from verbenahall.settings._refusals import (
-    find_latest,
-    refuse_claimed,
-    refuse_foreign,
+    find_latest_capacity_change,
+    refuse_claimed_engine,
+    refuse_foreign_drain,
     refuse_missing,
-    refuse_users,
+    refuse_in_use,
 )
 from verbenahall.settings._sections import ADAPTERS, MODELS, POOLS
-from verbenahall.settings._state import Key, SettingsState, Shift
+from verbenahall.settings._state import Key, SettingsState, SettingsChange
 
 
-class _Touched:
+class _AffectedNames:
     """Names of which a rule might now be broken."""
 
     __slots__ = ('adapters', 'drains', 'floors', 'models', 'pools')
@@ -44,42 +44,44 @@
 
 def find_conflict(
     state: SettingsState,
-    shifts: Sequence[Shift],
+    settings_changes: Sequence[SettingsChange],
 ) -> Refusal | None:
     """Return the first rule that the shifted settings break, if any."""
-    touched = _Touched()
-    for shift in shifts:
-        for settings in (shift.before, shift.after):
-            _touch(state, settings, touched)
-    found = (refusal for check in _CHECKS for refusal in check(state, touched))
+    affected = _AffectedNames()
+    for change in settings_changes:
+        for settings in (change.before, change.after):
+            _add_affected(state, settings, affected)
+    found = (refusal for check in _CHECKS for refusal in check(state, affected))
     return next(found, None)
 
 
-def _touch(state: SettingsState, settings: object, touched: _Touched) -> None:
+def _add_affected(
+    state: SettingsState, settings: object, affected: _AffectedNames
+) -> None:
     match settings:
         case ModelSettings(name=name):
-            touched.models.add(name)
-            pools = _pools_of(state, state.model_users.get(name, ()))
-            touched.floors.update((pool.data_centre, name) for pool in pools)
+            affected.models.add(name)
+            pools = _list_pools(state, state.model_users.get(name, ()))
+            affected.floors.update((pool.data_centre, name) for pool in pools)
         case AdapterSettings(name=name):
-            touched.adapters.add(name)
+            affected.adapters.add(name)
             users = state.adapter_users.get(name, ())
-            touched.pools.update(user for _, user in users)
+            affected.pools.update(user for _, user in users)
         case PoolSettings(name=name):
-            touched.pools.add(name)
-            touched.floors.update(_floors_of(settings))
+            affected.pools.add(name)
+            affected.floors.update(_list_floors(settings))
         case DrainSettings(endpoint=endpoint):
-            touched.drains.add(endpoint)
+            affected.drains.add(endpoint)
             for pool_name in state.engine_pools.get(endpoint, ()):
                 drained = state.effective.pools[pool_name]
-                touched.floors.update(_floors_of(drained))
+                affected.floors.update(_list_floors(drained))
 
 
-def _floors_of(pool: PoolSettings) -> Iterator[tuple[str, str]]:
+def _list_floors(pool: PoolSettings) -> Iterator[tuple[str, str]]:
     return ((pool.data_centre, model) for model in pool.models)
 
 
-def _pools_of(
+def _list_pools(
     state: SettingsState,
     users: Iterable[Key],
 ) -> list[PoolSettings]:
@@ -92,39 +94,39 @@
 
 def _check_models(
     state: SettingsState,
-    touched: _Touched,
+    affected: _AffectedNames,
 ) -> Iterator[Refusal]:
-    for name in sorted(touched.models):
+    for name in sorted(affected.models):
         if name not in state.effective.models:
             users = state.model_users.get(name, ())
-            yield from refuse_users(state, f'model {name}', users)
+            yield from refuse_in_use(state, f'model {name}', users)
 
 
 def _check_adapters(
     state: SettingsState,
-    touched: _Touched,
+    affected: _AffectedNames,
 ) -> Iterator[Refusal]:
-    for name in sorted(touched.adapters):
+    for name in sorted(affected.adapters):
         adapter = state.effective.adapters.get(name)
         if adapter is None:
             users = state.adapter_users.get(name, ())
-            yield from refuse_users(state, f'adapter {name}', users)
+            yield from refuse_in_use(state, f'adapter {name}', users)
         elif adapter.model not in state.effective.models:
             yield refuse_missing(state, MODELS, adapter.model)
 
 
 def _check_pools(
     state: SettingsState,
-    touched: _Touched,
+    affected: _AffectedNames,
 ) -> Iterator[Refusal]:
-    for name in sorted(touched.pools):
+    for name in sorted(affected.pools):
         pool = state.effective.pools.get(name)
         if pool is not None:
-            yield from _check_holdings(state, pool)
+            yield from _check_references(state, pool)
             yield from _check_engines(state, pool)
 
 
-def _check_holdings(
+def _check_references(
     state: SettingsState,
     pool: PoolSettings,
 ) -> Iterator[Refusal]:
@@ -158,38 +160,38 @@
     for engine in pool.engines:
         for other in state.engine_pools[engine]:
             if other != pool.name:
-                yield refuse_claimed(state, engine, pool.name, other)
+                yield refuse_claimed_engine(state, engine, pool.name, other)
         drain = state.effective.drains.get(engine)
         if drain and drain.team != pool.team:
-            yield refuse_foreign(state, drain, pool)
+            yield refuse_foreign_drain(state, drain, pool)
 
 
 def _check_drains(
     state: SettingsState,
-    touched: _Touched,
+    affected: _AffectedNames,
 ) -> Iterator[Refusal]:
-    for endpoint in sorted(touched.drains):
+    for endpoint in sorted(affected.drains):
         drain = state.effective.drains.get(endpoint)
         for name in state.engine_pools.get(endpoint, ()):
             pool = state.effective.pools[name]
             if drain and drain.team != pool.team:
-                yield refuse_foreign(state, drain, pool)
+                yield refuse_foreign_drain(state, drain, pool)
 
 
 def _check_floors(
     state: SettingsState,
-    touched: _Touched,
+    affected: _AffectedNames,
 ) -> Iterator[Refusal]:
     """Count the engines, but drained ones, that may hold each model.
 
     A data centre in which no pool names the model keeps none of it, so
     there is no floor to keep either.
     """
-    for data_centre, name in sorted(touched.floors):
+    for data_centre, name in sorted(affected.floors):
         model = state.effective.models.get(name)
         pools = [
             pool
-            for pool in _pools_of(state, state.model_users.get(name, ()))
+            for pool in _list_pools(state, state.model_users.get(name, ()))
             if pool.data_centre == data_centre
         ]
         free = sum(_count_free(state, pool) for pool in pools)
@@ -198,7 +200,7 @@
                 RefusalKind.BELOW_FLOOR,
                 f'model {name} would have {free} engines in {data_centre}; '
                 + f'its floor is {model.floor}',
-                find_latest(state, name, pools),
+                find_latest_capacity_change(state, name, pools),
             )
 
 
@@ -207,7 +209,7 @@
     return sum(engine not in drains for engine in pool.engines)
 
 
-_Check = Callable[[SettingsState, _Touched], Iterator[Refusal]]
+_Check = Callable[[SettingsState, _AffectedNames], Iterator[Refusal]]
 _CHECKS: Final[tuple[_Check, ...]] = (
     _check_models,
     _check_adapters,
--- a/packages/verbenahall/src/verbenahall/settings/_history.py
+++ b/packages/verbenahall/src/verbenahall/settings/_history.py
@@ -6,9 +6,9 @@
 
 from verbenahall.settings._messages import Verdict
 
-KEPT_VERDICTS: Final = 256
+MAX_VERDICTS: Final = 256
 #: Paths named by all kept verdicts together.
-KEPT_PATHS: Final = 4096
+MAX_PATHS: Final = 4096
 
 
 class History:
@@ -33,8 +33,8 @@
         """Add one verdict; the last one is always kept."""
         self._verdicts.append(verdict)
         self._paths += len(verdict.paths)
-        while self._is_over() and len(self._verdicts) > 1:
+        while self._exceeds_bounds() and len(self._verdicts) > 1:
             self._paths -= len(self._verdicts.popleft().paths)
 
-    def _is_over(self) -> bool:
-        return self._paths > KEPT_PATHS or len(self._verdicts) > KEPT_VERDICTS
+    def _exceeds_bounds(self) -> bool:
+        return self._paths > MAX_PATHS or len(self._verdicts) > MAX_VERDICTS
--- a/packages/verbenahall/src/verbenahall/settings/_publications.py
+++ b/packages/verbenahall/src/verbenahall/settings/_publications.py
@@ -28,7 +28,7 @@
     ('DELETE', 'GET', 'HEAD', 'OPTIONS', 'PATCH', 'POST', 'PUT'),
 )
 _CHANGE_KEYS: Final = frozenset(('path', 'base', 'value'))
-_LONGEST_AUTHOR: Final = 128
+_MAX_AUTHOR_LENGTH: Final = 128
 
 
 def split_path(path: str) -> tuple[str, str, str] | None:
@@ -58,16 +58,16 @@
     team = body.get('team')
     author = body.get('author')
     if not _is_name(team) or not _is_author(author):
-        return _malformed('team and author must be given')
+        return _refuse_malformed('team and author must be given')
     rows = body.get('changes')
     if not isinstance(rows, list) or not rows:
-        return _malformed('changes must be a list that is not empty')
+        return _refuse_malformed('changes must be a list that is not empty')
     changes = tuple(_decode_change(row) for row in rows)
     if None in changes:
-        return _malformed('a change needs path, base and value')
+        return _refuse_malformed('a change needs path, base and value')
     paths = {change.path for change in changes if change}
     if len(paths) < len(changes):
-        return _malformed('a path stands twice')
+        return _refuse_malformed('a path stands twice')
     return Success(Publication(team, author, changes))
 
 
@@ -82,11 +82,9 @@
     schema = _find_schema(section, name)
     checked = check_table(value, schema, Source(''))
     if isinstance(checked, Success):
-        return _find_list_fault(value)
-    complaints = (
-        f'{fault.key}: {fault.message}' for fault in checked.failure()
-    )
-    return '; '.join(complaints)
+        return _find_list_error(value)
+    errors = (f'{fault.key}: {fault.message}' for fault in checked.failure())
+    return '; '.join(errors)
 
 
 def _find_schema(section: str, name: str) -> Table:
@@ -99,7 +97,7 @@
     return len(set(entries)) < len(entries)
 
 
-def _find_list_fault(value: Mapping[str, Any]) -> str:
+def _find_list_error(value: Mapping[str, Any]) -> str:
     for member, entries in value.items():
         repeated = isinstance(entries, list) and _has_repeated(entries)
         if repeated:
@@ -129,8 +127,8 @@
 
 
 def _is_author(found: Any) -> bool:
-    return isinstance(found, str) and 0 < len(found) <= _LONGEST_AUTHOR
+    return isinstance(found, str) and 0 < len(found) <= _MAX_AUTHOR_LENGTH
 
 
-def _malformed(complaint: str) -> Result[Publication, Refusal]:
-    return Failure(Refusal(RefusalKind.MALFORMED, complaint))
+def _refuse_malformed(error: str) -> Result[Publication, Refusal]:
+    return Failure(Refusal(RefusalKind.MALFORMED, error))
--- a/packages/verbenahall/src/verbenahall/settings/_refusals.py
+++ b/packages/verbenahall/src/verbenahall/settings/_refusals.py
@@ -12,7 +12,7 @@
 from verbenahall.settings._state import Key, SettingsState, find_removal
 
 
-def find_latest(
+def find_latest_capacity_change(
     state: SettingsState,
     model: str,
     pools: Iterable[PoolSettings],
@@ -29,7 +29,7 @@
     return max(older, default=0)
 
 
-def refuse_users(
+def refuse_in_use(
     state: SettingsState,
     what: str,
     users: Iterable[Key],
@@ -53,7 +53,7 @@
     )
 
 
-def refuse_claimed(
+def refuse_claimed_engine(
     state: SettingsState,
     engine: str,
     pool: str,
@@ -67,7 +67,7 @@
     )
 
 
-def refuse_foreign(
+def refuse_foreign_drain(
     state: SettingsState,
     drain: DrainSettings,
     pool: PoolSettings,
--- a/packages/verbenahall/src/verbenahall/settings/_sections.py
+++ b/packages/verbenahall/src/verbenahall/settings/_sections.py
@@ -32,15 +32,15 @@
 _NAMES: Final = Field(list, default=[])
 _COUNT: Final = Field(int, default=0, minimum=0, maximum=1000)
 _WEIGHT: Final = Field(float, default=1.0, minimum=0, maximum=1000)
-_LEAST_SHARE: Final = 0.01
-_SHARE: Final = Field(float, default=1.0, minimum=_LEAST_SHARE, maximum=1000)
+_MIN_SHARE: Final = 0.01
+_SHARE: Final = Field(float, default=1.0, minimum=_MIN_SHARE, maximum=1000)
 _DEFAULT_QUEUE: Final = 128
-_LONGEST_QUEUE: Final = 100_000
+_MAX_QUEUE: Final = 100_000
 _QUEUE: Final = Field(
     int,
     default=_DEFAULT_QUEUE,
     minimum=1,
-    maximum=_LONGEST_QUEUE,
+    maximum=_MAX_QUEUE,
 )
 
 
--- a/packages/verbenahall/src/verbenahall/settings/_snapshots.py
+++ b/packages/verbenahall/src/verbenahall/settings/_snapshots.py
@@ -8,7 +8,7 @@
 from verbenahall.settings._state import (
     Entry,
     SettingsState,
-    key_of,
+    make_key,
     put_entry,
 )
 from verbenahall.settings._verdicts import apply_record
@@ -93,7 +93,7 @@
     for path, offset, entry_value in section['entries']:
         team, _, name = path.split('/')
         entry = Entry(path, team, name, entry_value, int(offset))
-        put_entry(fresh, key_of(path), entry)
+        put_entry(fresh, make_key(path), entry)
     return fresh
 
 
--- a/packages/verbenahall/src/verbenahall/settings/_state.py
+++ b/packages/verbenahall/src/verbenahall/settings/_state.py
@@ -18,8 +18,8 @@
 
 #: Second copies of an append come within seconds of the first; and one that
 #: came later would find its base stale.
-KEPT_IDENTITIES: Final = 1024
-KEPT_REMOVALS: Final = 4096
+MAX_IDENTITIES: Final = 1024
+MAX_REMOVALS: Final = 4096
 
 #: ``(section, name)``; a planner's and defaults' name holds the team.
 Key = tuple[str, str]
@@ -37,7 +37,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Shift:
+class SettingsChange:
     """One entry's settings in force before and after a change."""
 
     before: Any
@@ -82,7 +82,7 @@
     return state.effective
 
 
-def key_of(path: str) -> Key:
+def make_key(path: str) -> Key:
     """Return where a path's entry is kept; names are the whole fleet's."""
     team, section, name = path.split('/')
     if section in {DEFAULTS, PLANNER}:
@@ -94,7 +94,7 @@
     """Return the entry that stands at a path."""
     if split_path(path) is None:
         return None
-    entry = state.entries.get(key_of(path))
+    entry = state.entries.get(make_key(path))
     return entry if entry and entry.path == path else None
 
 
@@ -134,7 +134,7 @@
     state: SettingsState,
     key: Key,
     entry: Entry | None,
-) -> list[Shift]:
+) -> list[SettingsChange]:
     """Set or remove one entry; return what this shifted in force.
 
     Putting back the entry that stood before undoes it.
@@ -143,32 +143,35 @@
     old = state.entries.pop(key, None) if entry is None else None
     old = old or state.entries.get(key)
     if old is not None:
-        _forget(state.team_entries, (old.team, section), key)
+        _remove_user(state.team_entries, (old.team, section), key)
     if entry is not None:
         state.entries[key] = entry
         state.team_entries.setdefault((entry.team, section), set()).add(key)
     if section != DEFAULTS:
-        return [_refresh(state, key)]
+        return [_update_effective(state, key)]
     team, _, inheriting = key[1].partition('/')
-    heirs = sorted(state.team_entries.get((team, inheriting), ()))
-    return [_refresh(state, heir) for heir in heirs]
+    inheriting_keys = sorted(state.team_entries.get((team, inheriting), ()))
+    return [
+        _update_effective(state, inheriting_key)
+        for inheriting_key in inheriting_keys
+    ]
 
 
-def _refresh(state: SettingsState, key: Key) -> Shift:
+def _update_effective(state: SettingsState, key: Key) -> SettingsChange:
     """Work out again what is in force of one entry."""
     section, name = key
     table = getattr(state.effective, section)
     if section == PLANNER:
         name = name.partition('/')[0]
     before = table.get(name)
-    _unlink(state, key, before)
+    _remove_from_indexes(state, key, before)
     entry = state.entries.get(key)
     if entry is None:
         table.pop(name, None)
-        return Shift(before, None)
+        return SettingsChange(before, None)
     table[name] = _build(state, section, entry)
-    _link(state, key, table[name])
-    return Shift(before, table[name])
+    _add_to_indexes(state, key, table[name])
+    return SettingsChange(before, table[name])
 
 
 def _build(state: SettingsState, section: str, entry: Entry) -> Any:
@@ -179,7 +182,7 @@
     return kind.build(entry.name, merged, entry.team)
 
 
-def _link(state: SettingsState, key: Key, settings: Any) -> None:
+def _add_to_indexes(state: SettingsState, key: Key, settings: Any) -> None:
     match settings:
         case AdapterSettings(model=model):
             state.model_users.setdefault(model, set()).add(key)
@@ -193,20 +196,20 @@
                 state.engine_pools[engine] = tuple(sorted({*pools, name}))
 
 
-def _unlink(state: SettingsState, key: Key, settings: Any) -> None:
+def _remove_from_indexes(state: SettingsState, key: Key, settings: Any) -> None:
     match settings:
         case AdapterSettings(model=model):
-            _forget(state.model_users, model, key)
+            _remove_user(state.model_users, model, key)
         case PoolSettings():
             for model in settings.models:
-                _forget(state.model_users, model, key)
+                _remove_user(state.model_users, model, key)
             for adapter in settings.adapters:
-                _forget(state.adapter_users, adapter, key)
+                _remove_user(state.adapter_users, adapter, key)
             for engine in settings.engines:
-                _release(state, engine, settings.name)
+                _remove_pool(state, engine, settings.name)
 
 
-def _release(state: SettingsState, engine: str, pool: str) -> None:
+def _remove_pool(state: SettingsState, engine: str, pool: str) -> None:
     rest = tuple(
         name for name in state.engine_pools.get(engine, ()) if name != pool
     )
@@ -216,7 +219,7 @@
         state.engine_pools.pop(engine, None)
 
 
-def _forget(index: dict[Any, set[Key]], name: Any, key: Key) -> None:
+def _remove_user(index: dict[Any, set[Key]], name: Any, key: Key) -> None:
     users = index.get(name, set())
     users.discard(key)
     if not users:
--- a/packages/verbenahall/src/verbenahall/settings/_verdicts.py
+++ b/packages/verbenahall/src/verbenahall/settings/_verdicts.py
@@ -19,15 +19,15 @@
     split_path,
 )
 from verbenahall.settings._state import (
-    KEPT_IDENTITIES,
-    KEPT_REMOVALS,
+    MAX_IDENTITIES,
+    MAX_REMOVALS,
     Entry,
     Key,
     SettingsState,
-    Shift,
+    SettingsChange,
     find_entry,
     find_offset,
-    key_of,
+    make_key,
     put_entry,
 )
 
@@ -46,13 +46,13 @@
     if record.identity in state.identities:
         return None
     state.identities[record.identity] = None
-    _trim(state.identities, KEPT_IDENTITIES)
-    verdict = _judge(state, record)
+    _drop_oldest(state.identities, MAX_IDENTITIES)
+    verdict = _evaluate(state, record)
     state.history.append(verdict)
     return verdict
 
 
-def _judge(state: SettingsState, record: Record) -> Verdict:
+def _evaluate(state: SettingsState, record: Record) -> Verdict:
     decoded = decode_publication(record.body)
     if isinstance(decoded, Failure):
         return Verdict(
@@ -70,11 +70,11 @@
         publication.team,
         publication.author,
         tuple(change.path for change in publication.changes),
-        _publish(state, publication, record.offset),
+        _apply_publication(state, publication, record.offset),
     )
 
 
-def _publish(
+def _apply_publication(
     state: SettingsState,
     publication: Publication,
     offset: int,
@@ -83,28 +83,28 @@
         refusal = _check_change(state, publication.team, change)
         if refusal:
             return refusal
-    return _put_changes(state, publication, offset)
+    return _apply_changes(state, publication, offset)
 
 
-def _put_changes(
+def _apply_changes(
     state: SettingsState,
     publication: Publication,
     offset: int,
 ) -> Refusal | None:
     """Put all changes in force, or none if the whole would be at odds."""
     undo: list[tuple[Key, Entry | None]] = []
-    shifts: list[Shift] = []
+    settings_changes: list[SettingsChange] = []
     for change in publication.changes:
-        key = key_of(change.path)
+        key = make_key(change.path)
         undo.append((key, state.entries.get(key)))
         entry = _build_entry(publication.team, change, offset)
-        shifts.extend(put_entry(state, key, entry))
-    refusal = find_conflict(state, shifts)
+        settings_changes.extend(put_entry(state, key, entry))
+    refusal = find_conflict(state, settings_changes)
     if refusal:
         for key, old in reversed(undo):
             put_entry(state, key, old)
         return refusal
-    _note_removals(state, publication, offset)
+    _record_removals(state, publication, offset)
     return None
 
 
@@ -129,14 +129,14 @@
             RefusalKind.OUTSIDE_SUBTREE,
             f'{change.path} belongs to team {owner}, not to {team}',
         )
-    standing = state.entries.get(key_of(change.path))
-    if standing and standing.team != team:
+    existing = state.entries.get(make_key(change.path))
+    if existing and existing.team != team:
         return Refusal(
             RefusalKind.NAME_TAKEN,
-            f'{section} {name} is {standing.path}',
-            standing.offset,
+            f'{section} {name} is {existing.path}',
+            existing.offset,
         )
-    return _check_base(state, change) or _check_new(section, name, change)
+    return _check_base(state, change) or _check_new_value(section, name, change)
 
 
 def _check_base(state: SettingsState, change: Change) -> Refusal | None:
@@ -157,16 +157,16 @@
     return None
 
 
-def _check_new(section: str, name: str, change: Change) -> Refusal | None:
+def _check_new_value(section: str, name: str, change: Change) -> Refusal | None:
     if change.value is None:
         return None
-    complaint = check_value(section, name, change.value)
-    if not complaint:
+    error = check_value(section, name, change.value)
+    if not error:
         return None
-    return Refusal(RefusalKind.INVALID_VALUE, f'{change.path}: {complaint}')
+    return Refusal(RefusalKind.INVALID_VALUE, f'{change.path}: {error}')
 
 
-def _note_removals(
+def _record_removals(
     state: SettingsState,
     publication: Publication,
     offset: int,
@@ -175,10 +175,10 @@
         state.removals.pop(change.path, None)
         if change.value is None:
             state.removals[change.path] = offset
-    _trim(state.removals, KEPT_REMOVALS)
+    _drop_oldest(state.removals, MAX_REMOVALS)
 
 
-def _trim(table: dict[str, Any], most: int) -> None:
+def _drop_oldest(table: dict[str, Any], most: int) -> None:
     """Drop the oldest; which ones is a function of the records alone."""
     while len(table) > most:
         table.pop(next(iter(table)))
