--- a/packages/verbenahall/src/verbenahall/settings/_verdicts.py
+++ b/packages/verbenahall/src/verbenahall/settings/_verdicts.py
@@ -1,4 +1,4 @@
-"""The verdict on each record: a pure function of the log up to it."""
+"""Verdicts on records, which depend only on the log up to the record."""
 
 from typing import Any, Final
 
@@ -35,10 +35,11 @@
 
 
 def apply_record(state: SettingsState, record: Record) -> Verdict | None:
-    """Judge one record and put its changes in force if they are accepted.
+    """Check one record and apply its changes if they are accepted.
 
-    ``None`` for other streams, for offsets already applied and for the
-    second copy of an append whose answer was lost.
+    Returns ``None`` for records of other streams, for offsets that have been
+    applied already, and for a second copy of an append, which the client
+    sends if the answer to the first was lost.
     """
     if record.stream != SETTINGS_STREAM or record.offset <= state.position:
         return None
@@ -91,7 +92,7 @@
     publication: Publication,
     offset: int,
 ) -> Refusal | None:
-    """Put all changes in force, or none if the whole would be at odds."""
+    """Apply all changes, or undo them if a rule over entries is broken."""
     undo: list[tuple[Key, Entry | None]] = []
     settings_changes: list[SettingsChange] = []
     for change in publication.changes:
@@ -179,6 +180,6 @@
 
 
 def _drop_oldest(table: dict[str, Any], most: int) -> None:
-    """Drop the oldest; which ones is a function of the records alone."""
+    """Remove the oldest rows, the same ones on every instance."""
     while len(table) > most:
         table.pop(next(iter(table)))
