--- a/packages/verbenahall/src/verbenahall/settings/_state.py
+++ b/packages/verbenahall/src/verbenahall/settings/_state.py
@@ -1,7 +1,7 @@
-"""What the fold keeps: entries, the settings in force, and indexes.
+"""The state of the fold: entries, the settings in force, and indexes.
 
-Every index answers one question of the checks without a walk over the tree,
-so that a change costs the same among 100 entries as among 16,000.
+The checks use the indexes instead of a scan of all entries, so that a change
+takes the same time among 16,000 entries as among 100.
 """
 
 import dataclasses
@@ -16,18 +16,19 @@
 from verbenahall.settings._publications import split_path
 from verbenahall.settings._sections import DEFAULTS, PLANNER, SECTIONS
 
-#: Second copies of an append come within seconds of the first; and one that
-#: came later would find its base stale.
+#: Identities kept to detect duplicate appends. A duplicate follows within
+#: seconds of the original; a later one is refused because its base is stale.
 MAX_IDENTITIES: Final = 1024
+#: Removed paths whose removal offset is kept.
 MAX_REMOVALS: Final = 4096
 
-#: ``(section, name)``; a planner's and defaults' name holds the team.
+#: ``(section, name)``; for planners and defaults ``name`` is ``team/name``.
 Key = tuple[str, str]
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Entry:
-    """One accepted value as its author gave it."""
+    """One accepted value as published, without defaults."""
 
     path: str
     team: str
@@ -38,14 +39,14 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class SettingsChange:
-    """One entry's settings in force before and after a change."""
+    """An entry's settings in force before and after a change."""
 
     before: Any
     after: Any
 
 
 class SettingsState:
-    """The fold of the settings stream up to ``position``."""
+    """State after the settings records up to offset ``position``."""
 
     __slots__ = (
         'adapter_users',
@@ -61,16 +62,17 @@
     )
 
     def __init__(self) -> None:
-        """Start before the first record."""
+        """Create the state before the first record."""
         self.position = 0
         self.entries: dict[Key, Entry] = {}
         self.effective = EffectiveSettings()
         self.history = History()
         self.identities: dict[str, None] = {}
-        # Offset of the removal of each path that is gone, oldest first.
+        # Removed paths with the offset of their removal, oldest first.
         self.removals: dict[str, int] = {}
-        # Keys of adapters and pools that name a model; pools that name an
-        # adapter; pools that name an engine; keys by team and section.
+        # Indexes: keys of the adapters and pools of a model; keys of the
+        # pools of an adapter; names of the pools of an engine; keys by
+        # team and section.
         self.model_users: dict[str, set[Key]] = {}
         self.adapter_users: dict[str, set[Key]] = {}
         self.engine_pools: dict[str, tuple[str, ...]] = {}
@@ -78,12 +80,16 @@
 
 
 def effective(state: SettingsState) -> EffectiveSettings:
-    """Return the settings in force: one object, changed in place."""
+    """Return the settings in force, an object that changes in place."""
     return state.effective
 
 
 def make_key(path: str) -> Key:
-    """Return where a path's entry is kept; names are the whole fleet's."""
+    """Return the key of a path's entry.
+
+    The team is part of the key of planners and defaults only; all other names
+    are unique across teams.
+    """
     team, section, name = path.split('/')
     if section in {DEFAULTS, PLANNER}:
         return section, f'{team}/{name}'
@@ -91,7 +97,7 @@
 
 
 def find_entry(state: SettingsState, path: str) -> Entry | None:
-    """Return the entry that stands at a path."""
+    """Return the entry at a path, or ``None``."""
     if split_path(path) is None:
         return None
     entry = state.entries.get(make_key(path))
@@ -99,19 +105,19 @@
 
 
 def find_value(state: SettingsState, path: str) -> dict[str, Any] | None:
-    """Return a path's own value, without what it inherits."""
+    """Return the value published at a path, without inherited members."""
     entry = find_entry(state, path)
     return entry.value if entry else None
 
 
 def find_offset(state: SettingsState, path: str) -> int:
-    """Return the base that the next change to a path must name."""
+    """Return the ``base`` that the next change to a path must have."""
     entry = find_entry(state, path)
     return entry.offset if entry else state.removals.get(path, 0)
 
 
 def find_removal(state: SettingsState, section: str, name: str) -> int:
-    """Return the offset at which any team last removed a name, or 0."""
+    """Return the offset of the last removal of a name by any team, or 0."""
     ending = f'/{section}/{name}'
     offsets = (
         offset
@@ -135,9 +141,9 @@
     key: Key,
     entry: Entry | None,
 ) -> list[SettingsChange]:
-    """Set or remove one entry; return what this shifted in force.
+    """Set or remove one entry; return the changes to settings in force.
 
-    Putting back the entry that stood before undoes it.
+    Calling it again with the previous entry undoes the change.
     """
     section, _ = key
     old = state.entries.pop(key, None) if entry is None else None
@@ -158,7 +164,7 @@
 
 
 def _update_effective(state: SettingsState, key: Key) -> SettingsChange:
-    """Work out again what is in force of one entry."""
+    """Recompute the settings in force of one entry."""
     section, name = key
     table = getattr(state.effective, section)
     if section == PLANNER:
