--- a/packages/verbenahall/src/verbenahall/settings/_checks.py
+++ b/packages/verbenahall/src/verbenahall/settings/_checks.py
@@ -1,8 +1,9 @@
-"""Rules over several entries, checked for what a record touched.
+"""Rules that involve several entries, checked after each change.
 
-Each rule holds for the whole tree after every accepted record, so only the
-entries beside the touched ones can break it. Names are gone through in
-order, so that every instance gives the same reason.
+All rules hold for the whole tree after every accepted record, so only the
+entries that a record changes and those that refer to them are checked again.
+Names are checked in sorted order, so that every instance finds the same
+violation first.
 """
 
 from collections.abc import Callable, Iterable, Iterator, Sequence
@@ -28,17 +29,17 @@
 
 
 class _AffectedNames:
-    """Names of which a rule might now be broken."""
+    """Names of entries whose rules have to be checked again."""
 
     __slots__ = ('adapters', 'drains', 'floors', 'models', 'pools')
 
     def __init__(self) -> None:
-        """Start with nothing touched."""
+        """Create empty sets."""
         self.models: set[str] = set()
         self.adapters: set[str] = set()
         self.pools: set[str] = set()
         self.drains: set[str] = set()
-        # (data_centre, model)
+        # Pairs of data centre and model.
         self.floors: set[tuple[str, str]] = set()
 
 
@@ -46,7 +47,7 @@
     state: SettingsState,
     settings_changes: Sequence[SettingsChange],
 ) -> Refusal | None:
-    """Return the first rule that the shifted settings break, if any."""
+    """Return a refusal for the first broken rule, or ``None``."""
     affected = _AffectedNames()
     for change in settings_changes:
         for settings in (change.before, change.after):
@@ -182,10 +183,9 @@
     state: SettingsState,
     affected: _AffectedNames,
 ) -> Iterator[Refusal]:
-    """Count the engines, but drained ones, that may hold each model.
+    """Check that each model has at least ``floor`` undrained engines.
 
-    A data centre in which no pool names the model keeps none of it, so
-    there is no floor to keep either.
+    The floor applies in each data centre that has a pool with the model.
     """
     for data_centre, name in sorted(affected.floors):
         model = state.effective.models.get(name)
