--- a/packages/verbenahall/src/verbenahall/settings/_refusals.py
+++ b/packages/verbenahall/src/verbenahall/settings/_refusals.py
@@ -1,4 +1,7 @@
-"""Refusals over several entries: the sentence and the change that won."""
+"""Builds refusals for conflicts between entries.
+
+A refusal names the earlier change with which the publication conflicts.
+"""
 
 from collections.abc import Iterable, Iterator
 
@@ -17,7 +20,11 @@
     model: str,
     pools: Iterable[PoolSettings],
 ) -> int:
-    """Return the last earlier change to a model's capacity in pools."""
+    """Return the offset of the last earlier change to a model's capacity.
+
+    Changes to the model, to its pools and to drains of their engines count;
+    0 if there was none.
+    """
     keys = {(MODELS, model)}
     for pool in pools:
         keys.add((POOLS, pool.name))
@@ -34,7 +41,7 @@
     what: str,
     users: Iterable[Key],
 ) -> Iterator[Refusal]:
-    """Yield a refusal for each entry that names what is gone."""
+    """Yield a refusal for each entry that still refers to a removed one."""
     for key in sorted(users):
         entry = state.entries[key]
         yield Refusal(
@@ -45,7 +52,7 @@
 
 
 def refuse_missing(state: SettingsState, section: str, name: str) -> Refusal:
-    """Refuse a name that no entry has; the winner is its removal."""
+    """Refuse a reference to a missing entry; its removal is the winner."""
     return Refusal(
         RefusalKind.MISSING_REFERENCE,
         f'{section} {name} does not exist',
@@ -59,7 +66,7 @@
     pool: str,
     other: str,
 ) -> Refusal:
-    """Refuse an engine of two pools; the other pool won."""
+    """Refuse an engine in two pools; the other pool is the winner."""
     return Refusal(
         RefusalKind.ENGINE_CLAIMED,
         f'engine {engine} is claimed by the pools {pool} and {other}',
@@ -72,7 +79,7 @@
     drain: DrainSettings,
     pool: PoolSettings,
 ) -> Refusal:
-    """Refuse a drain of another team's engine; the older entry won."""
+    """Refuse a drain of another team's engine; the older entry wins."""
     keys = ((DRAINS, drain.endpoint), (POOLS, pool.name))
     return Refusal(
         RefusalKind.FOREIGN_ENGINE,
