--- a/packages/verbenahall/src/verbenahall/settings/_messages.py
+++ b/packages/verbenahall/src/verbenahall/settings/_messages.py
@@ -1,4 +1,4 @@
-"""Publications, verdicts and the settings in force."""
+"""Data classes for publications, verdicts and the settings in force."""
 
 import dataclasses
 import enum
@@ -7,7 +7,11 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class ModelSettings:
-    """A model: ``floor`` engines stay able to serve it in a data centre."""
+    """A model.
+
+    ``floor`` is the minimum number of engines that can serve it in each data
+    centre that has it.
+    """
 
     name: str
     version: str
@@ -30,8 +34,8 @@
 class PoolSettings:
     """Engines of one data centre that hold the same models and adapters.
 
-    ``prefill`` and ``decode`` count engines of these roles; the rest are
-    mixed. With ``automatic`` the planner chooses the counts.
+    ``prefill`` and ``decode`` are the numbers of engines in these roles; the
+    others are mixed. With ``automatic`` the planner chooses the numbers.
     """
 
     name: str
@@ -47,7 +51,11 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class WorkspaceSettings:
-    """A workspace's weight among others and its bound on waiting requests."""
+    """A workspace's limits.
+
+    ``share`` is its weight relative to other workspaces, ``queue`` the
+    maximum number of its waiting requests.
+    """
 
     name: str
     share: float
@@ -57,7 +65,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class DrainSettings:
-    """An endpoint that gets no new work while this entry stands."""
+    """An endpoint that gets no new work while this entry exists."""
 
     endpoint: str
     reason: str
@@ -66,7 +74,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class ServiceSettings:
-    """A plain service and the HTTP methods that may be repeated on it."""
+    """A plain service and the HTTP methods that may be retried on it."""
 
     name: str
     repeatable: tuple[str, ...]
@@ -75,17 +83,17 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class PlannerSettings:
-    """What a team's planner weighs: goodput against role changes."""
+    """Weights of goodput and of role changes in a team's role planner."""
 
     goodput_weight: float
     change_weight: float
 
 
 class EffectiveSettings:
-    """Everything in force, by name; ``planner`` by team.
+    """All settings in force, by name; ``planner`` by team.
 
-    One object lives as long as its state and changes in place with each
-    accepted record, so read it without an ``await`` in between.
+    Each accepted record changes the object in place. Values that must be
+    consistent with each other are read without an ``await`` in between.
     """
 
     __slots__ = (
@@ -99,7 +107,7 @@
     )
 
     def __init__(self) -> None:
-        """Start with nothing published."""
+        """Create empty tables."""
         self.models: dict[str, ModelSettings] = {}
         self.adapters: dict[str, AdapterSettings] = {}
         self.pools: dict[str, PoolSettings] = {}
@@ -111,10 +119,10 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Change:
-    """One path's new value; ``None`` removes it.
+    """The new value of one path; ``None`` removes the entry.
 
     ``base`` is the offset of the last accepted change to the path that the
-    author had seen, 0 for none.
+    author knew, or 0 if there was none. A change on an older base is refused.
     """
 
     path: str
@@ -124,7 +132,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Publication:
-    """What one record asks for: all of its changes, or none."""
+    """Changes published in one record; all are applied, or none."""
 
     team: str
     author: str
@@ -133,7 +141,7 @@
 
 @final
 class RefusalKind(enum.Enum):
-    """Why a publication was refused; the value is the word on the wire."""
+    """Why a publication was refused; the value is sent on the wire."""
 
     MALFORMED = 'malformed'
     OUTSIDE_SUBTREE = 'outside_subtree'
@@ -150,7 +158,11 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Refusal:
-    """Why, in a sentence, and the offset of the change that won (or 0)."""
+    """Why a publication was refused.
+
+    ``message`` is a sentence for the author; ``winner`` is the offset of the
+    earlier change with which the publication conflicts, or 0.
+    """
 
     kind: RefusalKind
     message: str
@@ -159,7 +171,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Verdict:
-    """What became of the record at ``offset``."""
+    """The outcome of the record at ``offset``: accepted or refused."""
 
     offset: int
     identity: str
