--- a/packages/verbenahall/src/verbenahall/settings/_publications.py
+++ b/packages/verbenahall/src/verbenahall/settings/_publications.py
@@ -1,4 +1,4 @@
-"""Publications on the wire, and the check of each value by itself."""
+"""Encoding of publications, and validation of single values."""
 
 import re
 from collections.abc import Mapping
@@ -32,7 +32,7 @@
 
 
 def split_path(path: str) -> tuple[str, str, str] | None:
-    """Split ``team/section/name``, or return ``None`` if it is no path."""
+    """Split ``team/section/name``; ``None`` if the path is not valid."""
     match = _PATH.fullmatch(path)
     if match is None:
         return None
@@ -42,7 +42,7 @@
 
 
 def encode_publication(publication: Publication) -> dict[str, Any]:
-    """Return the body of the record for a publication."""
+    """Return the body of a publication's log record."""
     return {
         'team': publication.team,
         'author': publication.author,
@@ -54,7 +54,7 @@
 
 
 def decode_publication(body: dict[str, Any]) -> Result[Publication, Refusal]:
-    """Read a record's body, which anyone may have written."""
+    """Decode the body of a record, which may be malformed."""
     team = body.get('team')
     author = body.get('author')
     if not _is_name(team) or not _is_author(author):
@@ -76,7 +76,7 @@
     name: str,
     value: dict[str, Any],
 ) -> str:
-    """Return what is wrong with a value by itself, or empty text."""
+    """Return an error in a value regardless of other entries, or ``''``."""
     if section == PLANNER and name != PLANNER_NAME:
         return f'the only planner entry is {PLANNER_NAME!r}'
     schema = _find_schema(section, name)
@@ -113,7 +113,7 @@
     if not isinstance(row, dict) or set(row) != _CHANGE_KEYS:
         return None
     change = Change(**row)
-    # JSON's true would pass for the number 1 as a base.
+    # bool is a subclass of int: JSON's true would pass as the base 1.
     well_typed = (
         isinstance(change.path, str),
         isinstance(change.base, int) and not isinstance(change.base, bool),
