--- a/packages/verbenahall/src/verbenahall/settings/_snapshots.py
+++ b/packages/verbenahall/src/verbenahall/settings/_snapshots.py
@@ -1,4 +1,7 @@
-"""The fold as a section of a snapshot: everything a verdict depends on."""
+"""Dumps the state into a section of a snapshot and loads it again.
+
+The section has everything on which later verdicts depend.
+"""
 
 import dataclasses
 from typing import Any, Final
@@ -15,9 +18,9 @@
 
 
 class SettingsFold:
-    """Settings as one foldable part of the snapshots.
+    """The settings as a section of the snapshots.
 
-    ``state`` is the same object throughout, so that others may hold it.
+    ``load`` changes ``state`` in place, so that references to it stay valid.
     """
 
     __slots__ = ('state',)
@@ -25,19 +28,19 @@
     name: Final = 'settings'
 
     def __init__(self, state: SettingsState) -> None:
-        """Fold into ``state``."""
+        """Apply records to ``state``."""
         self.state = state
 
     def apply_record(self, record: Record) -> None:
-        """Apply one record; its verdict stands in the history."""
+        """Apply one record; its verdict is added to the history."""
         apply_record(self.state, record)
 
     def dump(self) -> dict[str, Any]:
-        """Return the state as JSON: a function of the log's prefix alone."""
+        """Return the state as JSON; it depends only on the applied records."""
         return dump_state(self.state)
 
     def load(self, section: dict[str, Any]) -> None:
-        """Take over a dumped state."""
+        """Replace the state by a dumped one."""
         load_state(self.state, section)
 
 
@@ -56,7 +59,7 @@
 
 
 def dump_verdict(verdict: Verdict) -> dict[str, Any]:
-    """Return a verdict as JSON, as the administration API shows it too."""
+    """Return a verdict as JSON, for snapshots and the administration API."""
     table = {
         field.name: getattr(verdict, field.name)
         for field in dataclasses.fields(verdict)
@@ -72,9 +75,12 @@
 
 
 def load_state(state: SettingsState, section: dict[str, Any]) -> None:
-    """Refill a state; whoever loads a snapshot sees that it is no older."""
-    # Everything is read before anything is taken over, so that a section
-    # of another shape leaves the state as it was.
+    """Replace the state by a dumped one.
+
+    The caller checks that the snapshot is not older than the state.
+    """
+    # The whole section is decoded first, so that a malformed one leaves the
+    # state unchanged.
     fresh = _read_section(section)
     for slot in SettingsState.__slots__:
         if slot != 'effective':
