--- a/packages/verbenahall/src/verbenahall/settings/_history.py
+++ b/packages/verbenahall/src/verbenahall/settings/_history.py
@@ -1,4 +1,4 @@
-"""The latest verdicts."""
+"""A bounded history of verdicts."""
 
 import collections
 from collections.abc import Iterator
@@ -7,30 +7,31 @@
 from verbenahall.settings._messages import Verdict
 
 MAX_VERDICTS: Final = 256
-#: Paths named by all kept verdicts together.
+#: Bound on the paths in all kept verdicts together.
 MAX_PATHS: Final = 4096
 
 
 class History:
-    """Verdicts, oldest first, bounded in number and in paths.
+    """The latest verdicts, oldest first, bounded in number and in paths.
 
-    Both bounds depend on the records alone, so every instance keeps the same
-    verdicts, and a publication of a thousand paths does not stay for long.
+    Both bounds depend on the records only, so that every instance keeps the
+    same verdicts. The bound on paths limits the memory that publications
+    with thousands of paths take.
     """
 
     __slots__ = ('_paths', '_verdicts')
 
     def __init__(self) -> None:
-        """Start without any."""
+        """Create an empty history."""
         self._verdicts: collections.deque[Verdict] = collections.deque()
         self._paths = 0
 
     def __iter__(self) -> Iterator[Verdict]:
-        """Go through the verdicts, oldest first."""
+        """Iterate over the verdicts, oldest first."""
         return iter(self._verdicts)
 
     def append(self, verdict: Verdict) -> None:
-        """Add one verdict; the last one is always kept."""
+        """Add a verdict and drop old ones; the newest is always kept."""
         self._verdicts.append(verdict)
         self._paths += len(verdict.paths)
         while self._exceeds_bounds() and len(self._verdicts) > 1:
