--- a/packages/verbenahall/src/verbenahall/settings/_sections.py
+++ b/packages/verbenahall/src/verbenahall/settings/_sections.py
@@ -1,4 +1,4 @@
-"""The schema of each section, and how a merged value becomes settings."""
+"""Schema of each section, and functions that build its settings."""
 
 import dataclasses
 import functools
@@ -23,7 +23,7 @@
 MODELS: Final = 'models'
 PLANNER: Final = 'planner'
 POOLS: Final = 'pools'
-#: The planner's only name: a team has one.
+#: Name of the planner entry; each team has one planner.
 PLANNER_NAME: Final = 'main'
 
 NAME_PATTERN: Final = '[a-z0-9][a-z0-9_.-]{0,62}'
@@ -48,8 +48,8 @@
 class Section:
     """One kind of entry.
 
-    ``members`` is the schema of a value and ``build`` makes the settings in
-    force of a name, its merged value and its team.
+    ``members`` is the schema of a value. ``build`` returns the settings in
+    force from an entry's name, its value merged with defaults, and its team.
     """
 
     members: Mapping[str, Member]
@@ -57,7 +57,7 @@
 
     @functools.cached_property
     def optional(self) -> Mapping[str, Any]:
-        """The members that may be left out, with the schema's defaults."""
+        """The optional members with the schema's defaults."""
         return {
             name: member.default
             for name, member in self.members.items()
@@ -144,7 +144,7 @@
 
 
 def defaults_schema(section: str) -> Table:
-    """Return the schema of a team's defaults: the optional members only."""
+    """Return the schema of a team's defaults: its optional members."""
     members = SECTIONS[section].members
     optional = {
         name: member for name, member in members.items() if not member.required
@@ -152,7 +152,7 @@
     return Table(optional)
 
 
-#: A file for ``verbenactl publish``: sections of named entries.
+#: Schema of a file for ``verbenactl publish``: sections of named entries.
 PUBLISHED_SCHEMA: Final = Table(
     {
         **{name: Named(entry_schema(name)) for name in SECTIONS},
