--- a/packages/verbenahall/src/verbenahall/settings/__init__.py
+++ b/packages/verbenahall/src/verbenahall/settings/__init__.py
@@ -1,9 +1,10 @@
-"""Published settings: the verdict on each change and what is in force.
+"""Published settings: validation of changes and the values in force.
 
-Every instance folds the same records into the same verdicts::
+Each instance applies the same log records in the same order and so reaches
+the same verdict on each of them::
 
     state = SettingsState()
-    verdict = apply_record(state, record)  # None: not a new settings record
+    verdict = apply_record(state, record)  # None: no new settings record
     effective(state).models['drafter'].version
 """
 
