--- a/packages/verbenahall/tests/settings/test_fold.py
+++ b/packages/verbenahall/tests/settings/test_fold.py
@@ -1,4 +1,4 @@
-"""The fold against a naive one that judges each record by the whole tree."""
+"""The fold gives the same verdicts as a naive one that checks all entries."""
 
 import copy
 import json
@@ -45,7 +45,7 @@
 
 
 class NaiveFold:
-    """Copies the tree for each record and checks all of it."""
+    """Copies all entries for each record and checks every rule on them."""
 
     def __init__(self):
         self.entries = {}
@@ -54,12 +54,12 @@
         self.accepted = []
 
     def apply(self, record):
-        """Judge one record; note its offset if it is accepted."""
+        """Apply one record, and record its offset if it is accepted."""
         if record.identity in self.identities:
             return
         self.identities.add(record.identity)
         entries = self.try_changes(record)
-        if entries is None or not holds(entries):
+        if entries is None or not satisfies_rules(entries):
             return
         self.entries = entries
         self.accepted.append(record.offset)
@@ -67,7 +67,7 @@
             self.last[change['path']] = record.offset
 
     def try_changes(self, record):
-        """Return the tree after the changes, or None if one is refused."""
+        """Return the entries after the changes, or None if one is refused."""
         if record.body.get('author') != 'o' or not record.body['changes']:
             return None
         entries = copy.deepcopy(self.entries)
@@ -91,7 +91,7 @@
 
 
 def merge(entries):
-    """Return section, name to the merged value with its team."""
+    """Return merged values with their team, by section and name."""
     merged = {section: {} for section in FILLED}
     for path, value in entries.items():
         team, section, name = path.split('/')
@@ -102,8 +102,8 @@
     return merged
 
 
-def holds(entries):
-    """Whether every rule holds for a whole tree."""
+def satisfies_rules(entries):
+    """Whether the entries satisfy every rule."""
     tree = merge(entries)
     models, adapters = tree['models'], tree['adapters']
     pools, drains = tree['pools'], tree['drains']
@@ -134,7 +134,7 @@
 
 
 def count_free(tree, data_centre, model):
-    """Count the engines without a drain that hold a model."""
+    """Count the undrained engines of a model in a data centre."""
     return sum(
         engine not in tree['drains']
         for pool in tree['pools'].values()
@@ -177,7 +177,7 @@
 
 @st.composite
 def drafts(draw):
-    """One change without its base; removals are rarer than values."""
+    """Draw a change without its base; fewer removals than values."""
     section = draw(sections)
     names = {
         'drains': ENGINES,
