--- a/packages/verbenahall/tests/settings/test_verdicts.py
+++ b/packages/verbenahall/tests/settings/test_verdicts.py
@@ -1,4 +1,4 @@
-"""Verdicts on publications: one case for each reason, and races."""
+"""Verdicts on publications: a case for each refusal kind, and races."""
 
 import pytest
 from hypothesis import given
@@ -153,10 +153,10 @@
     kind,
     winner,
 ):
-    """An operator publishes something that cannot stand.
+    """An operator publishes something that is refused.
 
-    They see which rule it breaks and which change it lost to, and nothing
-    of the record is in force.
+    The refusal names the broken rule and the change with which the record
+    conflicts. None of the record's changes is applied.
     """
     verdict = publish(
         state,
@@ -172,8 +172,8 @@
 def test_drains_race_for_the_last_engine(state):
     """Two operators each drain one of the two engines of a model.
 
-    Each looked while both served; the second is told that the floor would
-    break and which drain came first.
+    Both saw two serving engines. The second drain is refused, since it would
+    break the floor, and the refusal names the first drain.
     """
     first = publish(state, [('desk/drains/e1', 0, {})])
     second = publish(state, [('desk/drains/e2', 0, {})])
@@ -183,11 +183,11 @@
     assert second.refusal.winner == first.offset
 
 
-def test_second_copy_is_not_judged(state):
-    """An append's answer is lost and the record stands in the log twice.
+def test_duplicate_append_gets_no_verdict(state):
+    """An append's answer is lost, and the record is in the log twice.
 
-    Judged again, the copy would be refused as stale, and the operator told
-    that their own accepted change was refused.
+    If the copy were checked again, it would be refused for its stale base,
+    and the operator would see an accepted change reported as refused.
     """
     change = [('desk/workspaces/club', 0, {'share': 2})]
 
@@ -196,8 +196,8 @@
     assert effective(state).workspaces['club'].share == 2
 
 
-def test_children_inherit_until_they_say_otherwise(state):
-    """A team's defaults reach the entries that leave the member out."""
+def test_entries_inherit_defaults_unless_overridden(state):
+    """A team's defaults apply to entries that omit the member."""
     publish(state, [('desk/workspaces/a', 0, {'share': 5})])
     publish(state, [('desk/workspaces/b', 0, {})])
     publish(state, [('desk/defaults/workspaces', 0, {'share': 3})])
@@ -211,7 +211,7 @@
 
 
 def test_engine_moves_between_pools_in_one_record(state):
-    """Only the whole record's end state has to hold."""
+    """Rules are checked after all changes of a record, not between them."""
     verdict = publish(
         state,
         [
@@ -224,7 +224,7 @@
 
 
 def test_base_after_removal_is_the_removal(state):
-    """An operator who saw the entry before its removal cannot revive it."""
+    """A change based on the entry before its removal is refused."""
     publish(state, [('desk/workspaces/a', 0, {})])
     removal = publish(state, [('desk/workspaces/a', 2, None)])
     stale = publish(state, [('desk/workspaces/a', 2, {})])
