--- a/packages/verbenahall/src/verbenahall/schema.py
+++ b/packages/verbenahall/src/verbenahall/schema.py
@@ -1,7 +1,7 @@
-"""Checked tables: TOML read against a schema, every fault told at once.
+"""Validates TOML files against a schema and reports all faults at once.
 
-A fault names the file, the line, the key, what was expected and what was
-found; an unknown key is refused with the nearest known one::
+A fault names the file, the line, the key, and the expected and the actual
+value; for an unknown key it names the most similar known one::
 
     SCHEMA = Table({'port': Field(int, minimum=1, maximum=65535)})
     check_table({'prot': 1}, SCHEMA, Source('a.toml', text))
@@ -19,9 +19,9 @@
 
 from returns.result import Failure, Result, Success
 
-#: Stands for a key without a default.
+#: Default of a key that must be given.
 _REQUIRED: Final = object()
-#: Stands for a key that the file does not give.
+#: Value of a key that is not in the file.
 _ABSENT: Final = object()
 _HEADER: Final = re.compile(r'^\s*\[\[?\s*([^\]]+?)\s*\]\]?\s*(#.*)?$')
 _KEY: Final = re.compile(r'^\s*([A-Za-z0-9_."\'-]+)\s*=')
@@ -40,10 +40,10 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Field:
-    """One key: its type, whether it may be left out, and its bounds.
+    """A key: its type, default and bounds.
 
-    Of a list ``entry`` is the type of what it holds, and the bounds are those
-    of its length.
+    For a list, ``entry`` is the type of its elements, and the bounds apply to
+    its length.
     """
 
     kind: type
@@ -56,13 +56,13 @@
 
     @property
     def required(self) -> bool:
-        """Whether the key must be given."""
+        """Whether the key has no default."""
         return self.default is _REQUIRED
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Table:
-    """A table of named members; an ``open`` one may have others, too."""
+    """A table of known members; an ``open`` one may have other keys."""
 
     members: Mapping[str, 'Member']
     required: bool = False
@@ -71,7 +71,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Named:
-    """A table whose keys are free names and whose values share a schema."""
+    """A table with arbitrary keys whose values share a schema."""
 
     member: Table
     required: bool = False
@@ -107,31 +107,31 @@
 
 
 class Source:
-    """Where a table came from, to name lines in faults."""
+    """The source text of a table, to find the lines of faults."""
 
     __slots__ = ('file', '_lines')
 
     def __init__(self, file: str, text: str = '') -> None:
-        """Index the lines on which dotted keys stand."""
+        """Index the lines of the dotted keys."""
         self.file = file
         self._lines = dict(_index_keys(text))
 
-    def line_of(self, key: str) -> int:
-        """Return the line of a dotted key, or of its nearest parent."""
+    def find_line(self, key: str) -> int:
+        """Return the line of a dotted key or its nearest parent, or 1."""
         while key and key not in self._lines:
             key = key.rpartition('.')[0]
         return self._lines.get(key, 1)
 
     def fault(self, key: str, message: str) -> Fault:
-        """Build a fault at the key's line."""
-        return Fault(self.file, self.line_of(key), key, message)
+        """Return a fault at the key's line."""
+        return Fault(self.file, self.find_line(key), key, message)
 
 
 def read_table(
     path: Path,
     schema: Table,
 ) -> Result[dict[str, Any], tuple[Fault, ...]]:
-    """Read a TOML file against a schema, with defaults filled in."""
+    """Read and check a TOML file; return it with defaults, or all faults."""
     try:
         text = path.read_text(encoding='utf-8')
     except (OSError, UnicodeDecodeError) as error:
@@ -144,7 +144,7 @@
     file: str,
     schema: Table,
 ) -> Result[dict[str, Any], tuple[Fault, ...]]:
-    """Read TOML text against a schema; ``file`` only names it in faults."""
+    """Read and check TOML text; ``file`` is the name shown in faults."""
     try:
         found = tomllib.loads(text)
     except tomllib.TOMLDecodeError as error:
@@ -153,8 +153,8 @@
     return check_table(found, schema, Source(file, text))
 
 
-def _find_line(complaint: str, text: str) -> int:
-    line = re.search(r'line (\d+)', complaint)
+def _find_line(message: str, text: str) -> int:
+    line = re.search(r'line (\d+)', message)
     if line:
         return int(line.group(1))
     return text.count('\n') + 1
@@ -165,7 +165,7 @@
     schema: Table,
     source: Source,
 ) -> Result[dict[str, Any], tuple[Fault, ...]]:
-    """Check a decoded table; return it with defaults, or every fault."""
+    """Check a decoded table; return it with defaults, or all faults."""
     faults: list[Fault] = []
     checked = _check_members(found, schema, source, '', faults)
     return Failure(tuple(faults)) if faults else Success(checked)
@@ -180,8 +180,8 @@
 ) -> dict[str, Any]:
     unknowns = set(found) - set(schema.members)
     for unknown in () if schema.open else sorted(unknowns):
-        complaint = _describe_unknown(unknown, schema)
-        faults.append(source.fault(prefix + unknown, complaint))
+        message = _describe_unknown(unknown, schema)
+        faults.append(source.fault(prefix + unknown, message))
     checked = {}
     for name, member in schema.members.items():
         given = found.get(name, _ABSENT)
@@ -272,14 +272,14 @@
     key: str,
     faults: list[Fault],
 ) -> Any:
-    complaint = _find_complaint(found, field)
-    if complaint:
-        faults.append(source.fault(key, f'{complaint}, found {found!r}'))
+    message = _find_error(found, field)
+    if message:
+        faults.append(source.fault(key, f'{message}, found {found!r}'))
     return found
 
 
-def _find_complaint(found: Any, field: Field) -> str:
-    if not _has_kind(found, field):
+def _find_error(found: Any, field: Field) -> str:
+    if not _has_declared_type(found, field):
         is_list = field.kind is list
         kind_name = (
             _LIST_NAMES[field.entry] if is_list else _TYPE_NAMES[field.kind]
@@ -290,10 +290,10 @@
         return f'expected one of {choices}'
     if field.pattern and not re.fullmatch(field.pattern, found):
         return f'expected text matching {field.pattern}'
-    return _find_excess(len(found) if field.kind is list else found, field)
+    return _find_bound_error(len(found) if field.kind is list else found, field)
 
 
-def _find_excess(size: Any, field: Field) -> str:
+def _find_bound_error(size: Any, field: Field) -> str:
     if field.minimum is not None and not size >= field.minimum:
         return f'expected at least {field.minimum}'
     if field.maximum is not None and not size <= field.maximum:
@@ -301,15 +301,15 @@
     return ''
 
 
-def _has_kind(found: Any, field: Field) -> bool:
+def _has_declared_type(found: Any, field: Field) -> bool:
     if field.kind is list:
         return isinstance(found, list) and all(
-            _is_of(entry, field.entry) for entry in found
+            _is_instance(entry, field.entry) for entry in found
         )
-    return _is_of(found, field.kind)
+    return _is_instance(found, field.kind)
 
 
-def _is_of(found: Any, kind: type) -> bool:
+def _is_instance(found: Any, kind: type) -> bool:
     if isinstance(found, bool):
         return kind is bool
     if kind is float:
@@ -318,21 +318,21 @@
 
 
 def _index_keys(text: str) -> Iterator[tuple[str, int]]:
-    """Yield each dotted key with its line; rows get ``name[index]``."""
+    """Yield each dotted key with its line; list rows are ``name[index]``."""
     prefix = ''
     counts: collections.Counter[str] = collections.Counter()
     for number, line in enumerate(text.splitlines(), start=1):
         header = _HEADER.match(line)
         key = _KEY.match(line)
         if header:
-            prefix = _name_header(line, header.group(1), counts)
+            prefix = _get_key_prefix(line, header.group(1), counts)
             yield prefix, number
         elif key:
             name = key.group(1).replace('"', '')
             yield (f'{prefix}.{name}' if prefix else name), number
 
 
-def _name_header(
+def _get_key_prefix(
     line: str,
     header: str,
     counts: collections.Counter[str],
