--- a/packages/verbenahall/src/verbenahall/errors.py
+++ b/packages/verbenahall/src/verbenahall/errors.py
@@ -1,8 +1,8 @@
-"""The closed list of error kinds and the table from kind to answer.
+"""Error kinds, and how each is answered.
 
-Every failure that a caller can see is one of ``ErrorKind``. Code that may
-fail returns ``returns.result.Result`` with a ``Problem`` on the failure side;
-only the HTTP shell turns it into an answer::
+Every failure that a caller can see has one of the kinds in ``ErrorKind``.
+Code that may fail returns a ``returns.result.Result`` whose failure is a
+``Problem``; only the HTTP layer turns it into a response::
 
     Failure(Problem(ErrorKind.OVERLOADED, 'queue of priority 1 is full'))
 """
@@ -16,7 +16,7 @@
 
 @final
 class Ran(enum.Enum):
-    """What is known about whether an endpoint started the request."""
+    """Whether an endpoint started to execute the request, if known."""
 
     NO = 'no'
     YES = 'yes'
@@ -25,7 +25,7 @@
 
 @final
 class ErrorKind(enum.Enum):
-    """Every kind of failure; the value is the word on the wire."""
+    """All kinds of failure; the value is sent on the wire."""
 
     BAD_REQUEST = 'bad_request'
     UNAUTHORIZED = 'unauthorized'
@@ -53,14 +53,14 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Answer:
-    """How a kind is answered: HTTP status, default ``ran``, retry hint."""
+    """How a kind is answered: HTTP status, ``ran`` and retry hint."""
 
     status: int
     ran: Ran
     retry_after_s: float | None = None
 
 
-#: One row for each kind; a test checks that no kind is missing.
+#: The answer to each kind; a test checks that no kind is missing.
 ANSWERS: Final[Mapping[ErrorKind, Answer]] = MappingProxyType(
     {
         ErrorKind.BAD_REQUEST: Answer(400, Ran.NO),
@@ -91,10 +91,10 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Problem:
-    """One failure: its kind, a sentence for people, and what is known.
+    """A failure: its kind and a message for people.
 
-    ``ran`` and ``retry_after_s`` (seconds) override the kind's defaults
-    where the place that failed knows better.
+    ``ran`` and ``retry_after_s`` (seconds) override the defaults of the kind
+    where the failing code has more precise values.
     """
 
     kind: ErrorKind
@@ -104,7 +104,7 @@
 
     @property
     def answer(self) -> Answer:
-        """The kind's answer with this problem's own knowledge laid over."""
+        """The answer of the kind, with this problem's overrides."""
         default = ANSWERS[self.kind]
         return Answer(
             status=default.status,
@@ -123,10 +123,10 @@
 
 @final
 class ProblemError(VerbenahallError):
-    """Carries a ``Problem`` through code that can only raise."""
+    """Carries a ``Problem`` through code that reports errors by raising."""
 
     def __init__(self, problem: Problem) -> None:
-        """Keep the problem for the shell that answers."""
+        """Store the problem for the layer that answers."""
         super().__init__(problem.message)
         self.problem = problem
 
