--- a/packages/verbenahall/src/verbenahall/fleet.py
+++ b/packages/verbenahall/src/verbenahall/fleet.py
@@ -1,4 +1,4 @@
-"""Words about endpoints that several slices share."""
+"""Data classes of endpoints that several slices share."""
 
 import dataclasses
 import enum
@@ -7,7 +7,7 @@
 
 @final
 class EndpointKind(enum.Enum):
-    """What answers at an address."""
+    """The kind of process at an address."""
 
     ENGINE = 'engine'
     SERVICE = 'service'
@@ -16,7 +16,7 @@
 
 @final
 class Role(enum.Enum):
-    """Which part of a model request an engine takes."""
+    """Which phases of a model request an engine executes."""
 
     MIXED = 'mixed'
     PREFILL = 'prefill'
@@ -34,9 +34,9 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Endpoint:
-    """One process that can be called, as the platform's list names it.
+    """A process in the platform's instance list that takes calls.
 
-    ``incarnation`` changes when another process takes over the name or the
+    ``incarnation`` differs between processes that had the same name or
     address. ``service`` is the name that callers use under ``/services``.
     """
 
@@ -51,7 +51,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Adapter:
-    """An adapter of a model at a version."""
+    """A version of an adapter of a model."""
 
     name: str
     model: str
@@ -60,9 +60,10 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Target:
-    """What an engine should hold: absolute, so sending it twice is harmless.
+    """The role, models and adapters that an engine should have.
 
-    ``models`` maps each model's name to its version.
+    A target is the complete desired state, so that an order may be repeated.
+    ``models`` holds pairs of a model's name and its version.
     """
 
     role: Role
