--- a/packages/verbenahall/src/verbenahall/journal.py
+++ b/packages/verbenahall/src/verbenahall/journal.py
@@ -1,11 +1,11 @@
 """The decision log: one JSON line for each routing or placement decision.
 
-A line always has ``event`` and the fields of that event::
+Each line has ``event``, ``at`` and the fields of that event::
 
     write_decision('route', request='r-1', chosen='engine-3', load=2.5)
 
-Values are JSON-encoded, so nothing that a caller sent can start a new line
-or pose as another field.
+Values are JSON-encoded, so that text from a caller can neither start a new
+line nor add a field.
 """
 
 import collections
@@ -16,19 +16,19 @@
 
 from verbenahall import clock, lines, wire
 
-_KEPT_DECISIONS: Final = 4096
+_MAX_RECENT: Final = 4096
 _TIME_DIGITS: Final = 3
-#: The format of decision lines; the formatter knows them by it.
+#: Format of decision lines, by which the formatter recognizes them.
 _DECISION: Final = '%s'
 
-#: The latest decisions of this process, for ``/admin/v1/explain``.
+#: Latest decisions of this process, for ``/admin/v1/explain``.
 recent: collections.deque[dict[str, Any]] = collections.deque(
-    maxlen=_KEPT_DECISIONS,
+    maxlen=_MAX_RECENT,
 )
 
 
 def write_decision(event: str, **fields: Any) -> None:
-    """Write one decision line and keep it for ``explain``."""
+    """Write a decision line and keep the decision for ``explain``."""
     line = {'event': event, 'at': round(clock.wall(), _TIME_DIGITS), **fields}
     recent.append(line)
     if _sinks:
@@ -38,26 +38,25 @@
         _emit(wire.encode(line).decode())
 
 
-#: Where decisions go in place of the library's logger, when there is one.
+#: At most one sink; if set, decisions go there instead of the logger.
 _sinks: Final[list[lines.LineSink]] = []
 
 
 def start_stdout() -> None:
-    """Write decisions to standard output, without waiting for its reader."""
+    """Write decisions to standard output without blocking."""
     _sinks.append(lines.open_stdout())
 
 
 def flush() -> None:
-    """Write the lines that were collected; call it several times a second."""
+    """Write buffered lines; to be called several times a second."""
     for sink in _sinks:
         sink.flush()
 
 
 def _emit(text: str) -> None:
-    """Hand a line to the logger without the search for its caller.
+    """Pass a line to the logger without looking up the calling function.
 
-    The search walks the stack for each line, and a line is written for each
-    request.
+    The lookup walks the stack, which is too slow for a line in each request.
     """
     logger = logging.get_absl_logger()
     record = logger.makeRecord(
@@ -73,22 +72,22 @@
 
 
 def round_seconds(seconds: float) -> float:
-    """Return seconds as lines tell them, in thousandths."""
+    """Round seconds to thousandths, as log lines show them."""
     return round(seconds, _TIME_DIGITS)
 
 
 def find_decisions(field: str, wanted: str) -> list[dict[str, Any]]:
-    """Return kept decisions whose ``field`` equals ``wanted``, oldest first."""
+    """Return recent decisions with ``field == wanted``, oldest first."""
     return [line for line in recent if line.get(field) == wanted]
 
 
 def start_logging(*, decisions: bool = True) -> None:
     """Write the log to standard error, one JSON object a line.
 
-    Without ``decisions`` only warnings and errors are written; the latest
-    decisions are kept for ``explain`` all the same.
+    Without ``decisions`` only warnings and errors are written. The latest
+    decisions are kept for ``explain`` in both cases.
     """
-    # absl expects its own command-line flags, which cleo's take the place of.
+    # absl expects its own flags to be parsed; cleo parses the command line.
     flags.FLAGS.mark_as_parsed()
     logging.use_absl_handler()
     logging.get_absl_handler().setFormatter(_JsonFormatter())
@@ -97,7 +96,7 @@
 
 
 class _JsonFormatter(std_logging.Formatter):
-    """Renders decision lines as they are and wraps every other line."""
+    """Passes decision lines through and wraps other lines in JSON."""
 
     def format(self, record: std_logging.LogRecord) -> str:
         """Return one line of JSON."""
