--- a/packages/verbenahall/src/verbenahall/metrics.py
+++ b/packages/verbenahall/src/verbenahall/metrics.py
@@ -1,8 +1,9 @@
-"""Metrics of an instance: every series by name, and the route that shows them.
+"""Metrics of an instance, and the route that exports them.
 
-Collectors of the metrics library look a series up by its encoded labels at
-each call, which is too dear once per request. Hot paths count in a ``Tally``
-or a ``Timer``; the route copies them into the collectors when it is read::
+Collectors of the metrics library look up a series by its encoded labels at
+each call, which is too slow for each request. Frequent metrics use a
+``BufferedCounter`` or a ``BufferedHistogram``, which the route copies into
+the collectors when it is called::
 
     RETRIES.add('refused')
     QUEUE_SECONDS.observe(0.004)
@@ -17,14 +18,14 @@
 
 REGISTRY: Final = Registry()
 
-#: Observations that wait for the next reading at most.
-_KEPT_OBSERVATIONS: Final = 512
+#: Maximum of buffered observations.
+_MAX_PENDING: Final = 512
 _SECONDS: Final = (0.001, 0.005, 0.02, 0.05, 0.1, 0.25, 0.5, 1, 2.5, 10, 60)
 
 
 @final
-class Tally:
-    """A counter whose series are told apart by the values of its labels."""
+class BufferedCounter:
+    """A counter with a series for each combination of label values."""
 
     __slots__ = ('_counter', '_labels', '_totals')
 
@@ -34,14 +35,14 @@
         self._labels = labels
         self._totals: collections.Counter[tuple[str, ...]]
         self._totals = collections.Counter()
-        _hot.append(self)
+        _buffered.append(self)
 
     def add(self, *label_values: str, count: int = 1) -> None:
-        """Count one more, or several, for these label values."""
+        """Add ``count`` to the series of these label values."""
         self._totals[label_values] += count
 
     def total(self, *label_values: str) -> int:
-        """Return what was counted for these label values."""
+        """Return the total of the series of these label values."""
         return self._totals[label_values]
 
     def flush(self) -> None:
@@ -52,10 +53,10 @@
 
 
 @final
-class Timer:
+class BufferedHistogram:
     """A histogram of seconds without labels."""
 
-    __slots__ = ('_histogram', '_waiting')
+    __slots__ = ('_histogram', '_pending')
 
     def __init__(self, name: str, doc: str) -> None:
         """Register the histogram."""
@@ -65,110 +66,110 @@
             registry=REGISTRY,
             buckets=(*_SECONDS, float('inf')),
         )
-        self._waiting: collections.deque[float]
-        self._waiting = collections.deque(maxlen=_KEPT_OBSERVATIONS)
-        _hot.append(self)
+        self._pending: collections.deque[float]
+        self._pending = collections.deque(maxlen=_MAX_PENDING)
+        _buffered.append(self)
 
     def observe(self, seconds: float) -> None:
-        """Note one duration; cheap, since the buckets are filled later."""
-        self._waiting.append(seconds)
-        if len(self._waiting) == _KEPT_OBSERVATIONS:
+        """Buffer one duration; the buckets are filled by ``flush``."""
+        self._pending.append(seconds)
+        if len(self._pending) == _MAX_PENDING:
             self.flush()
 
     def flush(self) -> None:
-        """Fill the buckets with what was noted since the last time."""
-        while self._waiting:
-            self._histogram.observe({}, float(self._waiting.popleft()))
+        """Add the buffered durations to the buckets."""
+        while self._pending:
+            self._histogram.observe({}, float(self._pending.popleft()))
 
 
-_hot: Final[list[Tally | Timer]] = []
+_buffered: Final[list[BufferedCounter | BufferedHistogram]] = []
 
-REQUESTS: Final = Tally(
+REQUESTS: Final = BufferedCounter(
     'verbenahall_requests_total',
     'Requests answered, by priority and outcome (ok or the error kind).',
     'priority',
     'outcome',
 )
-RETRIES: Final = Tally(
+RETRIES: Final = BufferedCounter(
     'verbenahall_retries_total',
     'Attempts after the first, by what ended the one before.',
     'reason',
 )
-SHED: Final = Tally(
+SHED: Final = BufferedCounter(
     'verbenahall_shed_total',
     'Requests given up before they ran, by priority.',
     'priority',
 )
-QUARANTINED: Final = Tally(
+QUARANTINED: Final = BufferedCounter(
     'verbenahall_quarantined_total',
     'Crashes after which a request was sent no more.',
 )
-PERMITS: Final = Tally(
+PERMITS: Final = BufferedCounter(
     'verbenahall_permits_total',
     'Sends to endpoints that name a rate: permitted or denied.',
     'verdict',
 )
-DUTY_CALLS: Final = Tally(
+DUTY_CALLS: Final = BufferedCounter(
     'verbenahall_duty_calls_total',
     "Calls to the platform that are one instance's duty, by outcome.",
     'call',
     'outcome',
 )
-USAGE_WINDOWS: Final = Tally(
+USAGE_WINDOWS: Final = BufferedCounter(
     'verbenahall_usage_windows_total',
     'Usage windows that this instance reported, or gave up.',
     'outcome',
 )
-DROPPED_ANSWERS: Final = Tally(
+DROPPED_ANSWERS: Final = BufferedCounter(
     'verbenahall_dropped_answers_total',
     'Answers dropped since they belong to another attempt, by shape.',
     'shape',
 )
-QUEUE_SECONDS: Final = Timer(
+QUEUE_SECONDS: Final = BufferedHistogram(
     'verbenahall_queue_seconds',
     'Time from a request being read to its admission.',
 )
-FIRST_TOKEN_SECONDS: Final = Timer(
+FIRST_TOKEN_SECONDS: Final = BufferedHistogram(
     'verbenahall_first_token_seconds',
     'Time from a request being read to its first token or its answer.',
 )
-TOKEN_GAP_SECONDS: Final = Timer(
+TOKEN_GAP_SECONDS: Final = BufferedHistogram(
     'verbenahall_token_gap_seconds',
     'Time between two reads of a stream that brought tokens.',
 )
-GIVEN_UP: Final = Tally(
+GIVEN_UP: Final = BufferedCounter(
     'verbenahall_given_up_total',
     'Requests that got no answer of an endpoint, by kind and what ran.',
     'kind',
     'ran',
 )
-READ_TOKENS: Final = Tally(
+READ_TOKENS: Final = BufferedCounter(
     'verbenahall_read_tokens_total',
     'Prompt tokens of reads, by what was expected: missing or kept.',
     'expected',
 )
-READ_SECONDS: Final = Timer(
+READ_SECONDS: Final = BufferedHistogram(
     'verbenahall_read_seconds',
     'Time from the send of a read to its handle.',
 )
-ATTEMPTS: Final = Tally(
+ATTEMPTS: Final = BufferedCounter(
     'verbenahall_sends_total',
     'Sends of requests, by what the request had of them when it ended.',
     'sends',
 )
-LEFT_SECONDS: Final = Timer(
+LEFT_SECONDS: Final = BufferedHistogram(
     'verbenahall_send_left_seconds',
     'Time that is left of a request at each send of it.',
 )
-LIST_AGE_SECONDS: Final = Timer(
+LIST_AGE_SECONDS: Final = BufferedHistogram(
     'verbenahall_send_list_age_seconds',
     'Time at a send since the store held nothing newer of the endpoints.',
 )
-BELIEF_AGE_SECONDS: Final = Timer(
+BELIEF_AGE_SECONDS: Final = BufferedHistogram(
     'verbenahall_belief_age_seconds',
     'Time since the store confirmed what a request is routed by.',
 )
-STORE_CALLS: Final = Tally(
+STORE_CALLS: Final = BufferedCounter(
     'verbenahall_store_calls_total',
     'Calls to the platform store, by call and status or no_answer.',
     'call',
@@ -206,8 +207,8 @@
 )
 
 
-async def _show_metrics(request: web.Request) -> web.Response:
-    for series in _hot:
+async def _handle_metrics(request: web.Request) -> web.Response:
+    for series in _buffered:
         series.flush()
     accepted = request.headers.getall('Accept', [])
     body, headers = render(REGISTRY, accepted)
@@ -215,5 +216,5 @@
 
 
 def add_routes(app: web.Application) -> None:
-    """Serve the registry at ``/metrics``."""
-    app.router.add_get('/metrics', _show_metrics)
+    """Add the route ``/metrics``, which exports the registry."""
+    app.router.add_get('/metrics', _handle_metrics)
