--- a/packages/verbenahall/src/verbenahall/process.py
+++ b/packages/verbenahall/src/verbenahall/process.py
@@ -1,4 +1,4 @@
-"""What every process of the product needs: a listener and a loop."""
+"""Shared by the server processes: listening and running a service."""
 
 from typing import Final, Protocol
 
@@ -6,19 +6,19 @@
 import uvloop
 from aiohttp import web
 
-#: Waiting connections that the kernel keeps while the loop is busy.
+#: Connections that the kernel queues while the event loop is busy.
 _BACKLOG: Final = 1024
 
 
-class EndingService(Protocol):
-    """A service of aiomisc that tells when the process may exit."""
+class StoppableService(Protocol):
+    """A service of aiomisc that can be awaited until it has stopped."""
 
     async def wait(self) -> None:
-        """Wait until the process may exit."""
+        """Wait until the service has stopped and the process may exit."""
 
 
 async def listen(runner: web.AppRunner, address: str) -> web.TCPSite:
-    """Set a runner up and have it listen on ``IP:port``."""
+    """Set up a runner and listen on ``IP:port``."""
     host, _, port = address.rpartition(':')
     await runner.setup()
     site = web.TCPSite(runner, host, int(port), backlog=_BACKLOG)
@@ -26,8 +26,8 @@
     return site
 
 
-def run_service(service: EndingService, shutdown_timeout: float) -> None:
-    """Run a service until it has ended; the timeout is in seconds."""
+def run_service(service: StoppableService, shutdown_timeout: float) -> None:
+    """Run a service until it has stopped; the timeout is in seconds."""
     entrypoint = aiomisc.entrypoint(
         service,
         log_config=False,
