--- a/packages/verbenahall/src/verbenahall/records.py
+++ b/packages/verbenahall/src/verbenahall/records.py
@@ -1,25 +1,26 @@
-"""Records of the platform's log, as every slice sees them."""
+"""Records of the platform's log and the names of its streams."""
 
 import dataclasses
 from typing import Any, Final
 
-#: Streams of the log. Offsets are one total order over all of them.
+#: Streams of the log; offsets are ordered across all streams.
 SETTINGS_STREAM: Final = 'settings'
 AUTHORITY_STREAM: Final = 'authority'
 ORDERS_STREAM: Final = 'orders'
 SNAPSHOTS_STREAM: Final = 'snapshots'
-#: One short record after each whole snapshot, so that readers need not read
-#: the snapshots themselves to know that there is one.
+#: One short record after each complete snapshot, so that readers learn of it
+#: without reading the snapshot.
 MARKS_STREAM: Final = 'marks'
 CLAIMS_STREAM: Final = 'claims'
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Record:
-    """One record: ``offset`` counts from 1 and is never used again.
+    """One record; ``offset`` starts at 1 and is never reused.
 
-    ``identity`` is the appender's own; a second copy under the same identity
-    is the same append whose first answer was lost. ``body`` is decoded JSON.
+    ``identity`` is chosen by the appender. A second record with the same
+    identity is a repeated append, sent because the answer to the first was
+    lost. ``body`` is decoded JSON.
     """
 
     offset: int
