--- a/packages/verbenahall/src/verbenahall/supervisor.py
+++ b/packages/verbenahall/src/verbenahall/supervisor.py
@@ -1,4 +1,4 @@
-"""Keeps an instance's background loops running."""
+"""Restarts the background loops of an instance when they fail."""
 
 import asyncio
 from collections.abc import Awaitable, Callable, Mapping
@@ -6,10 +6,10 @@
 
 from absl import logging
 
-_FIRST_PAUSE_S: Final = 0.1
-_LONGEST_PAUSE_S: Final = 5.0
+_MIN_RESTART_DELAY_S: Final = 0.1
+_MAX_RESTART_DELAY_S: Final = 5.0
 
-#: Runs until cancelled.
+#: A coroutine function that runs until it is cancelled.
 Loop = Callable[[], Awaitable[None]]
 #: Loops by name.
 Loops = Mapping[str, Loop]
@@ -17,24 +17,26 @@
 
 @final
 class Supervisor:
-    """Runs loops by name and starts one again when it fails.
+    """Runs named loops and restarts those that fail.
 
-    A loop that died silently would leave an instance that looks healthy but,
-    say, follows the log no more: its settings grow old and nobody is told.
+    If a failed loop were not restarted, the instance would look healthy but,
+    for example, stop reading the log and serve with outdated settings.
     """
 
     __slots__ = ('_tasks',)
 
     def __init__(self) -> None:
-        """Start with nothing running."""
+        """Create a supervisor without loops."""
         self._tasks: dict[str, asyncio.Task[None]] = {}
 
     def start(self, name: str, loop: Loop) -> None:
-        """Run a loop beside the others."""
-        self._tasks[name] = asyncio.create_task(_keep(name, loop), name=name)
+        """Start a loop as a background task."""
+        self._tasks[name] = asyncio.create_task(
+            _run_with_restarts(name, loop), name=name
+        )
 
     async def stop(self, *names: str) -> None:
-        """Cancel the named loops, or all, and wait until they have ended."""
+        """Cancel the named loops, or all if none is named, and await them."""
         wanted = names or tuple(self._tasks)
         tasks = [self._tasks.pop(name) for name in wanted]
         for task in tasks:
@@ -42,12 +44,12 @@
         await asyncio.gather(*tasks, return_exceptions=True)
 
 
-async def _keep(name: str, loop: Loop) -> None:
-    pause_s = _FIRST_PAUSE_S
+async def _run_with_restarts(name: str, loop: Loop) -> None:
+    delay_s = _MIN_RESTART_DELAY_S
     while True:
         try:
             await loop()
         except Exception:
-            logging.exception('loop %s failed; it starts again', name)
-        await asyncio.sleep(pause_s)
-        pause_s = min(2 * pause_s, _LONGEST_PAUSE_S)
+            logging.exception('background loop %s failed; restarting it', name)
+        await asyncio.sleep(delay_s)
+        delay_s = min(2 * delay_s, _MAX_RESTART_DELAY_S)
