--- a/packages/verbenahall/src/verbenahall/wire.py
+++ b/packages/verbenahall/src/verbenahall/wire.py
@@ -1,4 +1,4 @@
-"""JSON on the wire, by orjson."""
+"""JSON encoding and decoding with orjson."""
 
 from typing import Any
 
@@ -14,7 +14,7 @@
 
 
 def decode(body: bytes) -> Result[Any, Problem]:
-    """Decode a JSON body, or say at which byte it stops being JSON."""
+    """Decode a JSON body; the problem names the position of an error."""
     try:
         return Success(orjson.loads(body))
     except orjson.JSONDecodeError as error:
@@ -22,7 +22,7 @@
 
 
 def decode_table(body: bytes) -> Result[dict[str, Any], Problem]:
-    """Decode a JSON body that must be an object."""
+    """Decode a JSON body; fail if it is not an object."""
     return decode(body).bind(_require_table)
 
 
