--- a/packages/verbenahall/src/verbenahall/clock.py
+++ b/packages/verbenahall/src/verbenahall/clock.py
@@ -1,9 +1,9 @@
-"""Clocks: monotonic seconds for decisions, wall seconds for people only."""
+"""Clocks: monotonic time for decisions, wall time only for display."""
 
 import time
 from collections.abc import Callable
 
-#: A source of monotonic seconds. Decision functions take ``now`` instead.
+#: Returns monotonic seconds. Decision functions take ``now`` instead.
 Clock = Callable[[], float]
 
 monotonic: Clock = time.monotonic
@@ -11,5 +11,5 @@
 
 
 def boottime() -> float:
-    """Return seconds that also count while the machine is suspended."""
+    """Return seconds since boot, including time in suspend."""
     return time.clock_gettime(time.CLOCK_BOOTTIME)
