--- a/packages/verbenahall/src/verbenahall/console.py
+++ b/packages/verbenahall/src/verbenahall/console.py
@@ -35,25 +35,25 @@
     """A command that reads the instance's settings file."""
 
     def handle(self) -> int:
-        """Read the settings and tell all faults, or go on with them."""
+        """Read the settings; run the command, or print all faults."""
         config_path = self.option('config')
         if not config_path:
-            self.line_error('--config FILE is needed', style='error')
+            self.line_error('--config FILE is required', style='error')
             return ExitCode.USAGE
         match read_instance_config(Path(config_path)):
             case Success(config):
                 return self.run_with(config)
             case Failure(faults):
-                return self._tell(faults)
+                return self._print_faults(faults)
         return ExitCode.FAULTS
 
     def run_with(self, config: instance.InstanceConfig) -> int:
-        """Do the command's work with checked settings."""
+        """Run the command with valid settings and return its exit code."""
         raise NotImplementedError
 
-    def _tell(self, faults: tuple[Fault, ...]) -> int:
+    def _print_faults(self, faults: tuple[Fault, ...]) -> int:
         for fault in faults:
-            # Written raw: a settings file may hold what cleo takes for style.
+            # A value in the file may look like one of cleo's style tags.
             self.io.write_error_line(str(fault).replace('<', r'\<'))
         return ExitCode.FAULTS
 
@@ -63,18 +63,18 @@
     """Check a settings file without starting anything."""
 
     name = 'check'
-    description = 'Check the instance settings; tells every fault at once.'
+    description = 'Check the instance settings and print all faults.'
     options: ClassVar[list[object]] = [_CONFIG]
 
     def run_with(self, config: instance.InstanceConfig) -> int:
-        """Say that the file is good and which instance it describes."""
+        """Print the name and the data centre of the instance."""
         self.line(f'ok: instance {config.name} in {config.data_centre}')
         return ExitCode.OK
 
 
 @final
 class ServeCommand(_ConfigCommand):
-    """Run an instance until it is told to stop."""
+    """Run an instance until a signal stops it."""
 
     name = 'serve'
     description = 'Run an instance; SIGTERM stops it gracefully.'
@@ -84,7 +84,7 @@
     ]
 
     def run_with(self, config: instance.InstanceConfig) -> int:
-        """Serve, then return once the last request is answered."""
+        """Run the instance; return after its graceful stop."""
         journal.start_logging(decisions=not self.option('no-decisions'))
         instance.serve(config)
         return ExitCode.OK
