--- a/packages/verbenahall/src/verbenahall/config/__init__.py
+++ b/packages/verbenahall/src/verbenahall/config/__init__.py
@@ -1,4 +1,4 @@
-"""The instance's own settings file."""
+"""The settings file of an instance."""
 
 from verbenahall.config._instance import (
     INSTANCE_SCHEMA,
--- a/packages/verbenahall/src/verbenahall/config/_instance.py
+++ b/packages/verbenahall/src/verbenahall/config/_instance.py
@@ -1,4 +1,4 @@
-"""What an instance is told at its start: addresses, limits, timings."""
+"""Settings that an instance reads at start: addresses, limits, timings."""
 
 import dataclasses
 from pathlib import Path
@@ -15,7 +15,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class PlatformConfig:
-    """Where the platform answers, as ``IP:port``."""
+    """Addresses of the platform's services, as ``IP:port``."""
 
     log: str
     instance_list: str
@@ -23,7 +23,10 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class CredentialConfig:
-    """One administration credential, kept as the SHA-256 of its token."""
+    """A credential for the administration API.
+
+    Only the SHA-256 of the token is stored.
+    """
 
     team: str
     token_sha256: str
@@ -32,14 +35,14 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class AdminConfig:
-    """Who may use ``/admin/v1``."""
+    """Credentials that may use ``/admin/v1``."""
 
     credentials: tuple[CredentialConfig, ...] = ()
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class LimitsConfig:
-    """Bounds on what callers may send and hold open."""
+    """Limits on requests, connections and queues."""
 
     body_bytes: int
     header_bytes: int
@@ -54,7 +57,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class TimingConfig:
-    """Periods and bounds in seconds."""
+    """Periods and timeouts in seconds."""
 
     list_poll_s: float
     load_poll_s: float
@@ -69,7 +72,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class InstanceConfig:
-    """The whole file."""
+    """All settings of an instance."""
 
     name: str
     data_centre: str
@@ -145,7 +148,7 @@
 def read_instance_config(
     path: Path,
 ) -> Result[InstanceConfig, tuple[Fault, ...]]:
-    """Read an instance's TOML file, or return every fault in it."""
+    """Read an instance's TOML file, or return all of its faults."""
     return read_table(path, INSTANCE_SCHEMA).map(_build_config)
 
 
