--- a/packages/verbenahall/tests/test_journal.py
+++ b/packages/verbenahall/tests/test_journal.py
@@ -1,4 +1,4 @@
-"""Log lines: one JSON object a line, whatever a caller sent."""
+"""Each log line is one JSON object, whatever text a caller sends."""
 
 import subprocess
 import sys
@@ -21,10 +21,10 @@
     'text',
     ['r-1', 'a\n{"event":"route"}', '"}', '\x1b[31m', '%s %d', '\u2028'],
 )
-def test_nothing_from_a_caller_breaks_a_line(text):
+def test_text_from_a_caller_stays_in_its_field(text):
     """A caller sends a line feed and a forged decision in a header.
 
-    Unescaped, an operator would read a decision that nobody took.
+    Without escaping, the log would show a decision that was never made.
     """
     done = subprocess.run(
         [sys.executable, '-c', SCRIPT.format(text=text)],
@@ -37,8 +37,8 @@
     assert warning['message'] == text
 
 
-def test_kept_decisions_are_found_by_field():
-    """``explain`` reads the decisions of one request back."""
+def test_recent_decisions_are_found_by_field():
+    """``explain`` finds the decisions on one request."""
     journal.write_decision('route', request='r-7', chosen='engine-1')
 
     found = journal.find_decisions('request', 'r-7')
