--- a/packages/verbenahall/tests/test_lines.py
+++ b/packages/verbenahall/tests/test_lines.py
@@ -1,4 +1,4 @@
-"""Log lines never wait for their reader."""
+"""Writing log lines never blocks."""
 
 import os
 import time
@@ -6,9 +6,9 @@
 from verbenahall.lines import LineSink
 
 
-def test_full_pipe_costs_no_time():
-    # Whoever reads an instance's output stops reading. If a write waited for
-    # it, every request of the instance would hang.
+def test_full_pipe_does_not_block():
+    # The reader of an instance's output stops reading. If a write blocked,
+    # every request of the instance would hang.
     reader, writer = os.pipe()
     os.set_blocking(writer, False)
     sink = LineSink(lambda payload: os.write(writer, payload))
@@ -22,16 +22,16 @@
     os.close(writer)
 
 
-def test_suppressed_lines_are_told():
-    # The reader comes back. Without the count nobody could tell a quiet
-    # instance from one whose lines were lost.
-    taken = []
+def test_suppressed_lines_are_counted_in_the_log():
+    # The reader resumes. Without the count, lost lines would look like an
+    # instance without traffic.
+    written = []
     blocked = True
 
     def write(payload):
         if blocked:
             raise BlockingIOError
-        taken.append(payload)
+        written.append(payload)
         return len(payload)
 
     sink = LineSink(write)
@@ -42,15 +42,15 @@
     blocked = False
     sink.flush()
     sink.flush()
-    told = b'{"event":"log_suppressed","lines":%d}\n' % suppressed
-    assert told in b''.join(taken)
+    notice = b'{"event":"log_suppressed","lines":%d}\n' % suppressed
+    assert notice in b''.join(written)
 
 
 def test_partial_writes_keep_lines_whole():
-    taken = bytearray()
+    written = bytearray()
 
     def write(payload):
-        taken.extend(payload[:7])
+        written.extend(payload[:7])
         return min(7, len(payload))
 
     sink = LineSink(write)
@@ -58,10 +58,10 @@
     for line in lines:
         sink.add(line)
     sink.flush()
-    assert bytes(taken).split(b'\n')[:-1] == lines
+    assert bytes(written).split(b'\n')[:-1] == lines
 
 
-def test_closed_reader_ends_nothing():
+def test_closed_pipe_raises_no_error():
     def write(payload):
         raise BrokenPipeError
 
