--- a/packages/verbenahall/tests/test_pages.py
+++ b/packages/verbenahall/tests/test_pages.py
@@ -1,4 +1,4 @@
-"""The operators' tables name what the code has."""
+"""The tables in the operators' pages match the code."""
 
 import re
 from pathlib import Path
@@ -12,18 +12,18 @@
 ROOT = Path(__file__).parents[3]
 PAGES = ROOT / 'docs' / 'operations'
 TESTS = Path(__file__).parent
-#: A test as the page of proofs names it: its file, and perhaps its function.
+#: A test as ``PROOFS.md`` names it: its file, optionally with its function.
 NAMED_TEST = re.compile(r'`([^`\s]*\btest_[^`\s]*)`')
 
 
 def list_named_tests():
-    """Return each test that the page of proofs names."""
+    """Return each test that ``PROOFS.md`` names."""
     page = (ROOT / 'docs' / 'PROOFS.md').read_text()
     return sorted(set(NAMED_TEST.findall(page)))
 
 
 def list_keys(member, prefix=''):
-    """Yield each key of a schema, dotted."""
+    """Yield the dotted keys of a schema."""
     match member:
         case Table():
             for name, inner in member.members.items():
@@ -37,8 +37,8 @@
 
 
 @pytest.mark.parametrize('kind', ErrorKind)
-def test_error_table_is_the_code_s(kind):
-    """An operator looks up an error that a caller was told."""
+def test_error_table_matches_the_code(kind):
+    """An operator looks up an error that a caller reports."""
     answer = ANSWERS[kind]
     cells = (f'`{kind.value}`', str(answer.status), answer.ran.value)
     start = ' | '.join(cells)
@@ -48,15 +48,15 @@
 
 @pytest.mark.parametrize('key', list(list_keys(INSTANCE_SCHEMA)))
 def test_settings_page_names_every_key(key):
-    """A key that the page leaves out is found by nobody."""
+    """A key that is missing in the page would be undocumented."""
     assert f'`{key}`' in (PAGES / 'instance-settings.md').read_text()
 
 
 @pytest.mark.parametrize('named', list_named_tests())
 def test_proof_names_a_test_that_exists(named):
-    """A promise whose test has been renamed or removed is proved by nothing."""
+    """A guarantee must not refer to a test that was renamed or removed."""
     path, _, function = named.partition('::')
-    home = ROOT / 'packages' if path.startswith('standins/') else TESTS
-    source = (home / path).with_suffix('.py').read_text()
+    directory = ROOT / 'packages' if path.startswith('standins/') else TESTS
+    source = (directory / path).with_suffix('.py').read_text()
 
     assert f'def {function}(' in source or not function
