--- a/packages/verbenahall/tests/test_schema.py
+++ b/packages/verbenahall/tests/test_schema.py
@@ -30,21 +30,21 @@
     ],
 )
 def test_fault_names_place_and_expectation(text, expected):
-    """An operator finds the line without searching."""
+    """A fault names the line, the key and what was expected."""
     faults = read_text(text, 'f', SCHEMA).failure()
 
     assert any(str(fault).startswith(expected) for fault in faults), faults
 
 
-def test_all_faults_are_told_at_once():
-    """Mending one fault does not uncover the next."""
+def test_all_faults_are_returned_at_once():
+    """All faults are found in one run, not one after each correction."""
     text = 'port = 0\nmode = 1\nx = 2'
 
     assert len(read_text(text, 'f', SCHEMA).failure()) == 3
 
 
 def test_defaults_are_filled_in():
-    """A short file is a whole file."""
+    """Keys that the file omits get their defaults."""
     outcome = read_text('port = 5', 'f', SCHEMA)
 
     assert is_successful(outcome)
