--- a/packages/verbenactl/src/verbenactl/_base.py
+++ b/packages/verbenactl/src/verbenactl/_base.py
@@ -12,7 +12,7 @@
 from cleo.helpers import option
 from cleo.io.inputs.option import Option
 
-from verbenactl import _exits
+from verbenactl import _exit_codes
 from verbenactl._instances import Instances
 from verbenahall.errors import Problem, ProblemError
 
@@ -40,21 +40,21 @@
         try:
             return asyncio.run(self.run_async())
         except ProblemError as error:
-            self.tell_problem(error.problem)
-            return _exits.UNREACHABLE
+            self.print_problem(error.problem)
+            return _exit_codes.UNREACHABLE
 
     async def run_async(self) -> int:
         """Do the command's work and return its exit code."""
         raise NotImplementedError
 
-    def need(self, name: str) -> Any:
+    def get_required_option(self, name: str) -> Any:
         """Return an option that must be given."""
         given = self.option(name)
         if not given:
             raise CleoUserError(f'the option --{name} must be given')
         return given
 
-    def tell_problem(self, problem: Problem) -> None:
+    def print_problem(self, problem: Problem) -> None:
         """Write a problem to standard error, and whether it had an effect."""
         kind = problem.kind.value
         ran = problem.answer.ran.value
--- a/packages/verbenactl/src/verbenactl/_changes.py
+++ b/packages/verbenactl/src/verbenactl/_changes.py
@@ -3,7 +3,7 @@
 from collections.abc import Iterator, Sequence
 from typing import Final
 
-from verbenactl._sources import Values
+from verbenactl._settings_files import Values
 from verbenahall import wire
 from verbenahall.settings import (
     Change,
@@ -14,10 +14,10 @@
 )
 
 #: Leaves room in a record for team, author and identity.
-_MOST_BYTES: Final = 60_000
+_MAX_RECORD_BYTES: Final = 60_000
 #: What others refer to comes first, so that a file of several records holds
 #: together after each of them.
-_ORDER: Final = ('defaults', 'models', 'adapters', 'pools')
+_SECTION_ORDER: Final = ('defaults', 'models', 'adapters', 'pools')
 
 
 def list_changes(
@@ -34,7 +34,7 @@
     wanted = {f'{team}/{key}': value for key, value in values.items()}
     changes = [
         Change(path, find_offset(state, path), wanted[path])
-        for path in sorted(wanted, key=_rank)
+        for path in sorted(wanted, key=_get_sort_key)
         if find_value(state, path) != wanted[path]
     ]
     if prune:
@@ -52,7 +52,7 @@
     length = 0
     for change in changes:
         size = len(wire.encode(change)) + 1
-        if batch and length + size > _MOST_BYTES:
+        if batch and length + size > _MAX_RECORD_BYTES:
             yield tuple(batch)
             batch = []
             length = 0
@@ -62,7 +62,7 @@
         yield tuple(batch)
 
 
-def describe(change: Change) -> str:
+def format_change(change: Change) -> str:
     """Return one change as a line."""
     if change.value is None:
         return f'- {change.path}'
@@ -71,7 +71,7 @@
     return f'{sign} {change.path} {rendered}'
 
 
-def _rank(path: str) -> tuple[int, str]:
+def _get_sort_key(path: str) -> tuple[int, str]:
     section = path.split('/')[1]
-    known = section in _ORDER
-    return _ORDER.index(section) if known else len(_ORDER), path
+    known = section in _SECTION_ORDER
+    return _SECTION_ORDER.index(section) if known else len(_SECTION_ORDER), path
--- a/packages/verbenactl/src/verbenactl/_checking.py
+++ b/packages/verbenactl/src/verbenactl/_check_command.py
@@ -12,7 +12,7 @@
 from cleo.io.inputs.option import Option
 from returns.result import Failure, Result
 
-from verbenactl import _exits
+from verbenactl import _exit_codes
 from verbenahall.config import read_instance_config
 from verbenahall.platform import read_settings
 from verbenahall.schema import Fault
@@ -55,6 +55,6 @@
         if isinstance(settings, Failure):
             for fault in settings.failure():
                 self.line_error(str(fault))
-            return _exits.REFUSED
+            return _exit_codes.REFUSED
         self.line('no faults')
-        return _exits.DONE
+        return _exit_codes.DONE
--- a/packages/verbenactl/src/verbenactl/_causes.py
+++ b/packages/verbenactl/src/verbenactl/_delays.py
@@ -9,27 +9,27 @@
 from collections.abc import Iterable, Mapping, Sequence
 from typing import Any, Final, final
 
-from verbenactl._explaining import LogLine
+from verbenactl._explanations import LogLine
 
 _THOUSAND: Final = 1000
 
 
 @final
-class Delays:
+class DelayBreakdown:
     """Where the time until one request's first event went, in seconds.
 
     ``expected_s`` is what it was to take by the plan, ``spent`` holds what
     went beyond that, by cause.
     """
 
-    __slots__ = ('expected_s', 'spent', '_placed')
+    __slots__ = ('expected_s', 'spent', '_placed_at')
 
     def __init__(self, waited_s: float) -> None:
         """Start with what the caller has waited in earlier attempts."""
         self.expected_s: float = 0
         self.spent: collections.Counter[str] = collections.Counter()
         self.spent['tried before'] = waited_s
-        self._placed: float | None = None
+        self._placed_at: float | None = None
 
     def add(self, decision: Mapping[str, Any], at: float) -> None:
         """Take a line of the request."""
@@ -38,18 +38,18 @@
                 self.spent['waited for its turn'] += float(waited_s)
             case {'event': 'placed', 'wait_s': wait_s}:
                 self.expected_s = float(wait_s)
-                self._placed = at
-            case {'event': 'attempt_failed'} if self._placed is not None:
-                self.spent['a failed attempt'] += at - self._placed
+                self._placed_at = at
+            case {'event': 'attempt_failed'} if self._placed_at is not None:
+                self.spent['a failed attempt'] += at - self._placed_at
             case {'event': 'read', 'took_s': took_s}:
-                beyond_s = float(took_s) - self.expected_s
-                self.spent['prefill longer than expected'] += max(0, beyond_s)
+                excess_s = float(took_s) - self.expected_s
+                self.spent['prefill longer than expected'] += max(0, excess_s)
             case {'event': 'generated', 'first_s': first_s}:
                 self.spent['handover and first step'] += float(first_s)
             case _:
                 pass
 
-    def name_largest(self) -> str:
+    def get_largest_cause(self) -> str:
         """Return the largest cause."""
         causes = collections.Counter(self.spent)
         causes['expected from the start'] = self.expected_s
@@ -74,11 +74,11 @@
             *key,
             str(count),
             str(len(callers[key])),
-            _write_kilobytes(received[key]),
+            _format_kilobytes(received[key]),
         )
         for key, count in calls.most_common()
     ]
 
 
-def _write_kilobytes(size: int) -> str:
+def _format_kilobytes(size: int) -> str:
     return str(size // _THOUSAND)
--- a/packages/verbenactl/src/verbenactl/_duties.py
+++ b/packages/verbenactl/src/verbenactl/_duties.py
@@ -4,10 +4,10 @@
 from collections.abc import Iterable, Iterator, Mapping, Sequence
 from typing import Any, Final, final
 
-from verbenactl._explaining import LogLine
+from verbenactl._explanations import LogLine
 from verbenactl._losses import Table
 
-_HELD: Final = frozenset(('duty_held', 'duty_lost'))
+_HOLDER_EVENTS: Final = frozenset(('duty_held', 'duty_lost'))
 
 
 def find_duties(lines: Iterable[LogLine]) -> Sequence[Table]:
@@ -35,7 +35,7 @@
 def _list_holders(lines: Iterable[LogLine]) -> Iterator[tuple[str, ...]]:
     for line in lines:
         decision = line.decision
-        if decision['event'] in _HELD:
+        if decision['event'] in _HOLDER_EVENTS:
             yield (
                 f'{line.at:.3f}',
                 str(decision.get('duty', '')),
@@ -77,7 +77,7 @@
             str(self.decided.get('workspaces', '')),
             self.missing,
             ' '.join(
-                f'{told} {count}' for told, count in self.outcomes.items()
+                f'{status} {count}' for status, count in self.outcomes.items()
             ),
         )
 
--- a/packages/verbenactl/src/verbenactl/_explaining.py
+++ b/packages/verbenactl/src/verbenactl/_explanations.py
@@ -8,9 +8,9 @@
 from verbenahall import wire
 
 #: Fields that are told by the line itself.
-_HIDDEN: Final = frozenset(('event', 'at', 'request'))
+_OMITTED_FIELDS: Final = frozenset(('event', 'at', 'request'))
 #: What the last word on a request means, by its kind.
-_CAUSES: Final[Mapping[str, str]] = MappingProxyType(
+_CAUSE_BY_KIND: Final[Mapping[str, str]] = MappingProxyType(
     {
         'overloaded': 'refused: it could not be served in time, nothing ran',
         'no_endpoint': 'refused: no endpoint could take it, nothing ran',
@@ -51,14 +51,16 @@
 
 def explain(lines: Iterable[LogLine], request: str) -> list[str]:
     """Return the way of a request, one line a decision, and its cause."""
-    own = [line for line in lines if line.decision.get('request') == request]
-    if not own:
+    matching = [
+        line for line in lines if line.decision.get('request') == request
+    ]
+    if not matching:
         return [f'no line names request {request}']
-    own.sort(key=lambda line: line.at)
-    begun = own[0].at
-    told = [_describe(line, line.at - begun) for line in own]
-    told.append(f'cause: {find_cause(own)}')
-    return told
+    matching.sort(key=lambda line: line.at)
+    started_at = matching[0].at
+    rows = [_describe(line, line.at - started_at) for line in matching]
+    rows.append(f'cause: {find_cause(matching)}')
+    return rows
 
 
 def find_cause(lines: Iterable[LogLine]) -> str:
@@ -67,7 +69,7 @@
     last = events.get('given_up') or events.get('refused')
     failed = events.get('attempt_failed')
     if last is not None:
-        cause = _CAUSES.get(last.get('kind', ''), 'given up')
+        cause = _CAUSE_BY_KIND.get(last.get('kind', ''), 'given up')
         return f'{cause} ({last.get("reason", "")})'
     answered = events.get('answered')
     if answered is None:
@@ -82,6 +84,6 @@
     fields = ' '.join(
         f'{name}={found}'
         for name, found in line.decision.items()
-        if name not in _HIDDEN
+        if name not in _OMITTED_FIELDS
     )
     return f'+{after_s:.3f} {line.source} {line.decision["event"]} {fields}'
--- a/packages/verbenactl/src/verbenactl/_inspect.py
+++ b/packages/verbenactl/src/verbenactl/_inspect_commands.py
@@ -12,9 +12,9 @@
 from cleo.io.inputs.option import Option
 from returns.result import Success
 
-from verbenactl import _base, _exits
+from verbenactl import _base, _exit_codes
 from verbenactl._duties import find_duties
-from verbenactl._explaining import LogLine, explain, parse_lines
+from verbenactl._explanations import LogLine, explain, parse_lines
 from verbenactl._instances import Answers
 from verbenactl._losses import find_losses, format_table
 from verbenahall import wire
@@ -28,29 +28,29 @@
 
     async def run_async(self) -> int:
         """Ask and write the answers; unanswered is unreachable."""
-        self.need('instance')
+        self.get_required_option('instance')
         query = self.build_query()
         async with self.open_instances() as instances:
-            answers = await instances.ask_all(self.view, query)
-        return self.tell(answers)
+            answers = await instances.fetch_all(self.view, query)
+        return self.print_answers(answers)
 
     def build_query(self) -> dict[str, str]:
         """Return what the view is asked for."""
         return {}
 
-    def tell(self, answers: Answers) -> int:
+    def print_answers(self, answers: Answers) -> int:
         """Write each instance's answer as lines of JSON."""
-        code = _exits.DONE
+        code = _exit_codes.DONE
         for answer in answers.values():
             match answer:
                 case Success(view):
-                    self.tell_view(view)
+                    self.print_view(view)
                 case failure:
-                    self.tell_problem(failure.failure())
-                    code = _exits.UNREACHABLE
+                    self.print_problem(failure.failure())
+                    code = _exit_codes.UNREACHABLE
         return code
 
-    def tell_view(self, view: dict[str, Any]) -> None:
+    def print_view(self, view: dict[str, Any]) -> None:
         """Write one instance's answer."""
         self.line(wire.encode(view).decode())
 
@@ -62,7 +62,7 @@
     description = 'Show which settings offset each instance has applied.'
     view = 'status'
 
-    def tell_view(self, view: dict[str, Any]) -> None:
+    def print_view(self, view: dict[str, Any]) -> None:
         """Write one line for an instance."""
         readiness = (
             'ready' if view['ready'] else f'not ready ({view["reason"]})'
@@ -89,19 +89,21 @@
         """Ask for the path."""
         return {'path': self.argument('path')}
 
-    def tell_view(self, view: dict[str, Any]) -> None:
+    def print_view(self, view: dict[str, Any]) -> None:
         """Write a line for each verdict, oldest first, and what stands.
 
         Only the latest verdicts are kept; the value may be older than them.
         """
         for verdict in view['verdicts']:
             refusal = verdict['refusal']
-            fate = f'refused: {refusal["message"]}' if refusal else 'accepted'
+            outcome = (
+                f'refused: {refusal["message"]}' if refusal else 'accepted'
+            )
             author = f'{verdict["team"]}/{verdict["author"]}'
-            self.line(f'{verdict["offset"]} {author} {fate}')
+            self.line(f'{verdict["offset"]} {author} {outcome}')
         if view['value'] is not None:
-            standing = wire.encode(view['value']).decode()
-            self.line(f'in force since offset {view["offset"]}: {standing}')
+            value = wire.encode(view['value']).decode()
+            self.line(f'in force since offset {view["offset"]}: {value}')
 
 
 class ExplainCommand(InspectingCommand):
@@ -136,9 +138,9 @@
         lines = itertools.chain.from_iterable(
             _read_log(path) for path in self.option('log') or ['-']
         )
-        for told in explain(lines, self.argument('id')):
-            self.io.write_line(told.replace('<', r'\<'))
-        return _exits.DONE
+        for text in explain(lines, self.argument('id')):
+            self.io.write_line(text.replace('<', r'\<'))
+        return _exit_codes.DONE
 
     def build_query(self) -> dict[str, str]:
         """Ask for the request or the engine."""
@@ -147,7 +149,7 @@
                 return {name: self.option(name)}
         raise CleoUserError('give an identity, --request or --engine')
 
-    def tell_view(self, view: dict[str, Any]) -> None:
+    def print_view(self, view: dict[str, Any]) -> None:
         """Write each decision as a line of JSON."""
         for decision in view['decisions']:
             self.line(wire.encode(decision).decode())
@@ -185,7 +187,7 @@
             for row in format_table(table):
                 self.io.write_line(row.replace('<', r'\<'))
             self.io.write_line('')
-        return _exits.DONE
+        return _exit_codes.DONE
 
 
 class DutiesCommand(_base.AsyncCommand):
@@ -204,7 +206,7 @@
             for row in format_table(table):
                 self.io.write_line(row.replace('<', r'\<'))
             self.io.write_line('')
-        return _exits.DONE
+        return _exit_codes.DONE
 
 
 def _read_log(path: str) -> Iterator[LogLine]:
--- a/packages/verbenactl/src/verbenactl/_instances.py
+++ b/packages/verbenactl/src/verbenactl/_instances.py
@@ -45,18 +45,18 @@
         self._addresses = tuple(addresses)
         self._headers = {'Authorization': f'Bearer {token}'}
 
-    async def ask_all(
+    async def fetch_all(
         self,
         view: str,
         query: Mapping[str, str] | None = None,
     ) -> Answers:
         """Ask every instance at once for a view of ``/admin/v1``."""
         answers = await asyncio.gather(
-            *(self.ask(address, view, query) for address in self._addresses),
+            *(self.fetch(address, view, query) for address in self._addresses),
         )
         return dict(zip(self._addresses, answers, strict=True))
 
-    async def ask(
+    async def fetch(
         self,
         address: str,
         view: str,
@@ -73,8 +73,8 @@
                 body = await answer.read()
                 status = answer.status
         except (aiohttp.ClientError, asyncio.TimeoutError) as error:
-            complaint = str(error) or type(error).__name__
-            return _fail(f'{address}: {complaint}')
+            detail = str(error) or type(error).__name__
+            return _fail(f'{address}: {detail}')
         if status != _OK:
             refusal = body.decode(errors='replace')
             return _fail(f'{address}: answered {status} {refusal}')
@@ -94,7 +94,7 @@
             await asyncio.sleep(_POLL_S)
 
     async def _list_reached(self, offset: int) -> tuple[str, ...]:
-        statuses = await self.ask_all('status')
+        statuses = await self.fetch_all('status')
         return tuple(
             address
             for address, status in statuses.items()
--- a/packages/verbenactl/src/verbenactl/_losses.py
+++ b/packages/verbenactl/src/verbenactl/_losses.py
@@ -13,11 +13,11 @@
 from types import MappingProxyType
 from typing import Any, Final, final
 
-from verbenactl._causes import Delays, count_store_calls
-from verbenactl._explaining import LogLine
+from verbenactl._delays import DelayBreakdown, count_store_calls
+from verbenactl._explanations import LogLine
 
 #: What became of a request, in the order of the columns.
-FATES: Final = (
+RESULTS: Final = (
     'on_time',
     'late',
     'refused',
@@ -28,7 +28,7 @@
     'unknown',
 )
 #: The fate of a request that was given up, by the problem's kind.
-_GIVEN_UP: Final[Mapping[str, str]] = MappingProxyType(
+_RESULT_BY_KIND: Final[Mapping[str, str]] = MappingProxyType(
     {
         'overloaded': 'refused',
         'no_endpoint': 'refused',
@@ -51,14 +51,16 @@
 
 
 @final
-class _Story:
+class _RequestSummary:
     """What the lines of one request tell."""
 
     __slots__ = ('accepted', 'delays', 'first_s', 'given_up', 'outcome')
 
     def __init__(self, accepted: LogLine) -> None:
         self.accepted = accepted
-        self.delays = Delays(float(accepted.decision.get('waited_s', 0)))
+        self.delays = DelayBreakdown(
+            float(accepted.decision.get('waited_s', 0))
+        )
         self.first_s: float | None = None
         self.given_up: Mapping[str, Any] | None = None
         self.outcome = ''
@@ -69,10 +71,10 @@
         return str(self.accepted.decision.get('route', ''))
 
     @property
-    def fate(self) -> str:
+    def result(self) -> str:
         """What became of it."""
         if self.given_up is not None:
-            return _GIVEN_UP.get(self.given_up.get('kind', ''), 'failed')
+            return _RESULT_BY_KIND.get(self.given_up.get('kind', ''), 'failed')
         if self.outcome == 'caller_gone':
             return 'left'
         if self.outcome.startswith(_SUCCESS):
@@ -85,7 +87,7 @@
         if self.given_up is None:
             return f'answered {self.outcome}'
         reason = str(self.given_up.get('reason', ''))
-        words = (word for word in reason.split() if not _has_digit(word))
+        words = (word for word in reason.split() if not _contains_digit(word))
         return f'{self.given_up.get("kind", "")}: {" ".join(words)}'
 
     def _is_on_time(self) -> bool:
@@ -98,27 +100,35 @@
 def find_losses(lines: Iterable[LogLine], window_s: float) -> Sequence[Table]:
     """Return the tables of what was lost and late, and of the store's calls."""
     kept = sorted(lines, key=lambda line: line.at)
-    stories = _tell_stories(kept)
-    begun = kept[0].at if kept else 0
+    summaries = _summarize_requests(kept)
+    started_at = kept[0].at if kept else 0
     windows = collections.defaultdict(list)
-    for story in stories:
-        windows[int((story.accepted.at - begun) / window_s)].append(story)
+    for summary in summaries:
+        windows[int((summary.accepted.at - started_at) / window_s)].append(
+            summary
+        )
     routes = collections.defaultdict(list)
-    for story in stories:
-        routes[story.route].append(story)
-    reads = _sum_reads(kept, begun, window_s)
+    for summary in summaries:
+        routes[summary.route].append(summary)
+    prefills = _sum_prefills(kept, started_at, window_s)
     return (
-        Table('route', ('route', 'asked', *FATES), list(_count(routes))),
+        Table(
+            'route', ('route', 'asked', *RESULTS), list(_count_results(routes))
+        ),
         Table(
             'window',
-            ('from_s', 'asked', *FATES, 'reads', 'read_k'),
+            ('from_s', 'asked', *RESULTS, 'reads', 'read_k'),
             [
-                (f'{int(row[0]) * window_s:g}', *row[1:], *reads[int(row[0])])
-                for row in _count(windows)
+                (
+                    f'{int(row[0]) * window_s:g}',
+                    *row[1:],
+                    *prefills[int(row[0])],
+                )
+                for row in _count_results(windows)
             ],
         ),
-        Table('cause', ('cause', 'route', 'count'), _count_causes(stories)),
-        Table('late', ('cause', 'route', 'count'), _count_delays(stories)),
+        Table('cause', ('cause', 'route', 'count'), _count_causes(summaries)),
+        Table('late', ('cause', 'route', 'count'), _count_delays(summaries)),
         Table(
             'store',
             ('call', 'topic', 'outcome', 'calls', 'instances', 'kb'),
@@ -137,85 +147,91 @@
         ).rstrip()
 
 
-def _tell_stories(lines: Iterable[LogLine]) -> Sequence[_Story]:
-    stories: dict[str, _Story] = {}
+def _summarize_requests(lines: Iterable[LogLine]) -> Sequence[_RequestSummary]:
+    summaries: dict[str, _RequestSummary] = {}
     for line in lines:
         decision = line.decision
         request = decision.get('request')
         if decision['event'] == 'accepted':
-            stories.setdefault(request, _Story(line))
-        story = stories.get(request)
-        if story is not None:
-            _add_line(story, decision)
-            story.delays.add(decision, line.at)
-    return list(stories.values())
+            summaries.setdefault(request, _RequestSummary(line))
+        summary = summaries.get(request)
+        if summary is not None:
+            _add_line(summary, decision)
+            summary.delays.add(decision, line.at)
+    return list(summaries.values())
 
 
-def _add_line(story: _Story, decision: Mapping[str, Any]) -> None:
+def _add_line(summary: _RequestSummary, decision: Mapping[str, Any]) -> None:
     match decision:
         case {'event': 'generated', 'since_s': since_s}:
-            if story.first_s is None:
-                story.first_s = float(since_s)
+            if summary.first_s is None:
+                summary.first_s = float(since_s)
         case {'event': 'given_up'}:
-            story.given_up = decision
+            summary.given_up = decision
         case {'event': 'answered', 'outcome': outcome, 'took_s': took_s}:
-            story.outcome = str(outcome)
-            if story.first_s is None:
+            summary.outcome = str(outcome)
+            if summary.first_s is None:
                 # A plain answer has no event before its end.
-                story.first_s = float(took_s)
+                summary.first_s = float(took_s)
         case _:
             pass
 
 
-def _count(
-    groups: Mapping[Any, Sequence[_Story]],
+def _count_results(
+    groups: Mapping[Any, Sequence[_RequestSummary]],
 ) -> Iterator[tuple[str, ...]]:
     for key in sorted(groups):
-        fates = collections.Counter(story.fate for story in groups[key])
-        counts = (str(fates[fate]) for fate in FATES)
+        results = collections.Counter(summary.result for summary in groups[key])
+        counts = (str(results[result]) for result in RESULTS)
         yield (str(key), str(len(groups[key])), *counts)
 
 
-def _count_causes(stories: Iterable[_Story]) -> Sequence[tuple[str, ...]]:
-    return _rank(
-        (story.cause, story.route)
-        for story in stories
-        if story.fate not in {'on_time', 'late'}
+def _count_causes(
+    summaries: Iterable[_RequestSummary],
+) -> Sequence[tuple[str, ...]]:
+    return _count_by_cause(
+        (summary.cause, summary.route)
+        for summary in summaries
+        if summary.result not in {'on_time', 'late'}
     )
 
 
-def _count_delays(stories: Iterable[_Story]) -> Sequence[tuple[str, ...]]:
-    return _rank(
-        (story.delays.name_largest(), story.route)
-        for story in stories
-        if story.fate == 'late'
+def _count_delays(
+    summaries: Iterable[_RequestSummary],
+) -> Sequence[tuple[str, ...]]:
+    return _count_by_cause(
+        (summary.delays.get_largest_cause(), summary.route)
+        for summary in summaries
+        if summary.result == 'late'
     )
 
 
-def _rank(causes: Iterable[tuple[str, str]]) -> Sequence[tuple[str, ...]]:
+def _count_by_cause(
+    causes: Iterable[tuple[str, str]],
+) -> Sequence[tuple[str, ...]]:
     return [
         (cause, route, str(count))
         for (cause, route), count in collections.Counter(causes).most_common()
     ]
 
 
-def _sum_reads(
+def _sum_prefills(
     lines: Iterable[LogLine],
-    begun: float,
+    started_at: float,
     window_s: float,
 ) -> Mapping[int, tuple[str, str]]:
-    reads: collections.Counter[int] = collections.Counter()
+    prefills: collections.Counter[int] = collections.Counter()
     tokens: collections.Counter[int] = collections.Counter()
     for line in lines:
         if line.decision['event'] == 'read':
-            window = int((line.at - begun) / window_s)
-            reads[window] += 1
+            window = int((line.at - started_at) / window_s)
+            prefills[window] += 1
             tokens[window] += int(line.decision.get('missing', 0))
     sums = collections.defaultdict(lambda: ('0', '0'))
-    for window, count in reads.items():
+    for window, count in prefills.items():
         sums[window] = (str(count), str(tokens[window] // _THOUSAND))
     return sums
 
 
-def _has_digit(word: str) -> bool:
+def _contains_digit(word: str) -> bool:
     return any(sign.isdigit() for sign in word)
--- a/packages/verbenactl/src/verbenactl/_publish.py
+++ b/packages/verbenactl/src/verbenactl/_publish_commands.py
@@ -16,10 +16,10 @@
 from cleo.io.inputs.option import Option
 from returns.result import Failure
 
-from verbenactl import _base, _exits
-from verbenactl._changes import describe, list_changes, split_changes
-from verbenactl._publishing import Publisher, require
-from verbenactl._sources import is_team, read_values
+from verbenactl import _base, _exit_codes
+from verbenactl._changes import format_change, list_changes, split_changes
+from verbenactl._publisher import Publisher, unwrap_or_raise
+from verbenactl._settings_files import is_team_name, read_values
 from verbenahall.log import LogClient
 from verbenahall.settings import Change, Verdict, find_offset, find_value
 
@@ -48,14 +48,16 @@
 
     async def run_async(self) -> int:
         """Publish and wait until it is in force."""
-        team = self.need('team')
-        if not is_team(team):
+        team = self.get_required_option('team')
+        if not is_team_name(team):
             raise CleoUserError(f'{team!r} is no name of a team')
         author = self.option('author') or getpass.getuser()
         async with aiohttp.ClientSession() as session:
-            client = LogClient(self.need('log'), session, f'ctl-{author}')
+            client = LogClient(
+                self.get_required_option('log'), session, f'ctl-{author}'
+            )
             publisher = Publisher(client, team, author)
-            require(await publisher.start())
+            unwrap_or_raise(await publisher.start())
             return await self.publish(publisher)
 
     async def publish(self, publisher: Publisher) -> int:
@@ -63,19 +65,19 @@
         changes = self.list_changes(publisher)
         if not changes:
             self.line('nothing to change')
-            return _exits.DONE
+            return _exit_codes.DONE
         offset = await self._publish_batches(publisher, changes)
         if offset == 0:
-            return _exits.REFUSED
+            return _exit_codes.REFUSED
         if self.option('instance'):
             return await self._wait_in_force(offset)
-        return _exits.DONE
+        return _exit_codes.DONE
 
     def list_changes(self, publisher: Publisher) -> Sequence[Change]:
         """Return the changes to publish."""
         raise NotImplementedError
 
-    def tell_verdict(self, verdict: Verdict) -> None:
+    def print_verdict(self, verdict: Verdict) -> None:
         """Write one verdict as lines."""
         refusal = verdict.refusal
         if refusal is None:
@@ -99,8 +101,10 @@
             self.line(f'published as {len(batches)} records, one by one')
         offset = 0
         while batches:
-            verdict = require(await publisher.publish(batches.popleft()))
-            self.tell_verdict(verdict)
+            verdict = unwrap_or_raise(
+                await publisher.publish(batches.popleft())
+            )
+            self.print_verdict(verdict)
             if not verdict.accepted:
                 return 0
             offset = verdict.offset
@@ -116,7 +120,7 @@
         )
         for address in in_force.missing:
             self.line_error(f'not in force on {address}')
-        return _exits.REFUSED if in_force.missing else _exits.DONE
+        return _exit_codes.REFUSED if in_force.missing else _exit_codes.DONE
 
 
 class PublishCommand(PublishingCommand):
@@ -133,7 +137,7 @@
         if isinstance(values, Failure):
             for fault in values.failure():
                 self.line_error(str(fault))
-            return _exits.REFUSED
+            return _exit_codes.REFUSED
         return super().handle()
 
     def list_changes(self, publisher: Publisher) -> Sequence[Change]:
@@ -157,15 +161,15 @@
         """Write the changes and the verdict expected now."""
         changes = self.list_changes(publisher)
         for change in changes:
-            self.line(describe(change))
+            self.line(format_change(change))
         if not changes:
-            return _exits.DONE
-        expected = publisher.expect(changes)
+            return _exit_codes.DONE
+        expected = publisher.predict_verdict(changes)
         if expected.refusal is None:
-            return _exits.DONE
+            return _exit_codes.DONE
         reason = expected.refusal
         self.line_error(f'would be refused: {reason.message}')
-        return _exits.REFUSED
+        return _exit_codes.REFUSED
 
 
 class LintCommand(_base.AsyncCommand):
@@ -181,10 +185,10 @@
         if isinstance(values, Failure):
             for fault in values.failure():
                 self.line_error(str(fault))
-            return _exits.REFUSED
+            return _exit_codes.REFUSED
         count = len(values.unwrap())
         self.line(f'{count} entries, no faults')
-        return _exits.DONE
+        return _exit_codes.DONE
 
 
 class DrainCommand(PublishingCommand):
--- a/packages/verbenactl/src/verbenactl/_publishing.py
+++ b/packages/verbenactl/src/verbenactl/_publisher.py
@@ -19,9 +19,9 @@
 )
 from verbenahall.snapshots import FoldSet, Snapshot, SnapshotStore
 
-_LIMIT: Final = 500
+_PAGE_SIZE: Final = 500
 
-_GAP: Final = Problem(
+_RECORDS_EXPIRED: Final = Problem(
     ErrorKind.LOG_UNAVAILABLE,
     'records expired that no good snapshot holds',
 )
@@ -48,7 +48,7 @@
     async def start(self) -> Result[None, Problem]:
         """Load the newest snapshot, then fold the log up to its end."""
         store = SnapshotStore(self._client)
-        loaded = await store.take_newest(0, self._take)
+        loaded = await store.take_newest(0, self._load_snapshot)
         if isinstance(loaded, Failure):
             return loaded
         return await self.catch_up()
@@ -58,7 +58,7 @@
         while True:
             read = await self._client.read(
                 self._position,
-                _LIMIT,
+                _PAGE_SIZE,
                 0,
                 (SETTINGS_STREAM,),
             )
@@ -66,10 +66,10 @@
                 return read
             page = read.unwrap()
             if page.first > self._position + 1:
-                return Failure(_GAP)
+                return Failure(_RECORDS_EXPIRED)
             for record in page.records:
                 apply_record(self.state, record)
-            if len(page.records) < _LIMIT:
+            if len(page.records) < _PAGE_SIZE:
                 self._position = max(self._position, page.last)
                 return Success(None)
             self._position = page.records[-1].offset
@@ -91,7 +91,7 @@
             return caught_up
         return self._find_verdict(offset)
 
-    def expect(self, changes: Sequence[Change]) -> Verdict:
+    def predict_verdict(self, changes: Sequence[Change]) -> Verdict:
         """Return the verdict if the changes came next.
 
         The fold then holds them, so it must not be used afterwards.
@@ -99,9 +99,9 @@
         offset = self.state.position + 1
         record = Record(offset, SETTINGS_STREAM, '', self._encode(changes))
         apply_record(self.state, record)
-        return require(self._find_verdict(offset))
+        return unwrap_or_raise(self._find_verdict(offset))
 
-    def _take(self, snapshot: Snapshot) -> Result[None, Problem]:
+    def _load_snapshot(self, snapshot: Snapshot) -> Result[None, Problem]:
         fold = SettingsFold(self.state)
         self._position = snapshot.upto
         return FoldSet([fold]).load(snapshot)
@@ -122,7 +122,7 @@
         )
 
 
-def require(outcome: Result[_Value, Problem]) -> _Value:
+def unwrap_or_raise(outcome: Result[_Value, Problem]) -> _Value:
     """Return the value, or raise the problem for the command to tell."""
     if isinstance(outcome, Failure):
         raise ProblemError(outcome.failure())
--- a/packages/verbenactl/src/verbenactl/_sources.py
+++ b/packages/verbenactl/src/verbenactl/_settings_files.py
@@ -23,13 +23,13 @@
     try:
         text = file.read_text(encoding='utf-8')
     except (OSError, UnicodeDecodeError) as error:
-        complaint = f'cannot be read: {error}'
-        return Failure((Fault(str(file), 1, '', complaint),))
+        detail = f'cannot be read: {error}'
+        return Failure((Fault(str(file), 1, '', detail),))
     checked = read_text(text, str(file), PUBLISHED_SCHEMA)
     if isinstance(checked, Failure):
         return checked
     values = _flatten(tomllib.loads(text))
-    faults = tuple(_find_faults(values, Source(str(file), text)))
+    faults = tuple(_check_values(values, Source(str(file), text)))
     return Failure(faults) if faults else Success(values)
 
 
@@ -41,18 +41,18 @@
     }
 
 
-def _find_faults(values: Values, source: Source) -> Iterator[Fault]:
+def _check_values(values: Values, source: Source) -> Iterator[Fault]:
     for key, value in values.items():
         section, _, name = key.partition('/')
         place = f'{section}.{name}'
         if split_path(f'{_ANY_TEAM}/{key}') is None:
             yield source.fault(place, f'{name!r} is no name')
             continue
-        complaint = check_value(section, name, value)
-        if complaint:
-            yield source.fault(place, complaint)
+        detail = check_value(section, name, value)
+        if detail:
+            yield source.fault(place, detail)
 
 
-def is_team(name: str) -> bool:
+def is_team_name(name: str) -> bool:
     """Whether a text can be a team's name."""
     return re.fullmatch('[a-z0-9][a-z0-9_.-]{0,62}', name) is not None
--- a/packages/verbenactl/src/verbenactl/console.py
+++ b/packages/verbenactl/src/verbenactl/console.py
@@ -5,16 +5,16 @@
 from cleo.application import Application
 from cleo.exceptions import CleoError
 
-from verbenactl import __version__, _exits
-from verbenactl._checking import CheckCommand
-from verbenactl._inspect import (
+from verbenactl import __version__, _exit_codes
+from verbenactl._check_command import CheckCommand
+from verbenactl._inspect_commands import (
     ExplainCommand,
     HistoryCommand,
     DutiesCommand,
     LossesCommand,
     StatusCommand,
 )
-from verbenactl._publish import (
+from verbenactl._publish_commands import (
     DiffCommand,
     DrainCommand,
     LintCommand,
@@ -53,5 +53,5 @@
         code = application.run()
     except CleoError as error:
         sys.stderr.write(f'{error}\n')
-        code = _exits.UNREACHABLE
+        code = _exit_codes.UNREACHABLE
     sys.exit(code)
--- a/packages/verbenactl/tests/test_checking.py
+++ b/packages/verbenactl/tests/test_checking.py
@@ -32,23 +32,23 @@
     path = write_settings(tmp_path, '127.0.0.1:1')
     text = path.read_text().replace('drainMs = 2000', 'drainMs = "2 s"')
     path.write_text(text.replace('zone = "lampeter"', 'zone = ""'))
-    code, told = check(path)
+    code, output = check(path)
     lines = path.read_text().splitlines()
     for key, slip in (('zone', '""'), ('bounds.drainMs', '"2 s"')):
         line = next(n for n, one in enumerate(lines, 1) if one.endswith(slip))
-        assert f'{path}:{line}: {key}' in told
+        assert f'{path}:{line}: {key}' in output
     assert code == 1
 
 
 def test_own_settings_of_an_instance_are_checked(tmp_path):
     path = tmp_path / 'instance.toml'
     path.write_text('[instance]\nnam = "a"\n')
-    code, told = check(path, '--kind', 'instance')
+    code, output = check(path, '--kind', 'instance')
     assert code == 1
-    assert 'instance.nam' in told
+    assert 'instance.nam' in output
 
 
 def test_unknown_kind_is_told(tmp_path):
-    code, told = check(tmp_path / 'none.toml', '--kind', 'other')
+    code, output = check(tmp_path / 'none.toml', '--kind', 'other')
     assert code == 2
-    assert 'platform, instance' in told
+    assert 'platform, instance' in output
--- a/packages/verbenactl/tests/test_duties.py
+++ b/packages/verbenactl/tests/test_duties.py
@@ -5,7 +5,7 @@
 import sys
 
 from verbenactl._duties import find_duties
-from verbenactl._explaining import parse_lines
+from verbenactl._explanations import parse_lines
 
 COMMAND = 'from verbenactl.console import main; main()'
 LINES = tuple(
--- a/packages/verbenactl/tests/test_explaining.py
+++ b/packages/verbenactl/tests/test_explaining.py
@@ -4,7 +4,7 @@
 import subprocess
 import sys
 
-from verbenactl._explaining import explain, parse_lines
+from verbenactl._explanations import explain, parse_lines
 
 LINES = (
     {'event': 'accepted', 'at': 10.0, 'request': 'r-1', 'route': 'blurb'},
@@ -33,10 +33,10 @@
 
 def test_way_is_told_in_order_with_its_cause():
     lines = parse_lines('a.log', reversed(encode(LINES)))
-    told = explain(lines, 'r-1')
-    assert told[0].startswith('+0.000 a.log accepted route=blurb')
-    assert len(told) == 6
-    assert told[-1].startswith('cause: failed: an endpoint broke off')
+    output = explain(lines, 'r-1')
+    assert output[0].startswith('+0.000 a.log accepted route=blurb')
+    assert len(output) == 6
+    assert output[-1].startswith('cause: failed: an endpoint broke off')
 
 
 def test_lines_of_several_instances_are_joined():
@@ -44,15 +44,15 @@
         *parse_lines('a.log', encode(LINES[:2])),
         *parse_lines('b.log', encode(LINES[2:])),
     ]
-    told = explain(lines, 'r-1')
-    assert ' a.log accepted' in told[0]
-    assert ' b.log answered' in told[-2]
+    output = explain(lines, 'r-1')
+    assert ' a.log accepted' in output[0]
+    assert ' b.log answered' in output[-2]
 
 
 def test_prefix_of_a_line_names_its_instance():
     text = f'   3.5 front-1 {json.dumps(LINES[0])}'
-    told = explain(parse_lines('x', [text]), 'r-1')
-    assert '3.5 front-1 accepted' in told[0]
+    output = explain(parse_lines('x', [text]), 'r-1')
+    assert '3.5 front-1 accepted' in output[0]
 
 
 def test_other_lines_are_passed_over():
@@ -62,8 +62,8 @@
 
 
 def test_instance_that_ended_is_told():
-    told = explain(parse_lines('x', encode(LINES[:2])), 'r-1')
-    assert 'no final line' in told[-1]
+    output = explain(parse_lines('x', encode(LINES[:2])), 'r-1')
+    assert 'no final line' in output[-1]
 
 
 def test_command_reads_files(tmp_path):
--- a/packages/verbenactl/tests/test_losses.py
+++ b/packages/verbenactl/tests/test_losses.py
@@ -4,14 +4,14 @@
 import subprocess
 import sys
 
-from verbenactl._explaining import parse_lines
+from verbenactl._explanations import parse_lines
 from verbenactl._losses import find_losses, format_table
 
 
 COMMAND = 'from verbenactl.console import main; main()'
 
 
-def tell(request, at, *rows, route='check', waited_s=0):
+def make_lines(request, at, *rows, route='check', waited_s=0):
     accepted = {
         'event': 'accepted',
         'route': route,
@@ -37,13 +37,13 @@
 
 
 LINES = (
-    *tell('r-1', 10.0, generated(0.1), answered('200')),
-    *tell('r-2', 10.5, generated(0.4), answered('200')),
-    *tell('r-3', 11.0, generated(0.1), answered('200'), waited_s=0.6),
-    *tell('r-4', 12.5, given_up('overloaded', '7 wait'), answered('429')),
-    *tell('r-5', 12.6, given_up('overloaded', '9 wait'), answered('429')),
-    *tell('r-6', 12.7, answered('caller_gone'), route='other'),
-    *tell('r-7', 12.8, route='other'),
+    *make_lines('r-1', 10.0, generated(0.1), answered('200')),
+    *make_lines('r-2', 10.5, generated(0.4), answered('200')),
+    *make_lines('r-3', 11.0, generated(0.1), answered('200'), waited_s=0.6),
+    *make_lines('r-4', 12.5, given_up('overloaded', '7 wait'), answered('429')),
+    *make_lines('r-5', 12.6, given_up('overloaded', '9 wait'), answered('429')),
+    *make_lines('r-6', 12.7, answered('caller_gone'), route='other'),
+    *make_lines('r-7', 12.8, route='other'),
     json.dumps({'event': 'read', 'at': 12.9, 'missing': 2900}),
     'no line of ours',
 )
@@ -68,7 +68,7 @@
 def test_time_of_earlier_attempts_counts():
     # A caller that was refused once and is then served at once has waited
     # for longer than its objective.
-    lines = tell('r', 1.0, generated(0.1), answered('200'), waited_s=0.6)
+    lines = make_lines('r', 1.0, generated(0.1), answered('200'), waited_s=0.6)
     tables = find_losses(parse_lines('a', lines), 2)
     assert tables[0].rows[0][3] == '1'
 
@@ -126,7 +126,7 @@
 
 def find_late(*rows, waited_s=0):
     """Return the cause of a late answer, from a request's lines."""
-    lines = tell('r', 1.0, *rows, answered('200'), waited_s=waited_s)
+    lines = make_lines('r', 1.0, *rows, answered('200'), waited_s=waited_s)
     tables = {one.name: one for one in find_losses(parse_lines('a', lines), 2)}
     return [row[0] for row in tables['late'].rows]
 
@@ -168,9 +168,11 @@
     """An engine fell silent, and the request went to another one."""
     first = {**generated(1.5), 'first_s': 0.02}
     lines = [
-        *tell('r', 1.0, placed(0.1)),
+        *make_lines('r', 1.0, placed(0.1)),
         json.dumps({'at': 2.2, 'request': 'r', 'event': 'attempt_failed'}),
-        *tell('r', 2.2, placed(0.1), read(0.1), first, answered('200'))[1:],
+        *make_lines('r', 2.2, placed(0.1), read(0.1), first, answered('200'))[
+            1:
+        ],
     ]
     tables = {one.name: one for one in find_losses(parse_lines('a', lines), 2)}
     assert tables['late'].rows[0][0] == 'a failed attempt'
