--- a/packages/verbenactl/src/verbenactl/_losses.py
+++ b/packages/verbenactl/src/verbenactl/_losses.py
@@ -1,10 +1,9 @@
-"""Where requests were lost or late: by route, window and cause, from logs.
+"""How requests ended, by route, time window and cause, from logs.
 
-A request counts at the moment of its first line, and as what became of it:
-answered on time, answered late, refused, cut off, run to its deadline, left
-by its caller, or failed. What was read in each window is told beside it, so
-that a window in which the engines were full is told from one in which they
-stood idle.
+A request counts in the window of its first line and has one result: answered
+on time or late, refused, truncated, past its deadline, abandoned by its
+caller, failed, or unknown. The prefills of each window are counted as well, to
+distinguish windows with busy engines from those with idle ones.
 """
 
 import collections
@@ -16,7 +15,7 @@
 from verbenactl._delays import DelayBreakdown, count_store_calls
 from verbenactl._explanations import LogLine
 
-#: What became of a request, in the order of the columns.
+#: Results of requests, in the order of the columns.
 RESULTS: Final = (
     'on_time',
     'late',
@@ -27,7 +26,7 @@
     'failed',
     'unknown',
 )
-#: The fate of a request that was given up, by the problem's kind.
+#: Result of a failed request by the kind of its problem; others are ``failed``.
 _RESULT_BY_KIND: Final[Mapping[str, str]] = MappingProxyType(
     {
         'overloaded': 'refused',
@@ -37,13 +36,14 @@
         'deadline_exceeded': 'deadline',
     },
 )
+#: First digit of a successful HTTP status.
 _SUCCESS: Final = '2'
 _THOUSAND: Final = 1000
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Table:
-    """A table of losses: its name, its columns, and its rows in order."""
+    """A printable table: name, column heads and rows."""
 
     name: str
     columns: Sequence[str]
@@ -52,7 +52,7 @@
 
 @final
 class _RequestSummary:
-    """What the lines of one request tell."""
+    """Summary of the lines on one request."""
 
     __slots__ = ('accepted', 'delays', 'first_s', 'given_up', 'outcome')
 
@@ -67,12 +67,12 @@
 
     @property
     def route(self) -> str:
-        """The route by which it was accepted."""
+        """The route of the request."""
         return str(self.accepted.decision.get('route', ''))
 
     @property
     def result(self) -> str:
-        """What became of it."""
+        """The result, one of ``RESULTS``."""
         if self.given_up is not None:
             return _RESULT_BY_KIND.get(self.given_up.get('kind', ''), 'failed')
         if self.outcome == 'caller_gone':
@@ -83,7 +83,11 @@
 
     @property
     def cause(self) -> str:
-        """Why it was given up, without the figures that differ each time."""
+        """Why the request failed.
+
+        Words with digits are left out, so that equal causes are counted
+        together.
+        """
         if self.given_up is None:
             return f'answered {self.outcome}'
         reason = str(self.given_up.get('reason', ''))
@@ -98,7 +102,7 @@
 
 
 def find_losses(lines: Iterable[LogLine], window_s: float) -> Sequence[Table]:
-    """Return the tables of what was lost and late, and of the store's calls."""
+    """Return tables of results, causes, delays and store calls."""
     kept = sorted(lines, key=lambda line: line.at)
     summaries = _summarize_requests(kept)
     started_at = kept[0].at if kept else 0
@@ -171,7 +175,8 @@
         case {'event': 'answered', 'outcome': outcome, 'took_s': took_s}:
             summary.outcome = str(outcome)
             if summary.first_s is None:
-                # A plain answer has no event before its end.
+                # Answers that are not streams have no first event; their end
+                # counts.
                 summary.first_s = float(took_s)
         case _:
             pass
@@ -234,4 +239,4 @@
 
 
 def _contains_digit(word: str) -> bool:
-    return any(sign.isdigit() for sign in word)
+    return any(character.isdigit() for character in word)
