--- a/packages/verbenactl/src/verbenactl/_delays.py
+++ b/packages/verbenactl/src/verbenactl/_delays.py
@@ -1,8 +1,9 @@
-"""Why first events came late, and who called the store, told from logs.
+"""Causes of late first events, and counts of store calls, from logs.
 
-A late first event has one largest cause: its caller had tried before, it
-waited for its turn, an attempt failed, the prefill or the handover took longer
-than expected, or its prompt was too long for the objective from the start.
+A first event after its objective is attributed to the largest of these delays:
+earlier attempts of the caller, the wait in the queue, a failed attempt, a
+prefill or a handover that took longer than expected, or a time expected from
+the start that exceeded the objective, as for a long prompt.
 """
 
 import collections
@@ -16,23 +17,23 @@
 
 @final
 class DelayBreakdown:
-    """Where the time until one request's first event went, in seconds.
+    """The time until the first event of a request, by cause, in seconds.
 
-    ``expected_s`` is what it was to take by the plan, ``spent`` holds what
-    went beyond that, by cause.
+    ``expected_s`` is the time that its placement expected, ``spent`` the time
+    beyond that by cause.
     """
 
     __slots__ = ('expected_s', 'spent', '_placed_at')
 
     def __init__(self, waited_s: float) -> None:
-        """Start with what the caller has waited in earlier attempts."""
+        """Start with the time that the caller spent in earlier attempts."""
         self.expected_s: float = 0
         self.spent: collections.Counter[str] = collections.Counter()
         self.spent['tried before'] = waited_s
         self._placed_at: float | None = None
 
     def add(self, decision: Mapping[str, Any], at: float) -> None:
-        """Take a line of the request."""
+        """Add a line of the request."""
         match decision:
             case {'event': 'scheduled', 'waited_s': waited_s}:
                 self.spent['waited for its turn'] += float(waited_s)
@@ -50,14 +51,17 @@
                 pass
 
     def get_largest_cause(self) -> str:
-        """Return the largest cause."""
+        """Return the cause with the longest time."""
         causes = collections.Counter(self.spent)
         causes['expected from the start'] = self.expected_s
         return causes.most_common(1)[0][0]
 
 
 def count_store_calls(lines: Iterable[LogLine]) -> Sequence[tuple[str, ...]]:
-    """Return calls and kilobytes by call, topic and outcome, most first."""
+    """Return rows of store calls by call, topic and outcome, most first.
+
+    The last cells are the numbers of calls and instances, and kilobytes.
+    """
     calls: collections.Counter[tuple[str, str, str]] = collections.Counter()
     received: collections.Counter[tuple[str, str, str]] = collections.Counter()
     callers = collections.defaultdict(set)
