--- a/packages/verbenactl/src/verbenactl/_explanations.py
+++ b/packages/verbenactl/src/verbenactl/_explanations.py
@@ -1,4 +1,4 @@
-"""Tells a request's way from instances' log lines, and why it ended so."""
+"""Explains a request from log lines: its events and their outcome."""
 
 import dataclasses
 from collections.abc import Iterable, Iterator, Mapping
@@ -7,21 +7,21 @@
 
 from verbenahall import wire
 
-#: Fields that are told by the line itself.
+#: Fields that are not repeated among the fields of a printed line.
 _OMITTED_FIELDS: Final = frozenset(('event', 'at', 'request'))
-#: What the last word on a request means, by its kind.
+#: Explanation of a failed request, by the kind in its last line.
 _CAUSE_BY_KIND: Final[Mapping[str, str]] = MappingProxyType(
     {
         'overloaded': 'refused: it could not be served in time, nothing ran',
         'no_endpoint': 'refused: no endpoint could take it, nothing ran',
-        'not_ready': 'refused: the instance knew no manifest yet',
+        'not_ready': 'refused: the instance had no manifest yet',
         'not_found': 'refused: the manifest in force has no such route',
         'too_large': 'refused: the body is larger than the manifest allows',
-        'deadline_exceeded': 'given up: its time was over before the answer',
-        'endpoint_failed': 'failed: an endpoint broke off, and no attempt was'
+        'deadline_exceeded': 'failed: its deadline passed before the answer',
+        'endpoint_failed': 'failed: an endpoint failed, and no attempt was'
         ' left',
-        'outcome_unknown': 'failed: an endpoint broke off, and it may run only'
-        ' once',
+        'outcome_unknown': 'failed: an endpoint failed, and the request may'
+        ' run only once',
         'answer_truncated': 'cut: its stream broke and could not be resumed',
     },
 )
@@ -29,19 +29,22 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class LogLine:
-    """One decision, and where it was written."""
+    """A decision line and the name of its log."""
 
     source: str
     decision: Mapping[str, Any]
 
     @property
     def at(self) -> float:
-        """When it was written, in the instance's time of day."""
+        """Wall time of the line in seconds, by the instance's clock."""
         return float(self.decision.get('at', 0))
 
 
 def parse_lines(source: str, lines: Iterable[str]) -> Iterator[LogLine]:
-    """Yield the decisions among lines; a prefix names their instance."""
+    """Yield the decisions among the lines.
+
+    Text before the JSON object, if any, replaces ``source``.
+    """
     for line in lines:
         prefix, brace, rest = line.partition('{')
         decision = wire.decode_table((brace + rest).encode()).value_or({})
@@ -50,7 +53,7 @@
 
 
 def explain(lines: Iterable[LogLine], request: str) -> list[str]:
-    """Return the way of a request, one line a decision, and its cause."""
+    """Return a line for each decision on a request, and the cause."""
     matching = [
         line for line in lines if line.decision.get('request') == request
     ]
@@ -64,7 +67,7 @@
 
 
 def find_cause(lines: Iterable[LogLine]) -> str:
-    """Return why a request ended as it did, in one sentence."""
+    """Return a sentence on how and why a request ended."""
     events = {line.decision['event']: line.decision for line in lines}
     last = events.get('given_up') or events.get('refused')
     failed = events.get('attempt_failed')
