--- a/packages/verbenactl/src/verbenactl/_duties.py
+++ b/packages/verbenactl/src/verbenactl/_duties.py
@@ -1,4 +1,4 @@
-"""Who held which duty and what came of it, from logs: usage and scaling."""
+"""Holders of duties, usage windows and scaling orders, from logs."""
 
 import collections
 from collections.abc import Iterable, Iterator, Mapping, Sequence
@@ -11,7 +11,7 @@
 
 
 def find_duties(lines: Iterable[LogLine]) -> Sequence[Table]:
-    """Return the tables of holders, usage windows, and orders for engines."""
+    """Return tables of duty holders, usage windows and engine orders."""
     kept = sorted(lines, key=lambda line: line.at)
     return (
         Table(
@@ -47,7 +47,7 @@
 
 @final
 class _Window:
-    """What the lines of one usage window tell."""
+    """Summary of the lines on one usage window."""
 
     __slots__ = ('decided', 'missing', 'outcomes')
 
@@ -57,7 +57,7 @@
         self.outcomes: collections.Counter[str] = collections.Counter()
 
     def add(self, decision: Mapping[str, Any]) -> None:
-        """Take one line."""
+        """Add one line."""
         match decision:
             case {'event': 'usage_decided'}:
                 self.decided = decision
@@ -71,7 +71,7 @@
                 pass
 
     def describe(self) -> tuple[str, ...]:
-        """Return the columns after the window's number."""
+        """Return the cells of the row after the window's number."""
         return (
             str(self.decided.get('requests', '')),
             str(self.decided.get('workspaces', '')),
