--- a/packages/verbenactl/src/verbenactl/_publisher.py
+++ b/packages/verbenactl/src/verbenactl/_publisher.py
@@ -1,4 +1,4 @@
-"""Talks to the log: folds it, appends publications, reads verdicts."""
+"""Reads settings from the log, publishes changes and finds verdicts."""
 
 from collections.abc import Sequence
 from typing import Any, Final, TypeVar
@@ -19,26 +19,27 @@
 )
 from verbenahall.snapshots import FoldSet, Snapshot, SnapshotStore
 
+#: Records per read of the log.
 _PAGE_SIZE: Final = 500
 
 _RECORDS_EXPIRED: Final = Problem(
     ErrorKind.LOG_UNAVAILABLE,
-    'records expired that no good snapshot holds',
+    'records have expired that are in no valid snapshot',
 )
 
 _Value = TypeVar('_Value')
 
 
 class Publisher:
-    """One author's access to the settings in the log.
+    """Reads and publishes settings on behalf of an author.
 
-    ``state`` is the fold of all that ``start`` and ``catch_up`` have read.
+    ``state`` holds the settings up to the last record that was read.
     """
 
     __slots__ = ('state', 'team', '_author', '_client', '_position')
 
     def __init__(self, client: LogClient, team: str, author: str) -> None:
-        """Publish as ``author`` of ``team``."""
+        """Create a publisher for ``author`` of ``team``."""
         self.state = SettingsState()
         self._position = 0
         self._client = client
@@ -46,7 +47,7 @@
         self._author = author
 
     async def start(self) -> Result[None, Problem]:
-        """Load the newest snapshot, then fold the log up to its end."""
+        """Load the newest snapshot, then apply the log up to its end."""
         store = SnapshotStore(self._client)
         loaded = await store.take_newest(0, self._load_snapshot)
         if isinstance(loaded, Failure):
@@ -54,7 +55,7 @@
         return await self.catch_up()
 
     async def catch_up(self) -> Result[None, Problem]:
-        """Fold the log from where it was left up to its end."""
+        """Apply the records from the last position to the log's end."""
         while True:
             read = await self._client.read(
                 self._position,
@@ -78,7 +79,7 @@
         self,
         changes: Sequence[Change],
     ) -> Result[Verdict, Problem]:
-        """Append one record and return the verdict on it."""
+        """Append one record with the changes and return its verdict."""
         appended = await self._client.append(
             SETTINGS_STREAM,
             self._encode(changes),
@@ -92,9 +93,10 @@
         return self._find_verdict(offset)
 
     def predict_verdict(self, changes: Sequence[Change]) -> Verdict:
-        """Return the verdict if the changes came next.
+        """Return the verdict that the changes would get now.
 
-        The fold then holds them, so it must not be used afterwards.
+        This applies them to ``state``, so the publisher must not be used
+        afterwards.
         """
         offset = self.state.position + 1
         record = Record(offset, SETTINGS_STREAM, '', self._encode(changes))
@@ -123,7 +125,7 @@
 
 
 def unwrap_or_raise(outcome: Result[_Value, Problem]) -> _Value:
-    """Return the value, or raise the problem for the command to tell."""
+    """Return the value, or raise the problem as ``ProblemError``."""
     if isinstance(outcome, Failure):
         raise ProblemError(outcome.failure())
     return outcome.unwrap()
