--- a/packages/verbenactl/src/verbenactl/_publish_commands.py
+++ b/packages/verbenactl/src/verbenactl/_publish_commands.py
@@ -1,6 +1,6 @@
-"""The commands that write settings: publish, drain and undrain.
+"""Commands that check and publish settings.
 
-Each appends to the log; the instances judge and apply what stands there.
+Publishing appends records to the log, which the instances check and apply.
 """
 
 import collections
@@ -25,18 +25,20 @@
 
 _FILE: Final = argument('file', 'TOML file of published settings.')
 _ENDPOINT: Final = argument('endpoint', "The endpoint's name.")
-_PRUNE: Final = option('prune', None, 'Remove what the file leaves out.')
+_PRUNE: Final = option(
+    'prune', None, 'Remove entries of the team that are not in the file.'
+)
 _WAIT: Final = option(
     'wait',
     None,
-    'Seconds to wait until it is in force on the instances given.',
+    'Seconds to wait until the given instances have applied it.',
     flag=False,
     default='10',
 )
 
 
 class PublishingCommand(_base.AsyncCommand):
-    """Appends the changes that ``list_changes`` returns."""
+    """Publishes the changes that ``list_changes`` returns."""
 
     options: ClassVar[list[Option]] = [
         _base.LOG,
@@ -47,10 +49,10 @@
     ]
 
     async def run_async(self) -> int:
-        """Publish and wait until it is in force."""
+        """Read the published settings, then publish; return the exit code."""
         team = self.get_required_option('team')
         if not is_team_name(team):
-            raise CleoUserError(f'{team!r} is no name of a team')
+            raise CleoUserError(f'{team!r} is not a valid team name')
         author = self.option('author') or getpass.getuser()
         async with aiohttp.ClientSession() as session:
             client = LogClient(
@@ -61,7 +63,7 @@
             return await self.publish(publisher)
 
     async def publish(self, publisher: Publisher) -> int:
-        """Publish what has to change; return the exit code."""
+        """Publish the changes, if any, and wait until they are in force."""
         changes = self.list_changes(publisher)
         if not changes:
             self.line('nothing to change')
@@ -78,7 +80,7 @@
         raise NotImplementedError
 
     def print_verdict(self, verdict: Verdict) -> None:
-        """Write one verdict as lines."""
+        """Print a verdict."""
         refusal = verdict.refusal
         if refusal is None:
             count = len(verdict.paths)
@@ -95,7 +97,7 @@
         publisher: Publisher,
         changes: Sequence[Change],
     ) -> int:
-        """Return the last record's offset, 0 once one was refused."""
+        """Return the offset of the last record, or 0 if one was refused."""
         batches = collections.deque(split_changes(changes))
         if len(batches) > 1:
             self.line(f'published as {len(batches)} records, one by one')
@@ -124,7 +126,7 @@
 
 
 class PublishCommand(PublishingCommand):
-    """Publishes a file."""
+    """Publishes the settings of a file."""
 
     name = 'publish'
     description = 'Publish the settings of a file.'
@@ -132,7 +134,7 @@
     options: ClassVar[list[Option]] = [*PublishingCommand.options, _PRUNE]
 
     def handle(self) -> int:
-        """Tell the file's faults before anything is read from the log."""
+        """Check the file before the log is read; print its faults."""
         values = read_values(Path(self.argument('file')))
         if isinstance(values, Failure):
             for fault in values.failure():
@@ -141,7 +143,7 @@
         return super().handle()
 
     def list_changes(self, publisher: Publisher) -> Sequence[Change]:
-        """Return what differs between the file and what stands."""
+        """Return the differences between file and published settings."""
         values = read_values(Path(self.argument('file'))).unwrap()
         return list_changes(
             publisher.state,
@@ -152,13 +154,13 @@
 
 
 class DiffCommand(PublishCommand):
-    """Shows what ``publish`` would change."""
+    """Shows what ``publish`` would change, and whether it would be refused."""
 
     name = 'diff'
     description = 'Show what publishing a file would change.'
 
     async def publish(self, publisher: Publisher) -> int:
-        """Write the changes and the verdict expected now."""
+        """Print the changes and, if they would be refused, the reason."""
         changes = self.list_changes(publisher)
         for change in changes:
             self.line(format_change(change))
@@ -173,14 +175,14 @@
 
 
 class LintCommand(_base.AsyncCommand):
-    """Checks a file by itself."""
+    """Checks a file without reading the log."""
 
     name = 'lint'
-    description = 'Check a file of published settings; tells all faults.'
+    description = 'Check a file of published settings and print all faults.'
     arguments: ClassVar[list[Argument]] = [_FILE]
 
     def handle(self) -> int:
-        """Write every fault."""
+        """Print all faults, or the number of entries."""
         values = read_values(Path(self.argument('file')))
         if isinstance(values, Failure):
             for fault in values.failure():
@@ -195,7 +197,7 @@
     """Publishes a drain."""
 
     name = 'drain'
-    description = 'Give an endpoint no new work.'
+    description = 'Stop giving new work to an endpoint.'
     arguments: ClassVar[list[Argument]] = [_ENDPOINT]
     options: ClassVar[list[Option]] = [
         *PublishingCommand.options,
@@ -203,7 +205,7 @@
     ]
 
     def list_changes(self, publisher: Publisher) -> Sequence[Change]:
-        """Return the drain, unless it stands already."""
+        """Return the drain, unless the same one exists."""
         path = _drain_path(self, publisher)
         value = {'reason': self.option('reason')}
         if find_value(publisher.state, path) == value:
@@ -215,11 +217,11 @@
     """Removes a drain."""
 
     name = 'undrain'
-    description = 'Give a drained endpoint work again.'
+    description = 'Resume giving work to a drained endpoint.'
     arguments: ClassVar[list[Argument]] = [_ENDPOINT]
 
     def list_changes(self, publisher: Publisher) -> Sequence[Change]:
-        """Return the removal, unless no drain stands."""
+        """Return the removal of the drain, if there is one."""
         path = _drain_path(self, publisher)
         if find_value(publisher.state, path) is None:
             return ()
