--- a/packages/verbenactl/src/verbenactl/_inspect_commands.py
+++ b/packages/verbenactl/src/verbenactl/_inspect_commands.py
@@ -1,4 +1,4 @@
-"""The commands that read instances and logs: status, explain, losses."""
+"""Commands that read instances and logs, such as status and losses."""
 
 import itertools
 import sys
@@ -21,13 +21,13 @@
 
 
 class InspectingCommand(_base.AsyncCommand):
-    """Asks the instances given for one view."""
+    """Fetches a view from the given instances and prints it."""
 
     view = ''
     options: ClassVar[list[Option]] = [_base.INSTANCES]
 
     async def run_async(self) -> int:
-        """Ask and write the answers; unanswered is unreachable."""
+        """Fetch and print the view; return the exit code."""
         self.get_required_option('instance')
         query = self.build_query()
         async with self.open_instances() as instances:
@@ -35,11 +35,11 @@
         return self.print_answers(answers)
 
     def build_query(self) -> dict[str, str]:
-        """Return what the view is asked for."""
+        """Return the query of the view's URL."""
         return {}
 
     def print_answers(self, answers: Answers) -> int:
-        """Write each instance's answer as lines of JSON."""
+        """Print the answer or the problem of each instance."""
         code = _exit_codes.DONE
         for answer in answers.values():
             match answer:
@@ -51,7 +51,7 @@
         return code
 
     def print_view(self, view: dict[str, Any]) -> None:
-        """Write one instance's answer."""
+        """Print one instance's answer as a line of JSON."""
         self.line(wire.encode(view).decode())
 
 
@@ -63,7 +63,7 @@
     view = 'status'
 
     def print_view(self, view: dict[str, Any]) -> None:
-        """Write one line for an instance."""
+        """Print a line on an instance."""
         readiness = (
             'ready' if view['ready'] else f'not ready ({view["reason"]})'
         )
@@ -76,7 +76,7 @@
 
 
 class HistoryCommand(InspectingCommand):
-    """Shows who changed a path."""
+    """Shows the history of a path."""
 
     name = 'history'
     description = 'Show who changed a path, at which offset, and refusals.'
@@ -86,13 +86,14 @@
     ]
 
     def build_query(self) -> dict[str, str]:
-        """Ask for the path."""
+        """Return the path as the query."""
         return {'path': self.argument('path')}
 
     def print_view(self, view: dict[str, Any]) -> None:
-        """Write a line for each verdict, oldest first, and what stands.
+        """Print a line for each verdict, oldest first, and the value in force.
 
-        Only the latest verdicts are kept; the value may be older than them.
+        Instances keep only the latest verdicts, so the value may be older
+        than all of them.
         """
         for verdict in view['verdicts']:
             refusal = verdict['refusal']
@@ -111,8 +112,8 @@
 
     name = 'explain'
     description = (
-        'Show why a request went where it did, or an engine changed; by its'
-        ' identity from logs, or by asking instances.'
+        "Show the decisions on a request or an engine: by a request's"
+        ' identity from logs, or from instances.'
     )
     view = 'explain'
     arguments: ClassVar[list[Argument]] = [
@@ -132,7 +133,7 @@
     ]
 
     async def run_async(self) -> int:
-        """Read logs for an identity, or ask the instances given."""
+        """Explain an identity from logs, or fetch from the given instances."""
         if not self.argument('id'):
             return await super().run_async()
         lines = itertools.chain.from_iterable(
@@ -143,23 +144,23 @@
         return _exit_codes.DONE
 
     def build_query(self) -> dict[str, str]:
-        """Ask for the request or the engine."""
+        """Return the request or the engine as the query."""
         for name in ('request', 'engine'):
             if self.option(name):
                 return {name: self.option(name)}
         raise CleoUserError('give an identity, --request or --engine')
 
     def print_view(self, view: dict[str, Any]) -> None:
-        """Write each decision as a line of JSON."""
+        """Print each decision as a line of JSON."""
         for decision in view['decisions']:
             self.line(wire.encode(decision).decode())
 
 
 class LossesCommand(_base.AsyncCommand):
-    """Shows where requests were lost, from instances' logs."""
+    """Shows how requests ended, from instances' logs."""
 
     name = 'losses'
-    description = 'Show what became of requests, by route, window and cause.'
+    description = 'Show how requests ended, by route, window and cause.'
     arguments: ClassVar[list[Argument]] = [
         argument(
             'log',
@@ -169,7 +170,13 @@
         ),
     ]
     options: ClassVar[list[Option]] = [
-        option('window', None, 'Seconds of a window.', flag=False, default='2'),
+        option(
+            'window',
+            None,
+            'Length of a window in seconds.',
+            flag=False,
+            default='2',
+        ),
     ]
 
     async def run_async(self) -> int:
@@ -191,10 +198,10 @@
 
 
 class DutiesCommand(_base.AsyncCommand):
-    """Shows duties, their holders and what came of them, from logs."""
+    """Shows holders of duties, usage windows and engine orders, from logs."""
 
     name = 'duties'
-    description = 'Show who held duties, usage windows, and engine orders.'
+    description = 'Show holders of duties, usage windows and engine orders.'
     arguments: ClassVar[list[Argument]] = LossesCommand.arguments
 
     async def run_async(self) -> int:
