--- a/packages/verbenactl/src/verbenactl/_changes.py
+++ b/packages/verbenactl/src/verbenactl/_changes.py
@@ -1,4 +1,4 @@
-"""Which changes a file asks for, against what stands."""
+"""Differences between a file and the published settings."""
 
 from collections.abc import Iterator, Sequence
 from typing import Final
@@ -13,10 +13,11 @@
     list_paths,
 )
 
-#: Leaves room in a record for team, author and identity.
+#: Maximum of encoded changes in a record; the rest of a record's size is for
+#: team, author and identity.
 _MAX_RECORD_BYTES: Final = 60_000
-#: What others refer to comes first, so that a file of several records holds
-#: together after each of them.
+#: Sections in the order of publication: entries come before those that refer
+#: to them, so that each record of a split file is valid by itself.
 _SECTION_ORDER: Final = ('defaults', 'models', 'adapters', 'pools')
 
 
@@ -27,9 +28,9 @@
     *,
     prune: bool = False,
 ) -> tuple[Change, ...]:
-    """Return what has to change for the file's values to stand.
+    """Return the changes that bring the published settings to ``values``.
 
-    With ``prune``, the team's entries that the file leaves out are removed.
+    With ``prune``, the team's entries that ``values`` lacks are removed.
     """
     wanted = {f'{team}/{key}': value for key, value in values.items()}
     changes = [
@@ -47,7 +48,7 @@
 
 
 def split_changes(changes: Sequence[Change]) -> Iterator[tuple[Change, ...]]:
-    """Split changes into as few records as their size allows."""
+    """Split changes into batches that each fit into one record."""
     batch: list[Change] = []
     length = 0
     for change in changes:
@@ -63,7 +64,7 @@
 
 
 def format_change(change: Change) -> str:
-    """Return one change as a line."""
+    """Return a line that shows one change."""
     if change.value is None:
         return f'- {change.path}'
     sign = '~' if change.base else '+'
