--- a/packages/verbenactl/src/verbenactl/_check_command.py
+++ b/packages/verbenactl/src/verbenactl/_check_command.py
@@ -1,4 +1,4 @@
-"""The command that checks a process's settings file before it is used."""
+"""The command that checks a settings file before a process uses it."""
 
 from collections.abc import Callable, Mapping
 from pathlib import Path
@@ -20,18 +20,18 @@
 _Faults = tuple[Fault, ...]
 _Reader = Callable[[Path], Result[Any, _Faults]]
 
-#: Who reads the file: an entry instance on the platform, or one that runs by
-#: the product's own settings.
+#: Functions that read each kind of settings file: that of an entry instance on
+#: the platform, and that of an instance with settings of its own.
 _READERS: Final[Mapping[str, _Reader]] = MappingProxyType(
     {'platform': read_settings, 'instance': read_instance_config},
 )
 
 
 class CheckCommand(Command):
-    """Reads a file as the process would, and tells every fault at once."""
+    """Reads a file as the process would, and prints all of its faults."""
 
     name = 'check'
-    description = "Check a process's settings file; tell file, line and key."
+    description = "Check a process's settings file; print its faults."
     arguments: ClassVar[list[Argument]] = [
         argument('file', 'TOML file of one process.'),
     ]
@@ -39,14 +39,14 @@
         option(
             'kind',
             None,
-            'Who reads it: platform or instance.',
+            'Kind of the file: platform or instance.',
             flag=False,
             default='platform',
         ),
     ]
 
     def handle(self) -> int:
-        """Read the file and write its faults."""
+        """Read the file and print its faults."""
         read = _READERS.get(self.option('kind'))
         if read is None:
             kinds = ', '.join(_READERS)
