--- a/packages/verbenactl/src/verbenactl/_settings_files.py
+++ b/packages/verbenactl/src/verbenactl/_settings_files.py
@@ -1,4 +1,4 @@
-"""Published settings in files: faults with their lines, and values."""
+"""Reads files of published settings; faults name their lines."""
 
 import re
 import tomllib
@@ -11,15 +11,15 @@
 from verbenahall.schema import Fault, Source, read_text
 from verbenahall.settings import PUBLISHED_SCHEMA, check_value, split_path
 
-#: Stands for the team where only the rest of a path is looked at.
+#: Placeholder for the team, which a file's paths lack.
 _ANY_TEAM: Final = 'team'
 
-#: ``section/name`` to the value as the file gives it, nothing filled in.
+#: Values by ``section/name`` as in the file, without defaults.
 Values = Mapping[str, dict[str, Any]]
 
 
 def read_values(file: Path) -> Result[Values, tuple[Fault, ...]]:
-    """Read a file of published settings, or return every fault in it."""
+    """Read a file of published settings, or return all of its faults."""
     try:
         text = file.read_text(encoding='utf-8')
     except (OSError, UnicodeDecodeError) as error:
@@ -54,5 +54,5 @@
 
 
 def is_team_name(name: str) -> bool:
-    """Whether a text can be a team's name."""
+    """Whether a text is a valid team name."""
     return re.fullmatch('[a-z0-9][a-z0-9_.-]{0,62}', name) is not None
