--- a/packages/verbenactl/src/verbenactl/_instances.py
+++ b/packages/verbenactl/src/verbenactl/_instances.py
@@ -1,4 +1,4 @@
-"""Reads the administration API of instances."""
+"""Client of the administration API of instances."""
 
 import asyncio
 import dataclasses
@@ -16,13 +16,13 @@
 _OK: Final = 200
 
 Answer = Result[dict[str, Any], Problem]
-#: Each instance's address and what it answered.
+#: Answers by the address of the instance.
 Answers = Mapping[str, Answer]
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class InForce:
-    """Which instances have applied an offset, after how many seconds."""
+    """Instances that have applied an offset, and those that have not."""
 
     reached: tuple[str, ...]
     missing: tuple[str, ...]
@@ -30,7 +30,7 @@
 
 
 class Instances:
-    """The instances at some addresses, asked under one token."""
+    """Client of several instances with one token."""
 
     __slots__ = ('_addresses', '_headers', '_session')
 
@@ -40,7 +40,7 @@
         addresses: Sequence[str],
         token: str,
     ) -> None:
-        """Ask the instances at ``addresses`` (``IP:port``)."""
+        """Create a client of the instances at ``addresses`` (``IP:port``)."""
         self._session = session
         self._addresses = tuple(addresses)
         self._headers = {'Authorization': f'Bearer {token}'}
@@ -50,7 +50,7 @@
         view: str,
         query: Mapping[str, str] | None = None,
     ) -> Answers:
-        """Ask every instance at once for a view of ``/admin/v1``."""
+        """Fetch a view of ``/admin/v1`` from all instances concurrently."""
         answers = await asyncio.gather(
             *(self.fetch(address, view, query) for address in self._addresses),
         )
@@ -62,7 +62,7 @@
         view: str,
         query: Mapping[str, str] | None = None,
     ) -> Answer:
-        """Ask one instance for a view of ``/admin/v1``."""
+        """Fetch a view of ``/admin/v1`` from one instance."""
         try:
             async with self._session.get(
                 f'http://{address}/admin/v1/{view}',
@@ -81,7 +81,7 @@
         return wire.decode_table(body)
 
     async def wait_in_force(self, offset: int, wait_s: float) -> InForce:
-        """Wait until every instance has applied a settings offset."""
+        """Wait up to ``wait_s`` until all instances have applied an offset."""
         started = clock.monotonic()
         while True:
             reached = await self._list_reached(offset)
