--- a/packages/verbenactl/src/verbenactl/_base.py
+++ b/packages/verbenactl/src/verbenactl/_base.py
@@ -1,4 +1,4 @@
-"""What the commands share: options, running and telling problems."""
+"""Shared by the commands: options, running, and printing of problems."""
 
 import asyncio
 import contextlib
@@ -19,8 +19,10 @@
 _TOKEN_VARIABLE: Final = 'VERBENACTL_TOKEN'
 
 LOG: Final = option('log', None, "The log's IP:port.", flag=False)
-TEAM: Final = option('team', None, 'The team that publishes.', flag=False)
-AUTHOR: Final = option('author', None, 'Who publishes.', flag=False)
+TEAM: Final = option('team', None, 'The team to publish for.', flag=False)
+AUTHOR: Final = option(
+    'author', None, 'Author of the change; default: the user name.', flag=False
+)
 INSTANCES: Final = option(
     'instance',
     'i',
@@ -31,12 +33,12 @@
 
 
 class AsyncCommand(Command):
-    """A command whose work is ``run_async``; its result is the exit code."""
+    """A command that runs ``run_async`` and exits with its result."""
 
     options: ClassVar[list[Option]] = []
 
     def handle(self) -> int:
-        """Run the command; a problem ends it as unreachable."""
+        """Run the command; a ``ProblemError`` exits with ``UNREACHABLE``."""
         try:
             return asyncio.run(self.run_async())
         except ProblemError as error:
@@ -44,25 +46,25 @@
             return _exit_codes.UNREACHABLE
 
     async def run_async(self) -> int:
-        """Do the command's work and return its exit code."""
+        """Run the command and return its exit code."""
         raise NotImplementedError
 
     def get_required_option(self, name: str) -> Any:
-        """Return an option that must be given."""
+        """Return an option's value; raise if the option is not given."""
         given = self.option(name)
         if not given:
             raise CleoUserError(f'the option --{name} must be given')
         return given
 
     def print_problem(self, problem: Problem) -> None:
-        """Write a problem to standard error, and whether it had an effect."""
+        """Print a problem and whether the call ran to standard error."""
         kind = problem.kind.value
         ran = problem.answer.ran.value
         self.line_error(f'{kind} (ran {ran}): {problem.message}')
 
     @contextlib.asynccontextmanager
     async def open_instances(self) -> AsyncIterator[Instances]:
-        """Yield the instances that the options name."""
+        """Yield a client of the instances given as options."""
         async with aiohttp.ClientSession() as session:
             yield Instances(
                 session,
