--- a/packages/verbenactl/src/verbenactl/__init__.py
+++ b/packages/verbenactl/src/verbenactl/__init__.py
@@ -1,3 +1,3 @@
-"""Operators' command: lint, publish, diff, history, status, explain."""
+"""The operators' command line."""
 
 __version__ = '0.1.0'
--- a/packages/verbenactl/src/verbenactl/_exit_codes.py
+++ b/packages/verbenactl/src/verbenactl/_exit_codes.py
@@ -2,9 +2,9 @@
 
 from typing import Final
 
-#: All was done as asked.
+#: The command succeeded.
 DONE: Final = 0
 #: The file has faults, or the change was refused or is not in force yet.
 REFUSED: Final = 1
-#: The command was used wrongly, or nobody answered.
+#: The arguments are wrong, or the log or an instance did not answer.
 UNREACHABLE: Final = 2
