--- a/packages/verbenactl/tests/test_checking.py
+++ b/packages/verbenactl/tests/test_checking.py
@@ -1,4 +1,4 @@
-"""A settings file is checked before a process gets it."""
+"""The command ``check`` on settings files of processes."""
 
 import subprocess
 
@@ -11,7 +11,7 @@
 
 
 def check(file, *options):
-    """Run the command; return its exit code and what it wrote."""
+    """Run the command; return its exit code and its output."""
     done = subprocess.run(
         [process.find_script('verbenactl'), 'check', str(file), *options],
         capture_output=True,
@@ -26,9 +26,9 @@
     assert check(path) == (0, 'no faults\n')
 
 
-def test_all_faults_are_told_with_file_line_and_key(tmp_path):
-    # An operator's template has two slips. Told one at a time, each would
-    # cost another rollout that ends at its first instance.
+def test_all_faults_are_printed_with_file_line_and_key(tmp_path):
+    # A template has two faults. If only the first were printed, a rollout
+    # with the corrected file would fail again at the second.
     path = write_settings(tmp_path, '127.0.0.1:1')
     text = path.read_text().replace('drainMs = 2000', 'drainMs = "2 s"')
     path.write_text(text.replace('zone = "lampeter"', 'zone = ""'))
@@ -40,7 +40,7 @@
     assert code == 1
 
 
-def test_own_settings_of_an_instance_are_checked(tmp_path):
+def test_instance_settings_are_checked(tmp_path):
     path = tmp_path / 'instance.toml'
     path.write_text('[instance]\nnam = "a"\n')
     code, output = check(path, '--kind', 'instance')
@@ -48,7 +48,7 @@
     assert 'instance.nam' in output
 
 
-def test_unknown_kind_is_told(tmp_path):
+def test_unknown_kind_is_refused(tmp_path):
     code, output = check(tmp_path / 'none.toml', '--kind', 'other')
     assert code == 2
     assert 'platform, instance' in output
