--- a/packages/verbenactl/tests/test_commands.py
+++ b/packages/verbenactl/tests/test_commands.py
@@ -1,4 +1,4 @@
-"""The commands as processes against a log over TCP."""
+"""The commands, run as processes against a log over TCP."""
 
 import subprocess
 
@@ -27,7 +27,7 @@
 
 @pytest.fixture(scope='module')
 def log():
-    """A log of this module's own."""
+    """A log process for this module; its address."""
     started = process.start('verbenahall_standins.log', '--port', '0')
     yield started.address
     started.stop()
@@ -35,7 +35,7 @@
 
 @pytest.fixture
 def call(log, tmp_path):
-    """Run one command; return its exit code and what it wrote."""
+    """Run one command; return its exit code and its output."""
 
     def run(command, *arguments, text=FILE, team='desk'):
         file = tmp_path / 'settings.toml'
@@ -59,7 +59,7 @@
 
 
 def test_publish_diff_drain_and_their_exit_codes(call):
-    """Two teams and a file go through every answer of the commands."""
+    """Two teams publish, compare and drain, with each exit code."""
     steps = [
         (('lint', 'FILE'), {}, 0, 'no faults'),
         (('diff', 'FILE'), {}, 0, '+ desk/models/drafter'),
@@ -79,7 +79,7 @@
 
 
 def test_prune_removes_what_the_file_leaves_out(call):
-    """Entries that an operator deletes from the file go only when asked."""
+    """Entries missing in the file are removed only with ``--prune``."""
     text = '[workspaces.only]\n'
     call('publish', 'FILE', text='[workspaces.gone]\n', team='p')
     kept = call('diff', 'FILE', text=text, team='p')[1]
@@ -89,8 +89,8 @@
     assert '- p/workspaces/gone' in pruned
 
 
-def test_large_file_is_split_and_says_so(call):
-    """A file does not fit one record of the log."""
+def test_large_file_is_published_as_several_records(call):
+    """A file does not fit into one record of the log."""
     text = ''.join(f'[workspaces.many-{name}]\n' for name in range(1500))
     code, output = call('publish', 'FILE', text=text, team='many')
 
@@ -112,7 +112,7 @@
     ],
 )
 def test_faults_and_wrong_usage(call, given, text, code, part):
-    """A file has faults, or the command is used wrongly."""
+    """Faults in a file exit with 1, wrong arguments with 2."""
     found, output = call(*given, text=text)
 
     assert (found, part in output) == (code, True), output
