--- a/packages/verbenactl/tests/test_duties.py
+++ b/packages/verbenactl/tests/test_duties.py
@@ -1,4 +1,4 @@
-"""Duties told from the lines of several instances."""
+"""The command ``duties``: tables from log lines."""
 
 import json
 import subprocess
