--- a/packages/verbenactl/tests/test_losses.py
+++ b/packages/verbenactl/tests/test_losses.py
@@ -1,4 +1,4 @@
-"""What became of requests, told from the lines of several instances."""
+"""The command ``losses``: tables of requests from log lines."""
 
 import json
 import subprocess
@@ -60,26 +60,26 @@
 
 
 def test_a_stream_is_on_time_by_its_first_event():
-    # A long stream ends late and was on time all the same.
+    # The objective is for the first event; the end of a stream may be later.
     row = find()['route'][0]
     assert (row['asked'], row['on_time'], row['late']) == ('5', '1', '2')
 
 
 def test_time_of_earlier_attempts_counts():
-    # A caller that was refused once and is then served at once has waited
-    # for longer than its objective.
+    # A caller was refused once and then served at once. The time since its
+    # first attempt exceeds the objective.
     lines = make_lines('r', 1.0, generated(0.1), answered('200'), waited_s=0.6)
     tables = find_losses(parse_lines('a', lines), 2)
     assert tables[0].rows[0][3] == '1'
 
 
-def test_windows_tell_what_was_read_in_them():
+def test_windows_count_their_prefills():
     first, second = find()['window']
     assert (first['from_s'], first['asked'], first['reads']) == ('0', '3', '0')
     assert (second['asked'], second['read_k']) == ('4', '2')
 
 
-def test_causes_join_what_differs_in_figures_only():
+def test_causes_that_differ_only_in_numbers_are_counted_together():
     causes = find()['cause']
     assert causes[0] == {
         'cause': 'overloaded: wait',
@@ -88,7 +88,7 @@
     }
 
 
-def test_requests_without_an_end_are_told():
+def test_requests_without_a_final_line_are_counted():
     other = find()['route'][1]
     assert (other['left'], other['unknown']) == ('1', '1')
 
@@ -118,14 +118,14 @@
     assert run_command(given='\n'.join(LINES)).stdout == from_file.stdout
 
 
-def test_window_without_length_is_a_fault():
+def test_window_of_zero_length_is_refused():
     result = run_command('--window', '0')
     assert result.returncode != 0
     assert '--window takes seconds above 0' in result.stderr
 
 
 def find_late(*rows, waited_s=0):
-    """Return the cause of a late answer, from a request's lines."""
+    """Return the causes of late answers from a request's lines."""
     lines = make_lines('r', 1.0, *rows, answered('200'), waited_s=waited_s)
     tables = {one.name: one for one in find_losses(parse_lines('a', lines), 2)}
     return [row[0] for row in tables['late'].rows]
@@ -143,8 +143,8 @@
     return {'event': 'read', 'took_s': took_s}
 
 
-def test_late_answers_are_told_by_their_largest_cause():
-    """A user asks why an answer was late; nothing failed on the way."""
+def test_late_answers_are_counted_by_their_largest_cause():
+    """An answer is late although no attempt failed."""
     first = {**generated(0.5), 'first_s': 0.02}
     assert find_late(scheduled(0.4), placed(0.1), read(0.1), first) == [
         'waited for its turn'
@@ -164,8 +164,8 @@
     ]
 
 
-def test_time_of_a_failed_attempt_is_told():
-    """An engine fell silent, and the request went to another one."""
+def test_time_of_a_failed_attempt_is_a_cause():
+    """An engine stops responding, and another one serves the request."""
     first = {**generated(1.5), 'first_s': 0.02}
     lines = [
         *make_lines('r', 1.0, placed(0.1)),
@@ -178,8 +178,8 @@
     assert tables['late'].rows[0][0] == 'a failed attempt'
 
 
-def test_calls_to_the_store_are_told_by_topic():
-    """The store is shared by all; who calls it most, and what for?"""
+def test_store_calls_are_counted_by_topic():
+    """An operator looks for the topics with the most calls to the store."""
     call = {'event': 'store_call', 'call': 'read', 'outcome': '200'}
     lines = [
         json.dumps({**call, 'at': 1, 'topic': 'leases', 'received': 1500}),
