--- a/packages/verbenactl/src/verbenactl/_changes.py
+++ b/packages/verbenactl/src/verbenactl/_changes.py
@@ -1,9 +1,9 @@
-"""Which changes a file asks for, against what stands."""
+"""Differences between a file and the published settings."""
 
 from collections.abc import Iterator, Sequence
 from typing import Final
 
-from verbenactl._sources import Values
+from verbenactl._settings_files import Values
 from verbenahall import wire
 from verbenahall.settings import (
     Change,
@@ -13,11 +13,12 @@
     list_paths,
 )
 
-#: Leaves room in a record for team, author and identity.
-_MOST_BYTES: Final = 60_000
-#: What others refer to comes first, so that a file of several records holds
-#: together after each of them.
-_ORDER: Final = ('defaults', 'models', 'adapters', 'pools')
+#: Maximum of encoded changes in a record; the rest of a record's size is for
+#: team, author and identity.
+_MAX_RECORD_BYTES: Final = 60_000
+#: Sections in the order of publication: entries come before those that refer
+#: to them, so that each record of a split file is valid by itself.
+_SECTION_ORDER: Final = ('defaults', 'models', 'adapters', 'pools')
 
 
 def list_changes(
@@ -27,14 +28,14 @@
     *,
     prune: bool = False,
 ) -> tuple[Change, ...]:
-    """Return what has to change for the file's values to stand.
+    """Return the changes that bring the published settings to ``values``.
 
-    With ``prune``, the team's entries that the file leaves out are removed.
+    With ``prune``, the team's entries that ``values`` lacks are removed.
     """
     wanted = {f'{team}/{key}': value for key, value in values.items()}
     changes = [
         Change(path, find_offset(state, path), wanted[path])
-        for path in sorted(wanted, key=_rank)
+        for path in sorted(wanted, key=_get_sort_key)
         if find_value(state, path) != wanted[path]
     ]
     if prune:
@@ -47,12 +48,12 @@
 
 
 def split_changes(changes: Sequence[Change]) -> Iterator[tuple[Change, ...]]:
-    """Split changes into as few records as their size allows."""
+    """Split changes into batches that each fit into one record."""
     batch: list[Change] = []
     length = 0
     for change in changes:
         size = len(wire.encode(change)) + 1
-        if batch and length + size > _MOST_BYTES:
+        if batch and length + size > _MAX_RECORD_BYTES:
             yield tuple(batch)
             batch = []
             length = 0
@@ -62,8 +63,8 @@
         yield tuple(batch)
 
 
-def describe(change: Change) -> str:
-    """Return one change as a line."""
+def format_change(change: Change) -> str:
+    """Return a line that shows one change."""
     if change.value is None:
         return f'- {change.path}'
     sign = '~' if change.base else '+'
@@ -71,7 +72,7 @@
     return f'{sign} {change.path} {rendered}'
 
 
-def _rank(path: str) -> tuple[int, str]:
+def _get_sort_key(path: str) -> tuple[int, str]:
     section = path.split('/')[1]
-    known = section in _ORDER
-    return _ORDER.index(section) if known else len(_ORDER), path
+    known = section in _SECTION_ORDER
+    return _SECTION_ORDER.index(section) if known else len(_SECTION_ORDER), path
--- a/packages/verbenactl/src/verbenactl/_duties.py
+++ b/packages/verbenactl/src/verbenactl/_duties.py
@@ -1,17 +1,17 @@
-"""Who held which duty and what came of it, from logs: usage and scaling."""
+"""Holders of duties, usage windows and scaling orders, from logs."""
 
 import collections
 from collections.abc import Iterable, Iterator, Mapping, Sequence
 from typing import Any, Final, final
 
-from verbenactl._explaining import LogLine
+from verbenactl._explanations import LogLine
 from verbenactl._losses import Table
 
-_HELD: Final = frozenset(('duty_held', 'duty_lost'))
+_HOLDER_EVENTS: Final = frozenset(('duty_held', 'duty_lost'))
 
 
 def find_duties(lines: Iterable[LogLine]) -> Sequence[Table]:
-    """Return the tables of holders, usage windows, and orders for engines."""
+    """Return tables of duty holders, usage windows and engine orders."""
     kept = sorted(lines, key=lambda line: line.at)
     return (
         Table(
@@ -35,7 +35,7 @@
 def _list_holders(lines: Iterable[LogLine]) -> Iterator[tuple[str, ...]]:
     for line in lines:
         decision = line.decision
-        if decision['event'] in _HELD:
+        if decision['event'] in _HOLDER_EVENTS:
             yield (
                 f'{line.at:.3f}',
                 str(decision.get('duty', '')),
@@ -47,7 +47,7 @@
 
 @final
 class _Window:
-    """What the lines of one usage window tell."""
+    """Summary of the lines on one usage window."""
 
     __slots__ = ('decided', 'missing', 'outcomes')
 
@@ -57,7 +57,7 @@
         self.outcomes: collections.Counter[str] = collections.Counter()
 
     def add(self, decision: Mapping[str, Any]) -> None:
-        """Take one line."""
+        """Add one line."""
         match decision:
             case {'event': 'usage_decided'}:
                 self.decided = decision
@@ -71,13 +71,13 @@
                 pass
 
     def describe(self) -> tuple[str, ...]:
-        """Return the columns after the window's number."""
+        """Return the cells of the row after the window's number."""
         return (
             str(self.decided.get('requests', '')),
             str(self.decided.get('workspaces', '')),
             self.missing,
             ' '.join(
-                f'{told} {count}' for told, count in self.outcomes.items()
+                f'{status} {count}' for status, count in self.outcomes.items()
             ),
         )
 
--- a/packages/verbenactl/src/verbenactl/_inspect.py
+++ b/packages/verbenactl/src/verbenactl/_inspect_commands.py
@@ -1,4 +1,4 @@
-"""The commands that read instances and logs: status, explain, losses."""
+"""Commands that read instances and logs, such as status and losses."""
 
 import itertools
 import sys
@@ -12,46 +12,46 @@
 from cleo.io.inputs.option import Option
 from returns.result import Success
 
-from verbenactl import _base, _exits
+from verbenactl import _base, _exit_codes
 from verbenactl._duties import find_duties
-from verbenactl._explaining import LogLine, explain, parse_lines
+from verbenactl._explanations import LogLine, explain, parse_lines
 from verbenactl._instances import Answers
 from verbenactl._losses import find_losses, format_table
 from verbenahall import wire
 
 
 class InspectingCommand(_base.AsyncCommand):
-    """Asks the instances given for one view."""
+    """Fetches a view from the given instances and prints it."""
 
     view = ''
     options: ClassVar[list[Option]] = [_base.INSTANCES]
 
     async def run_async(self) -> int:
-        """Ask and write the answers; unanswered is unreachable."""
-        self.need('instance')
+        """Fetch and print the view; return the exit code."""
+        self.get_required_option('instance')
         query = self.build_query()
         async with self.open_instances() as instances:
-            answers = await instances.ask_all(self.view, query)
-        return self.tell(answers)
+            answers = await instances.fetch_all(self.view, query)
+        return self.print_answers(answers)
 
     def build_query(self) -> dict[str, str]:
-        """Return what the view is asked for."""
+        """Return the query of the view's URL."""
         return {}
 
-    def tell(self, answers: Answers) -> int:
-        """Write each instance's answer as lines of JSON."""
-        code = _exits.DONE
+    def print_answers(self, answers: Answers) -> int:
+        """Print the answer or the problem of each instance."""
+        code = _exit_codes.DONE
         for answer in answers.values():
             match answer:
                 case Success(view):
-                    self.tell_view(view)
+                    self.print_view(view)
                 case failure:
-                    self.tell_problem(failure.failure())
-                    code = _exits.UNREACHABLE
+                    self.print_problem(failure.failure())
+                    code = _exit_codes.UNREACHABLE
         return code
 
-    def tell_view(self, view: dict[str, Any]) -> None:
-        """Write one instance's answer."""
+    def print_view(self, view: dict[str, Any]) -> None:
+        """Print one instance's answer as a line of JSON."""
         self.line(wire.encode(view).decode())
 
 
@@ -62,8 +62,8 @@
     description = 'Show which settings offset each instance has applied.'
     view = 'status'
 
-    def tell_view(self, view: dict[str, Any]) -> None:
-        """Write one line for an instance."""
+    def print_view(self, view: dict[str, Any]) -> None:
+        """Print a line on an instance."""
         readiness = (
             'ready' if view['ready'] else f'not ready ({view["reason"]})'
         )
@@ -76,7 +76,7 @@
 
 
 class HistoryCommand(InspectingCommand):
-    """Shows who changed a path."""
+    """Shows the history of a path."""
 
     name = 'history'
     description = 'Show who changed a path, at which offset, and refusals.'
@@ -86,22 +86,25 @@
     ]
 
     def build_query(self) -> dict[str, str]:
-        """Ask for the path."""
+        """Return the path as the query."""
         return {'path': self.argument('path')}
 
-    def tell_view(self, view: dict[str, Any]) -> None:
-        """Write a line for each verdict, oldest first, and what stands.
+    def print_view(self, view: dict[str, Any]) -> None:
+        """Print a line for each verdict, oldest first, and the value in force.
 
-        Only the latest verdicts are kept; the value may be older than them.
+        Instances keep only the latest verdicts, so the value may be older
+        than all of them.
         """
         for verdict in view['verdicts']:
             refusal = verdict['refusal']
-            fate = f'refused: {refusal["message"]}' if refusal else 'accepted'
+            outcome = (
+                f'refused: {refusal["message"]}' if refusal else 'accepted'
+            )
             author = f'{verdict["team"]}/{verdict["author"]}'
-            self.line(f'{verdict["offset"]} {author} {fate}')
+            self.line(f'{verdict["offset"]} {author} {outcome}')
         if view['value'] is not None:
-            standing = wire.encode(view['value']).decode()
-            self.line(f'in force since offset {view["offset"]}: {standing}')
+            value = wire.encode(view['value']).decode()
+            self.line(f'in force since offset {view["offset"]}: {value}')
 
 
 class ExplainCommand(InspectingCommand):
@@ -109,8 +112,8 @@
 
     name = 'explain'
     description = (
-        'Show why a request went where it did, or an engine changed; by its'
-        ' identity from logs, or by asking instances.'
+        "Show the decisions on a request or an engine: by a request's"
+        ' identity from logs, or from instances.'
     )
     view = 'explain'
     arguments: ClassVar[list[Argument]] = [
@@ -130,34 +133,34 @@
     ]
 
     async def run_async(self) -> int:
-        """Read logs for an identity, or ask the instances given."""
+        """Explain an identity from logs, or fetch from the given instances."""
         if not self.argument('id'):
             return await super().run_async()
         lines = itertools.chain.from_iterable(
             _read_log(path) for path in self.option('log') or ['-']
         )
-        for told in explain(lines, self.argument('id')):
-            self.io.write_line(told.replace('<', r'\<'))
-        return _exits.DONE
+        for text in explain(lines, self.argument('id')):
+            self.io.write_line(text.replace('<', r'\<'))
+        return _exit_codes.DONE
 
     def build_query(self) -> dict[str, str]:
-        """Ask for the request or the engine."""
+        """Return the request or the engine as the query."""
         for name in ('request', 'engine'):
             if self.option(name):
                 return {name: self.option(name)}
         raise CleoUserError('give an identity, --request or --engine')
 
-    def tell_view(self, view: dict[str, Any]) -> None:
-        """Write each decision as a line of JSON."""
+    def print_view(self, view: dict[str, Any]) -> None:
+        """Print each decision as a line of JSON."""
         for decision in view['decisions']:
             self.line(wire.encode(decision).decode())
 
 
 class LossesCommand(_base.AsyncCommand):
-    """Shows where requests were lost, from instances' logs."""
+    """Shows how requests ended, from instances' logs."""
 
     name = 'losses'
-    description = 'Show what became of requests, by route, window and cause.'
+    description = 'Show how requests ended, by route, window and cause.'
     arguments: ClassVar[list[Argument]] = [
         argument(
             'log',
@@ -167,7 +170,13 @@
         ),
     ]
     options: ClassVar[list[Option]] = [
-        option('window', None, 'Seconds of a window.', flag=False, default='2'),
+        option(
+            'window',
+            None,
+            'Length of a window in seconds.',
+            flag=False,
+            default='2',
+        ),
     ]
 
     async def run_async(self) -> int:
@@ -185,14 +194,14 @@
             for row in format_table(table):
                 self.io.write_line(row.replace('<', r'\<'))
             self.io.write_line('')
-        return _exits.DONE
+        return _exit_codes.DONE
 
 
 class DutiesCommand(_base.AsyncCommand):
-    """Shows duties, their holders and what came of them, from logs."""
+    """Shows holders of duties, usage windows and engine orders, from logs."""
 
     name = 'duties'
-    description = 'Show who held duties, usage windows, and engine orders.'
+    description = 'Show holders of duties, usage windows and engine orders.'
     arguments: ClassVar[list[Argument]] = LossesCommand.arguments
 
     async def run_async(self) -> int:
@@ -204,7 +213,7 @@
             for row in format_table(table):
                 self.io.write_line(row.replace('<', r'\<'))
             self.io.write_line('')
-        return _exits.DONE
+        return _exit_codes.DONE
 
 
 def _read_log(path: str) -> Iterator[LogLine]:
--- a/packages/verbenactl/src/verbenactl/_instances.py
+++ b/packages/verbenactl/src/verbenactl/_instances.py
@@ -1,4 +1,4 @@
-"""Reads the administration API of instances."""
+"""Client of the administration API of instances."""
 
 import asyncio
 import dataclasses
@@ -16,13 +16,13 @@
 _OK: Final = 200
 
 Answer = Result[dict[str, Any], Problem]
-#: Each instance's address and what it answered.
+#: Answers by the address of the instance.
 Answers = Mapping[str, Answer]
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class InForce:
-    """Which instances have applied an offset, after how many seconds."""
+    """Instances that have applied an offset, and those that have not."""
 
     reached: tuple[str, ...]
     missing: tuple[str, ...]
@@ -30,7 +30,7 @@
 
 
 class Instances:
-    """The instances at some addresses, asked under one token."""
+    """Client of several instances with one token."""
 
     __slots__ = ('_addresses', '_headers', '_session')
 
@@ -40,29 +40,29 @@
         addresses: Sequence[str],
         token: str,
     ) -> None:
-        """Ask the instances at ``addresses`` (``IP:port``)."""
+        """Create a client of the instances at ``addresses`` (``IP:port``)."""
         self._session = session
         self._addresses = tuple(addresses)
         self._headers = {'Authorization': f'Bearer {token}'}
 
-    async def ask_all(
+    async def fetch_all(
         self,
         view: str,
         query: Mapping[str, str] | None = None,
     ) -> Answers:
-        """Ask every instance at once for a view of ``/admin/v1``."""
+        """Fetch a view of ``/admin/v1`` from all instances concurrently."""
         answers = await asyncio.gather(
-            *(self.ask(address, view, query) for address in self._addresses),
+            *(self.fetch(address, view, query) for address in self._addresses),
         )
         return dict(zip(self._addresses, answers, strict=True))
 
-    async def ask(
+    async def fetch(
         self,
         address: str,
         view: str,
         query: Mapping[str, str] | None = None,
     ) -> Answer:
-        """Ask one instance for a view of ``/admin/v1``."""
+        """Fetch a view of ``/admin/v1`` from one instance."""
         try:
             async with self._session.get(
                 f'http://{address}/admin/v1/{view}',
@@ -73,15 +73,15 @@
                 body = await answer.read()
                 status = answer.status
         except (aiohttp.ClientError, asyncio.TimeoutError) as error:
-            complaint = str(error) or type(error).__name__
-            return _fail(f'{address}: {complaint}')
+            detail = str(error) or type(error).__name__
+            return _fail(f'{address}: {detail}')
         if status != _OK:
             refusal = body.decode(errors='replace')
             return _fail(f'{address}: answered {status} {refusal}')
         return wire.decode_table(body)
 
     async def wait_in_force(self, offset: int, wait_s: float) -> InForce:
-        """Wait until every instance has applied a settings offset."""
+        """Wait up to ``wait_s`` until all instances have applied an offset."""
         started = clock.monotonic()
         while True:
             reached = await self._list_reached(offset)
@@ -94,7 +94,7 @@
             await asyncio.sleep(_POLL_S)
 
     async def _list_reached(self, offset: int) -> tuple[str, ...]:
-        statuses = await self.ask_all('status')
+        statuses = await self.fetch_all('status')
         return tuple(
             address
             for address, status in statuses.items()
--- a/packages/verbenactl/tests/test_duties.py
+++ b/packages/verbenactl/tests/test_duties.py
@@ -1,11 +1,11 @@
-"""Duties told from the lines of several instances."""
+"""The command ``duties``: tables from log lines."""
 
 import json
 import subprocess
 import sys
 
 from verbenactl._duties import find_duties
-from verbenactl._explaining import parse_lines
+from verbenactl._explanations import parse_lines
 
 COMMAND = 'from verbenactl.console import main; main()'
 LINES = tuple(
--- a/packages/verbenahall/src/verbenahall/settings/_sections.py
+++ b/packages/verbenahall/src/verbenahall/settings/_sections.py
@@ -1,4 +1,4 @@
-"""The schema of each section, and how a merged value becomes settings."""
+"""Schema of each section, and functions that build its settings."""
 
 import dataclasses
 import functools
@@ -23,7 +23,7 @@
 MODELS: Final = 'models'
 PLANNER: Final = 'planner'
 POOLS: Final = 'pools'
-#: The planner's only name: a team has one.
+#: Name of the planner entry; each team has one planner.
 PLANNER_NAME: Final = 'main'
 
 NAME_PATTERN: Final = '[a-z0-9][a-z0-9_.-]{0,62}'
@@ -32,15 +32,15 @@
 _NAMES: Final = Field(list, default=[])
 _COUNT: Final = Field(int, default=0, minimum=0, maximum=1000)
 _WEIGHT: Final = Field(float, default=1.0, minimum=0, maximum=1000)
-_LEAST_SHARE: Final = 0.01
-_SHARE: Final = Field(float, default=1.0, minimum=_LEAST_SHARE, maximum=1000)
+_MIN_SHARE: Final = 0.01
+_SHARE: Final = Field(float, default=1.0, minimum=_MIN_SHARE, maximum=1000)
 _DEFAULT_QUEUE: Final = 128
-_LONGEST_QUEUE: Final = 100_000
+_MAX_QUEUE: Final = 100_000
 _QUEUE: Final = Field(
     int,
     default=_DEFAULT_QUEUE,
     minimum=1,
-    maximum=_LONGEST_QUEUE,
+    maximum=_MAX_QUEUE,
 )
 
 
@@ -48,8 +48,8 @@
 class Section:
     """One kind of entry.
 
-    ``members`` is the schema of a value and ``build`` makes the settings in
-    force of a name, its merged value and its team.
+    ``members`` is the schema of a value. ``build`` returns the settings in
+    force from an entry's name, its value merged with defaults, and its team.
     """
 
     members: Mapping[str, Member]
@@ -57,7 +57,7 @@
 
     @functools.cached_property
     def optional(self) -> Mapping[str, Any]:
-        """The members that may be left out, with the schema's defaults."""
+        """The optional members with the schema's defaults."""
         return {
             name: member.default
             for name, member in self.members.items()
@@ -144,7 +144,7 @@
 
 
 def defaults_schema(section: str) -> Table:
-    """Return the schema of a team's defaults: the optional members only."""
+    """Return the schema of a team's defaults: its optional members."""
     members = SECTIONS[section].members
     optional = {
         name: member for name, member in members.items() if not member.required
@@ -152,7 +152,7 @@
     return Table(optional)
 
 
-#: A file for ``verbenactl publish``: sections of named entries.
+#: Schema of a file for ``verbenactl publish``: sections of named entries.
 PUBLISHED_SCHEMA: Final = Table(
     {
         **{name: Named(entry_schema(name)) for name in SECTIONS},
