--- a/packages/verbenahall/src/verbenahall/authority/_decisions.py
+++ b/packages/verbenahall/src/verbenahall/authority/_decisions.py
@@ -1,4 +1,4 @@
-"""What one instance does about one scope: claim, renew, hold or wait."""
+"""Decides when a process claims or renews the lease on a scope."""
 
 from typing import Final
 
@@ -12,18 +12,20 @@
 )
 from verbenahall.authority._state import AuthorityState
 
-#: A holder renews when this share of its lease has passed.
+#: Share of the lease after which its holder renews it.
 _RENEW_AT_SHARE: Final = 1 / 3
-#: An append without a visible effect is tried again after this share.
+#: Share of the lease after which an append is repeated if its record has not
+#: been read back.
 _RETRY_AT_SHARE: Final = 1 / 6
 
 
 class Candidacy:
-    """One process's own part in one scope.
+    """State of one process as a candidate for the lease on one scope.
 
-    ``sent`` maps the offset that an append named as ``after`` to the moment
-    before the first such append was sent. ``delay_share`` (0 to 1) spreads
-    the claims of the instances of a data centre.
+    ``sent`` maps the ``after`` offset of an append to the time just before
+    the first such append was sent. ``tried_at`` is the time of the latest
+    append. ``delay_share`` (0 to 1) spreads the claims of the instances of a
+    data centre in time.
     """
 
     __slots__ = ('delay_share', 'holder', 'scope', 'sent', 'tried_at')
@@ -31,8 +33,9 @@
     def __init__(self, scope: str, holder: str, delay_share: float) -> None:
         """Start without any append sent.
 
-        ``holder`` must never be used by another process, nor by a later run
-        of this one, which could not know what its forerunner still sends.
+        ``holder`` must be unique to this run of the process. A later run
+        under the same name could not tell its own appends from those of the
+        previous run that are still in transit.
         """
         self.scope = scope
         self.holder = holder
@@ -42,10 +45,10 @@
 
 
 def note_sent(candidacy: Candidacy, after: int, now: float) -> None:
-    """Keep when an append was about to be sent.
+    """Record the time just before an append is sent.
 
-    Only the earliest moment counts: the copy that the log accepts may be the
-    first one, though its answer was lost.
+    The earliest time for an offset is kept: the log may have accepted the
+    first copy even though its response was lost.
     """
     candidacy.sent.setdefault(after, now)
     candidacy.tried_at = now
@@ -58,9 +61,9 @@
 ) -> float:
     """Return when this process's lease ends; minus infinity without one.
 
-    The holder learns that it holds by reading its own record back. It counts
-    from before that record was sent, which no other process can have read
-    earlier.
+    A process holds the lease once it has read its own record back from the
+    log. The lease is counted from the time before that record was sent, and
+    no other process can have read the record before that time.
     """
     grant = state.find_grant(candidacy.scope)
     if grant.token == 0 or grant.holder != candidacy.holder:
@@ -87,9 +90,9 @@
     timing: LeaseTiming,
     now: float,
 ) -> Step:
-    """Decide the next append of this process, or how long to wait."""
+    """Return the next append of this process, or how long to wait."""
     grant = state.find_grant(candidacy.scope)
-    _forget_settled(candidacy, grant)
+    _discard_superseded(candidacy, grant)
     retry_at = candidacy.tried_at + timing.lease_s * _RETRY_AT_SHARE
     if now < retry_at:
         return Idle(retry_at)
@@ -112,20 +115,21 @@
 ) -> float:
     """Return when this process may claim a scope that another one holds.
 
-    The holder's lease began before its record was sent, so before this
-    process read it: a full lease from the reading, longer by the clocks'
-    difference and the margin, is surely over for the holder.
+    The holder counts its lease from before it sent its record, and this
+    process read that record later. So the lease has ended for the holder
+    once a full lease, plus the clock difference and the margin, has passed
+    since the record was read here.
     """
     grant = state.find_grant(candidacy.scope)
-    heard = state.heard.get(candidacy.scope, -float('inf'))
+    read_at = state.heard.get(candidacy.scope, -float('inf'))
     delay = candidacy.delay_share * timing.lease_s * _RETRY_AT_SHARE
     if grant.token == 0:
-        return heard + delay
+        return read_at + delay
     wait = grant.lease_s * (1 + timing.clock_rate) + timing.margin_s
-    return heard + wait + delay
+    return read_at + wait + delay
 
 
-def _forget_settled(candidacy: Candidacy, grant: Grant) -> None:
+def _discard_superseded(candidacy: Candidacy, grant: Grant) -> None:
     for after in tuple(candidacy.sent):
         if after < grant.after:
             candidacy.sent.pop(after)
