--- a/packages/verbenahall/src/verbenahall/authority/_messages.py
+++ b/packages/verbenahall/src/verbenahall/authority/_messages.py
@@ -1,4 +1,4 @@
-"""Messages of the authority slice: lease records, grants and steps."""
+"""Lease records, grants, and the steps that a candidate may take."""
 
 import dataclasses
 import enum
@@ -7,14 +7,14 @@
 
 from returns.maybe import Maybe, Nothing, Some
 
-#: Longest lease that a record may ask for, in seconds. A longer one would
-#: keep a scope closed for hours after its holder was killed.
-_LONGEST_LEASE_S: Final = 3600.0
+#: Longest lease that a record may request, in seconds. With a longer one a
+#: scope could not be claimed for hours after its holder was killed.
+_MAX_LEASE_S: Final = 3600.0
 
 
 @final
 class LeaseVerb(enum.Enum):
-    """What a record of the authority stream asks for."""
+    """Operation of a record of the authority stream."""
 
     CLAIM = 'claim'
     RENEW = 'renew'
@@ -23,10 +23,11 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class LeaseRecord:
-    """One decoded record body of the authority stream.
+    """Decoded body of a record of the authority stream.
 
-    ``after`` is the offset of the scope's last accepted record as the author
-    knew it; the record is accepted only if that is still the last one.
+    ``after`` is the offset of the scope's last accepted record that the
+    author had read. The record is accepted only if no other record of the
+    scope has been accepted since.
     """
 
     verb: LeaseVerb
@@ -38,12 +39,12 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Grant:
-    """What the log says about one scope.
+    """State of the lease on one scope, as folded from the log.
 
-    ``token`` is the offset of the claim that won, 0 while nobody holds the
-    scope. ``last`` is the offset of the last accepted record and ``after``
-    what that record named. ``clean`` says that the holder before this one
-    released the scope, or that there was none.
+    ``token`` is the fencing token: the offset of the accepted claim, or 0
+    while the scope is free. ``last`` is the offset of the last accepted
+    record and ``after`` is that record's own ``after``. ``clean`` is true if
+    the previous holder released the scope, or if there was none.
     """
 
     holder: str
@@ -56,10 +57,10 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class LeaseTiming:
-    """Lengths in seconds; ``clock_rate`` is a share.
+    """Durations in seconds; ``clock_rate`` is a share.
 
-    Two clocks may run apart by ``clock_rate`` each way, so the holder's lease
-    is shorter by that share and the wait of everyone else longer.
+    A clock may run fast or slow by ``clock_rate``. So the holder shortens
+    its lease by that share, and other candidates lengthen their wait by it.
     """
 
     lease_s: float
@@ -90,7 +91,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Idle:
-    """Do nothing before ``until``, in monotonic seconds."""
+    """Wait until ``until``, in monotonic seconds."""
 
     until: float
 
@@ -112,7 +113,7 @@
     holder: str,
     lease_s: float,
 ) -> dict[str, Any]:
-    """Build the record body for a step."""
+    """Return the record body for a step."""
     return {
         'kind': _VERBS[type(step)].value,
         'scope': scope,
@@ -123,10 +124,10 @@
 
 
 def decode_body(body: dict[str, Any]) -> Maybe[LeaseRecord]:
-    """Decode a record body; Nothing if it does not have the right shape.
+    """Decode a record body; return Nothing if it is malformed.
 
-    A body that only some instances could decode would split their folds, so
-    the check is strict and depends on the body alone.
+    The check is strict and depends on the body alone, so that every instance
+    accepts or drops the same records and their folds stay equal.
     """
     try:
         record = LeaseRecord(
@@ -138,10 +139,10 @@
         )
     except (KeyError, TypeError, ValueError):
         return Nothing
-    return Some(record) if _is_sound(record) else Nothing
+    return Some(record) if _is_valid(record) else Nothing
 
 
-def _is_sound(record: LeaseRecord) -> bool:
+def _is_valid(record: LeaseRecord) -> bool:
     names = (record.scope, record.holder)
     if not all(isinstance(name, str) and name for name in names):
         return False
@@ -152,4 +153,4 @@
         return False
     if not isinstance(record.lease_s, int | float):
         return False
-    return 0 < record.lease_s <= _LONGEST_LEASE_S
+    return 0 < record.lease_s <= _MAX_LEASE_S
