--- a/packages/verbenahall/src/verbenahall/authority/_state.py
+++ b/packages/verbenahall/src/verbenahall/authority/_state.py
@@ -1,8 +1,9 @@
 """The fold of the authority stream: one grant for each scope.
 
-The fold knows no clock. A record is accepted if and only if it names the
-scope's last accepted record, so of two claims, or of a claim and a late
-renewal, the log's order alone decides, and every reader agrees.
+The result does not depend on any clock. A record is accepted if and only if
+its ``after`` is the offset of the scope's last accepted record. So the order of
+the log alone decides between two claims, or between a claim and a late renewal,
+and all readers get the same result.
 """
 
 import dataclasses
@@ -26,20 +27,21 @@
 class AuthorityState:
     """Grants by scope, and when this process read each scope's last record.
 
-    ``heard`` holds monotonic seconds of this process and is not part of what
-    the log says. ``position`` is the offset of the last record folded.
+    ``heard`` maps a scope to the time, in monotonic seconds, at which this
+    process read its last accepted record; it is local and not part of the
+    fold. ``position`` is the offset of the last folded record.
     """
 
     __slots__ = ('grants', 'heard', 'position')
 
     def __init__(self) -> None:
-        """Start with no scope known."""
+        """Start without any grant."""
         self.grants: dict[str, Grant] = {}
         self.heard: dict[str, float] = {}
         self.position = 0
 
     def find_grant(self, scope: str) -> Grant:
-        """Return the scope's grant; an empty one if nobody ever claimed it."""
+        """Return the scope's grant; an empty one if it was never claimed."""
         return self.grants.get(scope, _NO_GRANT)
 
 
@@ -67,16 +69,15 @@
     now: float,
 ) -> bool:
     grant = state.find_grant(lease.scope)
-    # A record written by someone who did not know the scope's latest word:
-    # a claim that lost the race, a renewal that arrived after a successor's
-    # claim, or a second copy. Without this test two instances would both
-    # believe that they hold the scope.
+    # The author had not read the scope's last record: a claim that lost a
+    # race, a renewal that arrived after a successor's claim, or a second copy
+    # of a record. Without this check two instances would both hold the scope.
     if lease.after != grant.last:
         return False
-    moved = _FOLDS[lease.verb](grant, lease, offset)
-    if moved is None:
+    updated = _FOLDS[lease.verb](grant, lease, offset)
+    if updated is None:
         return False
-    state.grants[lease.scope] = moved
+    state.grants[lease.scope] = updated
     state.heard[lease.scope] = now
     return True
 
@@ -134,7 +135,7 @@
 
 
 def export_state(state: AuthorityState) -> dict[str, Any]:
-    """Return what the log says, for a snapshot; JSON-encodable."""
+    """Return the grants for a snapshot, as JSON-encodable values."""
     return {
         scope: dataclasses.asdict(grant)
         for scope, grant in sorted(state.grants.items())
@@ -149,8 +150,9 @@
 ) -> None:
     """Replace the state by a snapshot taken at offset ``position``.
 
-    Each scope counts as heard at ``now``: the true time is not known, and a
-    later one only makes this process wait longer before it claims.
+    The time at which each scope's last record was read is set to ``now``: the
+    real time is unknown, and a later one only makes this process wait longer
+    before it claims.
     """
     state.grants = {
         scope: Grant(**exported_grant)
