--- a/packages/verbenahall/src/verbenahall/authority/_shell.py
+++ b/packages/verbenahall/src/verbenahall/authority/_shell.py
@@ -1,4 +1,4 @@
-"""The lease keeper: appends claims and renewals for one scope."""
+"""Appends the claims and renewals for the lease on one scope."""
 
 import asyncio
 import random
@@ -28,28 +28,29 @@
 from verbenahall.journal import write_decision
 from verbenahall.records import AUTHORITY_STREAM
 
-#: Longest sleep between two looks at the fold, in seconds.
-_TICK_S: Final = 0.05
-#: Share of the lease that one append may take.
-_PATIENCE: Final = 1 / 6
+#: Longest sleep between two checks of the fold, in seconds.
+_CHECK_INTERVAL_S: Final = 0.05
+#: Timeout of one append, as a share of the lease.
+_APPEND_TIMEOUT_SHARE: Final = 1 / 6
 
 
 class Appender(Protocol):
-    """The part of ``verbenahall.log.LogClient`` that the keeper uses."""
+    """The part of ``verbenahall.log.LogClient`` that is used here."""
 
     async def append(
         self,
         stream: str,
         body: dict[str, Any],
     ) -> Result[int, Problem]:
-        """Append one record; its offset, or why it is not known."""
+        """Append one record; return its offset, or why it is unknown."""
 
 
 class LeaseKeeper:
-    """Keeps one scope's lease for this process as long as it runs.
+    """Acquires and renews the lease on one scope while it runs.
 
-    ``caught_up`` tells whether the log's follower has read to the log's end;
-    before that a claim could only lose.
+    ``caught_up`` returns whether the log's follower has read to the end of
+    the log. Before that a claim would be rejected as outdated, so none is
+    sent.
     """
 
     def __init__(
@@ -64,7 +65,7 @@
         clock: Clock = monotonic,
         randomness: random.Random | None = None,
     ) -> None:
-        """Prepare; nothing is sent before ``run``."""
+        """Create the keeper; nothing is sent before ``run``."""
         source = randomness or random.Random()
         self.state = state
         self.candidacy = Candidacy(scope, holder, source.random())
@@ -89,27 +90,27 @@
     async def run(self) -> None:
         """Claim and renew until cancelled."""
         while True:
-            self._tell_changes()
-            await self._take_step()
+            self._log_changes()
+            await self._run_step()
 
     async def release(self) -> None:
-        """Give the scope back; call it once ``run`` has been cancelled.
+        """Release the scope; call it once ``run`` has been cancelled.
 
-        The caller must have stopped sending orders: the successor relies on
-        a release when it shortens its wait.
+        The caller must have stopped sending orders, because the next holder
+        waits for a shorter time after a release.
         """
         grant = self.state.find_grant(self.candidacy.scope)
         if grant.token and grant.holder == self.candidacy.holder:
             await self._append(Release(grant.last))
 
-    async def _take_step(self) -> None:
+    async def _run_step(self) -> None:
         now = self._clock()
         step = choose_step(self.state, self.candidacy, self._timing, now)
         match step:
             case Idle(until):
-                await asyncio.sleep(min(_TICK_S, max(0, until - now)))
+                await asyncio.sleep(min(_CHECK_INTERVAL_S, max(0, until - now)))
             case Claim() if not self._caught_up():
-                await asyncio.sleep(_TICK_S)
+                await asyncio.sleep(_CHECK_INTERVAL_S)
             case Claim() | Renew():
                 await self._append(step)
 
@@ -122,12 +123,14 @@
             self.candidacy.holder,
             self._timing.lease_s,
         )
-        # The answer is not looked at: what counts is the record read back,
-        # which tells the same whether or not the answer was lost. So the
-        # client's search for a lost answer may be cut short, too; waiting
-        # for it would let the lease run out.
+        # The result is ignored: the lease depends on the record that is read
+        # back, whether or not the response was lost. So the client's search
+        # for a record whose response was lost may be cut short; waiting for
+        # it would let the lease expire.
         try:
-            async with asyncio.timeout(self._timing.lease_s * _PATIENCE):
+            async with asyncio.timeout(
+                self._timing.lease_s * _APPEND_TIMEOUT_SHARE
+            ):
                 await self._client.append(AUTHORITY_STREAM, body)
         except TimeoutError:
             write_decision(
@@ -136,7 +139,7 @@
                 after=step.after,
             )
 
-    def _tell_changes(self) -> None:
+    def _log_changes(self) -> None:
         token = self.held(self.candidacy.scope, self._clock())
         if token == self._token:
             return
