--- a/packages/verbenahall/src/verbenahall/authority/__init__.py
+++ b/packages/verbenahall/src/verbenahall/authority/__init__.py
@@ -1,4 +1,4 @@
-"""Who may order engines: leases and fencing tokens folded from the log."""
+"""Leases on scopes and their fencing tokens, folded from the log."""
 
 from verbenahall.authority._decisions import (
     Candidacy,
