--- a/packages/verbenahall/tests/authority/test_clocks.py
+++ b/packages/verbenahall/tests/authority/test_clocks.py
@@ -1,4 +1,4 @@
-"""Leases under clocks that run apart."""
+"""Leases with clocks that run at different rates."""
 
 from hypothesis import given
 from hypothesis import strategies as st
@@ -28,7 +28,7 @@
         'lease_s': 600,
     },
 )
-#: The extremes, which random rates hardly ever are together.
+#: Extreme rates; random ones would hardly ever combine them.
 rates = st.sampled_from((1 - 0.0049, 1, 1 + 0.0049))
 offsets = st.floats(-1000, 1000)
 delays = st.sampled_from((0, 0.01, 30))
@@ -45,8 +45,8 @@
 ):
     """The holder's clock is slow and another instance's is fast.
 
-    Both would hold the data centre for the difference, seconds in a long
-    lease, and each would order its own plan.
+    Without allowance for the rates both would hold the scope for some
+    seconds of a long lease, and each would order engines by its own plan.
     """
     state = AuthorityState()
     holder = Candidacy('fes', 'a', 0)
