--- a/packages/verbenahall/tests/authority/test_fold.py
+++ b/packages/verbenahall/tests/authority/test_fold.py
@@ -1,4 +1,4 @@
-"""The fold of leases: the log's order alone decides who holds a scope."""
+"""The fold of leases: the order of the log decides who holds a scope."""
 
 import pytest
 
@@ -24,7 +24,7 @@
 
 
 def write(offset, kind, holder, after, **changes):
-    """Build an authority record."""
+    """Return an authority record."""
     body = {
         'kind': kind,
         'scope': SCOPE,
@@ -55,7 +55,7 @@
         ([write(3, 'claim', 'a', 0), write(4, 'claim', 'a', 0)], 'a', 3, 3),
         ([write(3, 'claim', 'a', 0), write(5, 'renew', 'a', 3)], 'a', 3, 5),
         ([write(3, 'claim', 'a', 0), write(5, 'renew', 'b', 3)], 'a', 3, 3),
-        # A renewal that was under way when a successor claimed.
+        # A renewal in transit when a successor claims.
         (
             [
                 write(3, 'claim', 'a', 0),
@@ -77,10 +77,10 @@
     ],
 )
 def test_fold_follows_the_log(records, holder, token, last):
-    """Two instances claim or renew at once, or an answer was lost.
+    """Two instances claim or renew at once, or a response was lost.
 
-    Without a single verdict two instances would order the same engines and
-    callers would see models come and go.
+    If instances disagreed on the holder, two of them would order the same
+    engines, and callers would see models being loaded and removed in turn.
     """
     grant = fold(*records).find_grant(SCOPE)
 
@@ -88,10 +88,10 @@
 
 
 def test_holder_counts_from_before_it_sent():
-    """The log is slow and the holder reads its own claim 4 s after sending.
+    """The log is slow: the holder reads its own claim 4 s after sending it.
 
-    A lease counted from the reading would outlive the others' wait, and two
-    instances would hold the scope at once.
+    If the lease were counted from the reading, it would end after the wait of
+    the other instances, and two would hold the scope at once.
     """
     candidacy = Candidacy(SCOPE, 'a', 0)
     note_sent(candidacy, 0, now=100)
@@ -102,9 +102,9 @@
 
 
 def test_second_copy_does_not_lengthen_the_lease():
-    """A claim's answer is lost and the claim is sent again 5 s later.
+    """The response to a claim is lost and the claim is resent 5 s later.
 
-    The log may have taken the first copy, so the lease began then.
+    The log may have accepted the first copy, so the lease starts with it.
     """
     candidacy = Candidacy(SCOPE, 'a', 0)
     note_sent(candidacy, 0, now=100)
@@ -115,7 +115,7 @@
 
 
 def test_others_wait_out_the_lease():
-    """The holder is killed; another instance waits lease and margin."""
+    """The holder is killed; another instance waits for lease and margin."""
     state = fold(write(1, 'claim', 'a', 0), now=100)
     other = Candidacy(SCOPE, 'b', 0)
 
@@ -124,7 +124,7 @@
 
 
 def test_holder_renews_in_time():
-    """At rest a holder appends once for each third of its lease."""
+    """A holder renews when a third of its lease has passed."""
     candidacy = Candidacy(SCOPE, 'a', 0)
     note_sent(candidacy, 0, now=100)
     state = fold(write(1, 'claim', 'a', 0), now=100)
@@ -133,10 +133,10 @@
     assert choose_step(state, candidacy, TIMING, 102) == Renew(1)
 
 
-def test_snapshot_keeps_the_last_word():
+def test_snapshot_keeps_the_last_record():
     """The claim's record expires from the log while the lease is renewed.
 
-    An instance that started from the remaining records alone would take the
+    An instance that started from the remaining records alone would treat the
     scope as free and grant it a second time.
     """
     before = fold(write(1, 'claim', 'a', 0), write(9, 'renew', 'a', 1))
