--- a/packages/verbenahall/src/verbenahall/orders/__init__.py
+++ b/packages/verbenahall/src/verbenahall/orders/__init__.py
@@ -1,9 +1,9 @@
 """Orders to engines: recorded in the log, sent under a lease, followed up."""
 
 from verbenahall.orders._decisions import (
-    RateLimiter,
+    SendGate,
     is_changing,
-    open_gate,
+    find_send_gate,
     outstanding,
 )
 from verbenahall.orders._dispatch import (
@@ -15,7 +15,7 @@
 )
 from verbenahall.orders._failures import (
     list_withdrawals,
-    note_failure,
+    record_failed_change,
     note_outcome,
     note_sending,
 )
@@ -31,13 +31,13 @@
 )
 from verbenahall.orders._outcomes import Outcome
 from verbenahall.orders._progress import Progress, find_progress
-from verbenahall.orders._shell import OrderSender, send_noted
+from verbenahall.orders._shell import OrderSender, send_and_record
 from verbenahall.orders._state import OrdersState, apply_record, observe_report
 
 __all__ = (
     'Dispatch',
     'EngineReport',
-    'RateLimiter',
+    'SendGate',
     'Order',
     'OrderSender',
     'OrderTiming',
@@ -56,13 +56,13 @@
     'is_cleared',
     'list_withdrawals',
     'may_send',
-    'note_failure',
+    'record_failed_change',
     'note_outcome',
     'note_sending',
     'observe_report',
-    'open_gate',
+    'find_send_gate',
     'outstanding',
     'restore_state',
-    'send_noted',
+    'send_and_record',
     'take_over',
 )
--- a/packages/verbenahall/src/verbenahall/orders/_decisions.py
+++ b/packages/verbenahall/src/verbenahall/orders/_decisions.py
@@ -4,7 +4,7 @@
 
 from verbenahall.authority import Grant
 from verbenahall.orders._messages import Order, OrderTiming
-from verbenahall.orders._progress import UNSETTLED, find_progress
+from verbenahall.orders._progress import OUTSTANDING, find_progress
 from verbenahall.orders._state import OrdersState
 
 
@@ -27,13 +27,13 @@
     if report.changing:
         return True
     order = state.orders.get(engine)
-    if order is None or find_progress(order, report) not in UNSETTLED:
+    if order is None or find_progress(order, report) not in OUTSTANDING:
         return False
     return report.holding != order.target
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class RateLimiter:
+class SendGate:
     """When a holder may send its first order to an engine.
 
     ``opens_at`` is in monotonic seconds; ``read_back`` asks for the engine's
@@ -44,13 +44,13 @@
     read_back: bool
 
 
-def open_gate(
+def find_send_gate(
     grant: Grant,
     granted_at: float,
     timing: OrderTiming,
     *,
     checks_fencing: bool,
-) -> RateLimiter:
+) -> SendGate:
     """Decide how long a new holder leaves an engine alone.
 
     An engine that checks tokens refuses whatever an earlier holder still
@@ -62,8 +62,8 @@
     its own claim, which is later than the end of the earlier lease.
     """
     if checks_fencing:
-        return RateLimiter(granted_at, read_back=False)
+        return SendGate(granted_at, read_back=False)
     if grant.clean:
-        return RateLimiter(granted_at + timing.order_timeout_s, read_back=True)
+        return SendGate(granted_at + timing.order_timeout_s, read_back=True)
     wait = timing.order_timeout_s + timing.longest_pause_s
-    return RateLimiter(granted_at + wait, read_back=True)
+    return SendGate(granted_at + wait, read_back=True)
--- a/packages/verbenahall/src/verbenahall/orders/_dispatch.py
+++ b/packages/verbenahall/src/verbenahall/orders/_dispatch.py
@@ -4,7 +4,7 @@
 
 from verbenahall.authority import Grant
 from verbenahall.fleet import Endpoint
-from verbenahall.orders._decisions import open_gate
+from verbenahall.orders._decisions import find_send_gate
 from verbenahall.orders._messages import Order, OrderTiming
 from verbenahall.orders._progress import Progress, find_progress
 from verbenahall.orders._state import OrdersState
@@ -108,7 +108,7 @@
 ) -> bool:
     if dispatch.grant is None:
         return False
-    gate = open_gate(
+    gate = find_send_gate(
         dispatch.grant,
         dispatch.granted_at,
         dispatch.timing,
--- a/packages/verbenahall/src/verbenahall/orders/_export.py
+++ b/packages/verbenahall/src/verbenahall/orders/_export.py
@@ -4,7 +4,7 @@
 from typing import Any
 
 from verbenahall.orders._messages import Order, decode_target, encode_target
-from verbenahall.orders._state import OrdersState, sort_order
+from verbenahall.orders._state import OrdersState, update_outstanding
 
 
 def export_state(state: OrdersState) -> dict[str, Any]:
@@ -29,7 +29,7 @@
     }
     state.unsettled = {}
     for order in state.orders.values():
-        sort_order(state, order)
+        update_outstanding(state, order)
     state.position = position
 
 
--- a/packages/verbenahall/src/verbenahall/orders/_failures.py
+++ b/packages/verbenahall/src/verbenahall/orders/_failures.py
@@ -52,7 +52,7 @@
     track.retry_at = now + min(_LONGEST_PAUSE_S, pause)
 
 
-def note_failure(
+def record_failed_change(
     dispatch: Dispatch,
     state: OrdersState,
     engine: str,
--- a/packages/verbenahall/src/verbenahall/orders/_progress.py
+++ b/packages/verbenahall/src/verbenahall/orders/_progress.py
@@ -21,7 +21,7 @@
 
 
 #: An order in one of these is still to be seen to.
-UNSETTLED: Final = frozenset((Progress.UNCONFIRMED, Progress.RUNNING))
+OUTSTANDING: Final = frozenset((Progress.UNCONFIRMED, Progress.RUNNING))
 
 
 def find_progress(order: Order, report: EngineReport | None) -> Progress:
--- a/packages/verbenahall/src/verbenahall/orders/_shell.py
+++ b/packages/verbenahall/src/verbenahall/orders/_shell.py
@@ -121,7 +121,7 @@
         return opened
 
 
-async def send_noted(
+async def send_and_record(
     sender: OrderSender,
     dispatch: Dispatch,
     order: Order,
--- a/packages/verbenahall/src/verbenahall/orders/_state.py
+++ b/packages/verbenahall/src/verbenahall/orders/_state.py
@@ -2,7 +2,7 @@
 
 from verbenahall.authority import AuthorityState, current_token
 from verbenahall.orders._messages import EngineReport, Order, decode_batch
-from verbenahall.orders._progress import UNSETTLED, find_progress
+from verbenahall.orders._progress import OUTSTANDING, find_progress
 from verbenahall.records import ORDERS_STREAM, Record
 
 
@@ -12,7 +12,7 @@
     ``authority`` is folded from the same records, each record before this
     state sees it. ``reported_at`` holds monotonic seconds. ``unsettled`` has
     each scope's orders that are still to be seen to, so that a step costs as
-    much as there is to do and not as there are engines; ``settled_at`` is
+    much as there is to do and not as there are engines; ``finished_at`` is
     when an engine's report took its order out of them.
     """
 
@@ -22,7 +22,7 @@
         'position',
         'reported_at',
         'reports',
-        'settled_at',
+        'finished_at',
         'unsettled',
     )
 
@@ -32,7 +32,7 @@
         self.orders: dict[str, Order] = {}
         self.reports: dict[str, EngineReport] = {}
         self.reported_at: dict[str, float] = {}
-        self.settled_at: dict[str, float] = {}
+        self.finished_at: dict[str, float] = {}
         self.unsettled: dict[str, dict[str, Order]] = {}
         self.position = 0
 
@@ -55,7 +55,7 @@
         former = state.orders.get(order.engine, order)
         state.unsettled.get(former.scope, {}).pop(order.engine, None)
         state.orders[order.engine] = order
-        sort_order(state, order)
+        update_outstanding(state, order)
     return valid
 
 
@@ -76,16 +76,16 @@
     if order is None:
         return
     was_unsettled = report.name in state.unsettled.get(order.scope, {})
-    sort_order(state, order)
+    update_outstanding(state, order)
     if was_unsettled and report.name not in state.unsettled[order.scope]:
-        state.settled_at[report.name] = now
+        state.finished_at[report.name] = now
 
 
-def sort_order(state: OrdersState, order: Order) -> None:
+def update_outstanding(state: OrdersState, order: Order) -> None:
     """Keep an order among the unsettled ones of its scope, or drop it."""
     unsettled = state.unsettled.setdefault(order.scope, {})
     progress = find_progress(order, state.reports.get(order.engine))
-    if progress in UNSETTLED:
+    if progress in OUTSTANDING:
         unsettled[order.engine] = order
     else:
         unsettled.pop(order.engine, None)
--- a/packages/verbenahall/src/verbenahall/rollout/_engines.py
+++ b/packages/verbenahall/src/verbenahall/rollout/_engines.py
@@ -15,7 +15,7 @@
     may_send,
     note_sending,
     observe_report,
-    send_noted,
+    send_and_record,
 )
 from verbenahall.rollout._lines import SentOrders
 from verbenahall.rollout._tasks import Tasks
@@ -134,7 +134,7 @@
 
     async def _send(self, order: Order, endpoint: Endpoint) -> None:
         report = self._orders.reports[order.engine]
-        outcome = await send_noted(
+        outcome = await send_and_record(
             self._sender,
             self._dispatch,
             order,
--- a/packages/verbenahall/src/verbenahall/rollout/_views.py
+++ b/packages/verbenahall/src/verbenahall/rollout/_views.py
@@ -11,7 +11,7 @@
     Progress,
     find_progress,
     is_cleared,
-    note_failure,
+    record_failed_change,
 )
 from verbenahall.rollout._messages import EngineView
 
@@ -43,12 +43,12 @@
         report = state.reports.get(endpoint.name)
         if report is None:
             continue
-        note_failure(dispatch, state, endpoint.name, now)
+        record_failed_change(dispatch, state, endpoint.name, now)
         live = standing is Standing.LIVE and not report.leaving
         cleared = is_cleared(dispatch, state, endpoint)
         resting = now < dispatch.find_track(endpoint.name).retry_at
         progress = _find_progress(state, report)
-        settled_at = state.settled_at.get(endpoint.name, -float('inf'))
+        finished_at = state.finished_at.get(endpoint.name, -float('inf'))
         yield EngineView(
             name=endpoint.name,
             incarnation=report.incarnation,
@@ -57,7 +57,7 @@
             pending=_find_pending(state, report, progress),
             running=report.changing,
             resting=resting or not cleared,
-            fresh=now - settled_at < _KNOWN_S,
+            fresh=now - finished_at < _KNOWN_S,
         )
 
 
--- a/packages/verbenahall/tests/orders/test_lease_body.py
+++ b/packages/verbenahall/tests/orders/test_lease_body.py
@@ -18,7 +18,7 @@
     OrderTiming,
     Outcome,
     note_sending,
-    send_noted,
+    send_and_record,
 )
 from verbenahall.orders._lease_body import LeaseBody
 
@@ -116,7 +116,7 @@
     note_sending(dispatch, ORDER)
     sender = OrderSender(lambda _: 1, TIMING)
     sender.send = None
-    sending = send_noted(sender, dispatch, ORDER, endpoint, lambda: 7)
+    sending = send_and_record(sender, dispatch, ORDER, endpoint, lambda: 7)
 
     with pytest.raises(TypeError):
         asyncio.run(sending)
--- a/packages/verbenahall/tests/orders/test_orders.py
+++ b/packages/verbenahall/tests/orders/test_orders.py
@@ -20,7 +20,7 @@
     is_changing,
     list_withdrawals,
     may_send,
-    note_failure,
+    record_failed_change,
     note_outcome,
     note_sending,
     observe_report,
@@ -227,8 +227,8 @@
         apply_record(state, order(offset, 1))
         failed = dataclasses.replace(REPORT, order=f'{offset}.0')
         observe_report(state, failed, 100)
-        note_failure(dispatch, state, 'e1', 100)
-        note_failure(dispatch, state, 'e1', 100.1)
+        record_failed_change(dispatch, state, 'e1', 100)
+        record_failed_change(dispatch, state, 'e1', 100.1)
         pauses.append(dispatch.find_track('e1').retry_at - 100)
 
     assert pauses[:3] == [0.5, 1, 2]
