--- a/packages/verbenahall/src/verbenahall/rollout/_lines.py
+++ b/packages/verbenahall/src/verbenahall/rollout/_decision_log.py
@@ -10,7 +10,7 @@
 from verbenahall.rollout._messages import Waiting
 
 
-def tell_placed(planned: Sequence[PlannedOrder], offset: int) -> None:
+def log_placed(planned: Sequence[PlannedOrder], offset: int) -> None:
     """Write a line for each order recorded at ``offset``."""
     for index, order in enumerate(planned):
         write_decision(
@@ -22,7 +22,7 @@
 
 
 @final
-class SentOrders:
+class SentOrderLog:
     """Writes a line for each try of an order, and counts role changes."""
 
     __slots__ = ('_counted',)
@@ -31,7 +31,7 @@
         """Start with nothing counted."""
         self._counted: dict[str, str] = {}
 
-    def tell(self, order: Order, outcome: Outcome, role: Role) -> None:
+    def log(self, order: Order, outcome: Outcome, role: Role) -> None:
         """Tell of one try; ``role`` is what the engine had before.
 
         An order whose answer came too late is sent again, and an engine that
@@ -49,9 +49,9 @@
         )
 
 
-def tell_waiting(fresh: Iterable[Waiting]) -> None:
+def log_waiting(just_changed: Iterable[Waiting]) -> None:
     """Write a line for each engine that newly waits."""
-    for entry in sorted(fresh, key=lambda waits: waits.engine):
+    for entry in sorted(just_changed, key=lambda waits: waits.engine):
         write_decision(
             'place_later',
             engine=entry.engine,
--- a/packages/verbenahall/src/verbenahall/rollout/_engines.py
+++ b/packages/verbenahall/src/verbenahall/rollout/_engines.py
@@ -17,7 +17,7 @@
     observe_report,
     send_and_record,
 )
-from verbenahall.rollout._lines import SentOrders
+from verbenahall.rollout._decision_log import SentOrderLog
 from verbenahall.rollout._tasks import Tasks
 from verbenahall.rollout._views import Member
 
@@ -31,7 +31,7 @@
 _MOST_KEPT: Final = 4096
 
 
-class EngineTalk:
+class EngineClient:
     """Asks and orders engines, each of them by one task at a time."""
 
     def __init__(
@@ -50,15 +50,15 @@
         self._clock = clock
         self._asked_at: dict[tuple[str, str], float] = {}
         self._idle_at = -math.inf
-        self._sent = SentOrders()
+        self._sent = SentOrderLog()
 
-    def ask_states(
+    def poll_states(
         self,
         members: Sequence[Member],
         now: float,
         busy: set[str],
         *,
-        leading: bool,
+        holds_lease: bool,
     ) -> None:
         """Ask the engines that are due; without the lease only ``busy``.
 
@@ -68,7 +68,7 @@
         wanted = [
             endpoint
             for endpoint, _ in members
-            if leading or endpoint.name in busy
+            if holds_lease or endpoint.name in busy
         ]
         hurried = [one for one in wanted if self._is_hurried(one, busy)]
         for endpoint in self._choose(hurried, _AT_ONCE, now - _BUSY_PERIOD_S):
@@ -141,7 +141,7 @@
             endpoint,
             self._clock,
         )
-        self._sent.tell(order, outcome, report.holding.role)
+        self._sent.log(order, outcome, report.holding.role)
 
 
 def _identify(endpoint: Endpoint) -> tuple[str, str]:
--- a/packages/verbenahall/src/verbenahall/rollout/_messages.py
+++ b/packages/verbenahall/src/verbenahall/rollout/_messages.py
@@ -15,7 +15,7 @@
     ``reachable`` says that it may get new work as far as membership knows.
     ``pending`` is the target of an order that is not done yet and
     ``running`` says that its change has begun. ``resting`` keeps an engine
-    that failed or refused a change out of the plan for a while. ``fresh``
+    that failed or refused a change out of the plan for a while. ``just_changed``
     says that its change ended so short a time ago that other instances may
     not know it yet.
     """
@@ -27,7 +27,7 @@
     pending: Target | None = None
     running: bool = False
     resting: bool = False
-    fresh: bool = False
+    just_changed: bool = False
 
     @property
     def changing(self) -> bool:
--- a/packages/verbenahall/src/verbenahall/rollout/_plan.py
+++ b/packages/verbenahall/src/verbenahall/rollout/_plan.py
@@ -120,7 +120,7 @@
     capacity: _Capacity,
 ) -> None:
     held = [name for name, _ in view.holding.models]
-    if view.fresh:
+    if view.just_changed:
         # Instances hear of the end of a change one after the other. If the
         # next engine went at once, those that hear late would know of no
         # engine, and turn callers away.
--- a/packages/verbenahall/src/verbenahall/rollout/_shell.py
+++ b/packages/verbenahall/src/verbenahall/rollout/_shell.py
@@ -22,10 +22,10 @@
     take_over,
 )
 from verbenahall.records import ORDERS_STREAM
-from verbenahall.rollout._engines import EngineTalk
+from verbenahall.rollout._engines import EngineClient
 from verbenahall.rollout._messages import RolloutLimits, Waiting
 from verbenahall.rollout._plan import plan
-from verbenahall.rollout._lines import tell_placed, tell_waiting
+from verbenahall.rollout._decision_log import log_placed, log_waiting
 from verbenahall.rollout._tasks import Tasks
 from verbenahall.rollout._views import Member, build_views
 from verbenahall.settings import EffectiveSettings
@@ -95,7 +95,7 @@
         self._clock = clock
         self._scope = keeper.candidacy.scope
         self._tasks = Tasks()
-        self._talk = EngineTalk(
+        self._talk = EngineClient(
             order_state,
             dispatch,
             sender,
@@ -123,7 +123,9 @@
         token = self._keeper.held(self._scope, now)
         due = outstanding(self._orders, self._scope)
         busy = {order.engine for order in due}
-        self._talk.ask_states(members, now, busy, leading=token is not None)
+        self._talk.poll_states(
+            members, now, busy, holds_lease=token is not None
+        )
         if token is None:
             return
         grant = self._orders.authority.find_grant(self._scope)
@@ -186,7 +188,7 @@
             self._limits,
         )
         waiting = frozenset(rollout.waiting)
-        tell_waiting(waiting - self._waiting)
+        log_waiting(waiting - self._waiting)
         self._waiting = waiting
         planned = (*withdrawals, *rollout.orders)
         self._recording = frozenset(order.engine for order in planned)
@@ -202,7 +204,7 @@
         appended = await self._client.append(ORDERS_STREAM, body)
         if isinstance(appended, Success):
             self._wait_offset = appended.unwrap()
-            tell_placed(planned, self._wait_offset)
+            log_placed(planned, self._wait_offset)
         else:
             # The record may stand or not; the follower will show it.
             self._wait_until = self._clock() + _RECORD_WAIT_S
--- a/packages/verbenahall/src/verbenahall/rollout/_views.py
+++ b/packages/verbenahall/src/verbenahall/rollout/_views.py
@@ -57,7 +57,7 @@
             pending=_find_pending(state, report, progress),
             running=report.changing,
             resting=resting or not cleared,
-            fresh=now - finished_at < _KNOWN_S,
+            just_changed=now - finished_at < _KNOWN_S,
         )
 
 
--- a/packages/verbenahall/tests/rollout/test_controller.py
+++ b/packages/verbenahall/tests/rollout/test_controller.py
@@ -27,7 +27,7 @@
 from verbenahall.orders import apply_record as apply_orders
 from verbenahall.records import Record
 from verbenahall.rollout import Controller
-from verbenahall.rollout._lines import SentOrders
+from verbenahall.rollout._decision_log import SentOrderLog
 
 DATA_CENTRE = 'cardigan'
 LEASE = LeaseTiming(lease_s=0.6, margin_s=0.05)
@@ -231,11 +231,11 @@
     """
     metrics.ROLE_CHANGES.add({}, 0)
     before = metrics.ROLE_CHANGES.get({})
-    sent = SentOrders()
+    sent = SentOrderLog()
     target = Target(Role.PREFILL)
     for offset in (3, 3, 9):
         order = Order(offset, 0, 'e1', 'i1', target, DATA_CENTRE, 1)
-        sent.tell(order, Outcome.STARTED, Role.MIXED)
+        sent.log(order, Outcome.STARTED, Role.MIXED)
 
     assert metrics.ROLE_CHANGES.get({}) == before + 2
 
--- a/packages/verbenahall/tests/rollout/test_floor.py
+++ b/packages/verbenahall/tests/rollout/test_floor.py
@@ -30,7 +30,7 @@
         team='desk',
     )
     views = (
-        EngineView('e1', 'a', NEW, fresh=first_is_fresh),
+        EngineView('e1', 'a', NEW, just_changed=first_is_fresh),
         EngineView('e2', 'b', OLD),
     )
     return [order.engine for order in plan(settings, 'ain', views).orders]
