--- a/packages/verbenahall/src/verbenahall/claims/_batcher.py
+++ b/packages/verbenahall/src/verbenahall/claims/_batcher.py
@@ -69,7 +69,7 @@
         self._refuse_until = float('-inf')
 
     @property
-    def refusing(self) -> bool:
+    def is_rejecting(self) -> bool:
         """Whether the log failed just now, so that a claim would only wait."""
         return self._now() < self._refuse_until
 
@@ -87,10 +87,10 @@
 
     async def flush(self) -> None:
         """Append one batch, if anything waits."""
-        batch = decisions.take_batch(self._state, self._timing.keys_at_once)
+        batch = decisions.pop_batch(self._state, self._timing.keys_at_once)
         if batch is None:
             return
-        if self._state.wanted:
+        if self._state.unsent:
             self.wake()
         if await self._append(batch):
             return
--- a/packages/verbenahall/src/verbenahall/claims/_decisions.py
+++ b/packages/verbenahall/src/verbenahall/claims/_decisions.py
@@ -33,7 +33,7 @@
     return state.old.get(key) if offset is None else offset
 
 
-def ask(state: ClaimsState, key: str) -> Verdict | None:
+def try_claim(state: ClaimsState, key: str) -> Verdict | None:
     """Ask for a key; ``None`` means that the log must decide.
 
     A claim that this process won and never used is used now. One whose
@@ -46,31 +46,31 @@
     owner = find_owner(state, key)
     if owner is not None and state.freeing.get(key) != owner:
         return Lost(key, owner)
-    state.wanted[key] = None
+    state.unsent[key] = None
     state.waiting.add(key)
     return None
 
 
-def give_up(state: ClaimsState, key: str) -> None:
+def stop_waiting(state: ClaimsState, key: str) -> None:
     """Stop waiting for a verdict; a claim that wins later is freed."""
-    state.wanted.pop(key, None)
+    state.unsent.pop(key, None)
     state.waiting.discard(key)
 
 
-def free(state: ClaimsState, key: str, offset: int) -> None:
+def release(state: ClaimsState, key: str, offset: int) -> None:
     """Give back a won claim whose request never ran and never will."""
     if find_owner(state, key) == offset:
         state.unused[key] = offset
 
 
-def take_batch(state: ClaimsState, limit: int) -> Batch | None:
+def pop_batch(state: ClaimsState, limit: int) -> Batch | None:
     """Take what the next record carries, or ``None`` if nothing waits."""
     state.freeing.update(state.unused)
     state.unused.clear()
     freed = tuple(state.freeing.items())[:limit]
-    keys = tuple(state.wanted)[:limit]
+    keys = tuple(state.unsent)[:limit]
     for key in keys:
-        state.wanted.pop(key)
+        state.unsent.pop(key)
     return Batch(keys, freed) if keys or freed else None
 
 
@@ -149,7 +149,7 @@
         return _apply_first(state, key, offset, own=own)
     if key not in state.waiting or state.freeing.get(key) == owner:
         return None
-    give_up(state, key)
+    stop_waiting(state, key)
     return Lost(key, owner)
 
 
@@ -161,7 +161,7 @@
     own: bool,
 ) -> Verdict | None:
     if key in state.waiting:
-        give_up(state, key)
+        stop_waiting(state, key)
         return Won(key, offset) if own else Lost(key, offset)
     if own:
         # The append was given up as lost and landed after all. Nobody runs
@@ -172,7 +172,7 @@
 
 
 def _keep(state: ClaimsState, key: str, offset: int) -> None:
-    if len(state.young) >= state.generation:
+    if len(state.young) >= state.generation_size:
         state.old = state.young
         state.young = {}
     state.young[key] = offset
@@ -197,5 +197,5 @@
     state.old = dict(dumped['old'])
     abandoned = tuple(state.waiting)
     for key in abandoned:
-        give_up(state, key)
+        stop_waiting(state, key)
     return abandoned
--- a/packages/verbenahall/src/verbenahall/claims/_shell.py
+++ b/packages/verbenahall/src/verbenahall/claims/_shell.py
@@ -91,7 +91,7 @@
         Call it only where the caller is told that the request did not run;
         the caller may then try the key again at any instance.
         """
-        decisions.free(
+        decisions.release(
             self.state,
             decisions.name_key(workspace, key),
             offset,
@@ -122,13 +122,13 @@
         awaited = self._verdicts.get(name)
         if awaited is not None:
             return await _share(awaited)
-        match decisions.ask(self.state, name):
+        match decisions.try_claim(self.state, name):
             case Won(offset=offset):
                 return Success(offset)
             case Lost():
                 return Failure(_DUPLICATE)
-        if self.batcher.refusing:
-            decisions.give_up(self.state, name)
+        if self.batcher.is_rejecting:
+            decisions.stop_waiting(self.state, name)
             return Failure(_UNAVAILABLE)
         return await self._wait(name)
 
@@ -165,12 +165,12 @@
             return
         won = awaited.result()
         if isinstance(won, Won):
-            decisions.free(self.state, key, won.offset)
+            decisions.release(self.state, key, won.offset)
             self.batcher.wake()
 
     def _refuse(self, key: str) -> None:
         """Stop waiting for a key whose verdict can't be known."""
-        decisions.give_up(self.state, key)
+        decisions.stop_waiting(self.state, key)
         self._settle(key, None)
 
     def _settle(self, key: str, verdict: Verdict | None) -> None:
--- a/packages/verbenahall/src/verbenahall/claims/_state.py
+++ b/packages/verbenahall/src/verbenahall/claims/_state.py
@@ -11,7 +11,7 @@
 
     ``young`` and ``old`` map a key to the offset of the record that won it.
     When ``young`` is full it becomes ``old``, so what is known depends on
-    the log alone and memory stays bounded. ``wanted`` holds keys to put in
+    the log alone and memory stays bounded. ``unsent`` holds keys to put in
     the next record, ``waiting`` those whose verdict is awaited, ``unused``
     won claims that never ran and are not yet told, ``freeing`` those of
     them that may already be told.
@@ -19,11 +19,11 @@
 
     __slots__ = (
         'holder',
-        'generation',
+        'generation_size',
         'position',
         'young',
         'old',
-        'wanted',
+        'unsent',
         'waiting',
         'unused',
         'freeing',
@@ -32,15 +32,15 @@
     def __init__(
         self,
         holder: str,
-        generation: int = KEYS_PER_GENERATION,
+        generation_size: int = KEYS_PER_GENERATION,
     ) -> None:
         """Start with an empty fold; ``holder`` must never be used again."""
         self.holder = holder
-        self.generation = generation
+        self.generation_size = generation_size
         self.position = 0
         self.young: dict[str, int] = {}
         self.old: dict[str, int] = {}
-        self.wanted: dict[str, None] = {}
+        self.unsent: dict[str, None] = {}
         self.waiting: set[str] = set()
         self.unused: dict[str, int] = {}
         self.freeing: dict[str, int] = {}
--- a/packages/verbenahall/tests/claims/test_claims.py
+++ b/packages/verbenahall/tests/claims/test_claims.py
@@ -245,14 +245,14 @@
     would let another instance run the key too, once the release has landed.
     """
     state = ClaimsState('a')
-    assert decisions.ask(state, 'k') is None
-    claim = decisions.encode_batch(state, decisions.take_batch(state, 9))
+    assert decisions.try_claim(state, 'k') is None
+    claim = decisions.encode_batch(state, decisions.pop_batch(state, 9))
     won = decisions.apply_record(state, Record(1, 'claims', 'x', claim))
     assert won == (Won('k', 1),)
 
-    decisions.free(state, 'k', 1)
-    assert decisions.ask(state, 'k') == Won('k', 1)
+    decisions.release(state, 'k', 1)
+    assert decisions.try_claim(state, 'k') == Won('k', 1)
 
-    decisions.free(state, 'k', 1)
-    decisions.take_batch(state, 9)
-    assert decisions.ask(state, 'k') is None
+    decisions.release(state, 'k', 1)
+    decisions.pop_batch(state, 9)
+    assert decisions.try_claim(state, 'k') is None
--- a/packages/verbenahall/tests/claims/test_schedules.py
+++ b/packages/verbenahall/tests/claims/test_schedules.py
@@ -57,12 +57,12 @@
     def ask(self, index, wanted):
         state = self.pick(index)
         if wanted not in state.waiting:
-            self.take(state, decisions.ask(state, wanted))
+            self.take(state, decisions.try_claim(state, wanted))
 
     @rule(index=number)
     def send(self, index):
         state = self.pick(index)
-        batch = decisions.take_batch(state, 2)
+        batch = decisions.pop_batch(state, 2)
         if batch is not None:
             self.flying.append(decisions.encode_batch(state, batch))
 
@@ -86,7 +86,7 @@
 
     @rule(index=number, wanted=key)
     def time_out(self, index, wanted):
-        decisions.give_up(self.pick(index), wanted)
+        decisions.stop_waiting(self.pick(index), wanted)
 
     @rule(index=number, count=st.integers(1, 5))
     def read(self, index, count):
@@ -114,7 +114,7 @@
         if ran:
             self.runs[name] += 1
         else:
-            decisions.free(self.states[int(holder)], name, offset)
+            decisions.release(self.states[int(holder)], name, offset)
 
     @rule(index=number, snapshot=st.booleans())
     def start_another(self, index, snapshot):
@@ -171,7 +171,7 @@
     Each instance must forget at the same place of the log, so that all give
     the same verdict.
     """
-    states = [ClaimsState(holder, generation=10) for holder in 'ab']
+    states = [ClaimsState(holder, generation_size=10) for holder in 'ab']
     for offset in range(1, count + 1):
         body = {'holder': 'z', 'keys': [f'k{offset}']}
         record = Record(offset, CLAIMS_STREAM, 'x', body)
