--- a/packages/verbenahall/src/verbenahall/usage/_clock.py
+++ b/packages/verbenahall/src/verbenahall/usage/_clock.py
@@ -34,11 +34,11 @@
         """Return the true time."""
         return self._boottime() + self._find_offset()
 
-    def read_own(self) -> float:
+    def read_local(self) -> float:
         """Return the time as this machine alone would tell it."""
         return self._boottime() + self._own
 
-    def adopt(self, at: float) -> None:
+    def record_time(self, at: float) -> None:
         """Take the time of a message that has just come.
 
         A message that lay unread while the process stood still tells a time
@@ -46,9 +46,9 @@
         """
         self._told.append(at - self._boottime())
 
-    def find_lead(self, at: float) -> float:
+    def compute_lead(self, at: float) -> float:
         """Return how far the time of a message is ahead of the own one."""
-        return at - self.read_own()
+        return at - self.read_local()
 
     def find_median(self, leads: Iterable[float]) -> float | None:
         """Return the time by the median of all, None if too few tell theirs.
@@ -58,7 +58,7 @@
         known = [0, *leads]
         if len(known) < _FEWEST:
             return None
-        return self.read_own() + statistics.median(known)
+        return self.read_local() + statistics.median(known)
 
     def _find_offset(self) -> float:
         return max(self._told, default=self._own)
--- a/packages/verbenahall/src/verbenahall/usage/_decisions.py
+++ b/packages/verbenahall/src/verbenahall/usage/_decisions.py
@@ -53,13 +53,13 @@
     window: int,
     now: float,
     *,
-    is_whole: bool,
+    is_complete: bool,
 ) -> bool:
     """Whether a window is reported by what is known.
 
-    ``is_whole`` tells that all instances were heard since its counts settled.
+    ``is_complete`` tells that all instances were heard since its counts settled.
     """
-    share = _SETTLED_SHARE if is_whole else _WAITED_SHARE
+    share = _SETTLED_SHARE if is_complete else _WAITED_SHARE
     return now >= windows.find_end(window) + windows.late_s * share
 
 
@@ -68,11 +68,11 @@
     return windows.find_end(window) + windows.late_s * _SETTLED_SHARE / 2
 
 
-def find_unasked(
+def find_unpolled(
     windows: Windows,
-    asked_at: float,
+    polled_at: float,
     now: float,
 ) -> int | None:
     """Return the last window whose counts nobody has asked for in time."""
     window = windows.find(now - windows.late_s * _WRITTEN_SHARE) - 1
-    return window if asked_at < windows.find_end(window) else None
+    return window if polled_at < windows.find_end(window) else None
--- a/packages/verbenahall/src/verbenahall/usage/_exchange.py
+++ b/packages/verbenahall/src/verbenahall/usage/_exchange.py
@@ -17,14 +17,14 @@
     encode_keyed,
 )
 from verbenahall.usage._clock import TrueClock
-from verbenahall.usage._gathering import Gathering
+from verbenahall.usage._gathering import GatheredCounts
 from verbenahall.usage._messages import (
     UsagePoll,
-    UsageTold,
+    UsageAnswer,
     decode,
     decode_written,
     encode_poll,
-    encode_told,
+    encode_answer,
     encode_written,
     split_counts,
 )
@@ -42,12 +42,12 @@
 class UsageExchange:
     """Gathers counts by datagrams, and by the store where these get lost.
 
-    ``asked_at`` is when a poll was last heard, in true time.
+    ``polled_at`` is when a poll was last heard, in true time.
     """
 
     __slots__ = (
-        'asked_at',
-        'gathering',
+        'polled_at',
+        'gathered',
         'meter',
         '_book',
         '_clock',
@@ -68,8 +68,8 @@
         clock: TrueClock,
     ) -> None:
         """Speak through the exchange between peers."""
-        self.asked_at: float = 0
-        self.gathering = Gathering()
+        self.polled_at: float = 0
+        self.gathered = GatheredCounts()
         self.meter = meter
         self._book = book
         self._clock = clock
@@ -86,22 +86,22 @@
         match decode(datagram):
             case Some(UsagePoll() as poll):
                 self._answer(poll, sender)
-            case Some(UsageTold() as told):
-                lead_s = self._clock.find_lead(told.at)
-                self.gathering.hear(told, self._clock.now(), lead_s)
+            case Some(UsageAnswer() as told):
+                lead_s = self._clock.compute_lead(told.at)
+                self.gathered.add_answer(told, self._clock.now(), lead_s)
             case _:
                 return self._hear_other(datagram, sender)
         return True
 
     def poll(self) -> None:
         """Ask every known instance; the own counts are taken at once."""
-        at = self._clock.find_median(self.gathering.leads.values())
+        at = self._clock.find_median(self.gathered.leads.values())
         if at is not None:
-            self._clock.adopt(at)
+            self._clock.record_time(at)
         datagram = encode_poll(UsagePoll(next(self._numbers), at or 0))
         for peer in self._book.peers.values():
             self._exchange.send(datagram, peer.address)
-        self.gathering.merge(self._run, self.meter.counts)
+        self.gathered.merge(self._run, self.meter.counts)
         self._tell_successors()
 
     def tell_last(self) -> None:
@@ -109,14 +109,14 @@
         if self._poller:
             self._tell(0, self._poller)
 
-    def find_missing(self, since: float) -> list[str]:
+    def list_unanswered(self, since: float) -> list[str]:
         """Return the instances that have not answered since a time."""
-        return list(self.gathering.find_missing(self._book.peers, since))
+        return list(self.gathered.list_unanswered(self._book.peers, since))
 
-    def forget_before(self, window: int) -> None:
+    def discard_before(self, window: int) -> None:
         """Drop the windows before one."""
-        self.meter.forget_before(window)
-        self.gathering.forget_before(window)
+        self.meter.discard_before(window)
+        self.gathered.discard_before(window)
 
     async def write_counts(self) -> bool:
         """Write the own counts to the store, for whoever reports later."""
@@ -139,7 +139,7 @@
     def _merge_written(self, name: str, content: bytes) -> None:
         match decode_written(content):
             case Some((run, counts)):
-                self.gathering.merge(run, counts)
+                self.gathered.merge(run, counts)
             case _:
                 # Another writer's record; the others' counts hold.
                 journal.write_decision('usage_unreadable', instance=name)
@@ -152,16 +152,16 @@
 
     def _answer(self, poll: UsagePoll, sender: str) -> None:
         if poll.at:
-            self._clock.adopt(poll.at)
-        self.asked_at = self._clock.now()
+            self._clock.record_time(poll.at)
+        self.polled_at = self._clock.now()
         self._poller = sender
         self._tell(poll.number, sender)
 
     def _tell(self, number: int, address: str) -> None:
         parts = split_counts(self.meter.counts)
-        at = self._clock.read_own()
+        at = self._clock.read_local()
         for place, counts in enumerate(parts):
-            told = UsageTold(
+            told = UsageAnswer(
                 self._book.name,
                 self._run,
                 number,
@@ -170,4 +170,4 @@
                 at,
                 counts,
             )
-            self._exchange.send(encode_told(told), address)
+            self._exchange.send(encode_answer(told), address)
--- a/packages/verbenahall/src/verbenahall/usage/_gathering.py
+++ b/packages/verbenahall/src/verbenahall/usage/_gathering.py
@@ -5,7 +5,7 @@
 from collections.abc import Collection, Iterator, Mapping
 from typing import final
 
-from verbenahall.usage._messages import UsageTold
+from verbenahall.usage._messages import UsageAnswer
 from verbenahall.usage._meter import Counts
 
 
@@ -22,23 +22,23 @@
 
 
 @final
-class Gathering:
+class GatheredCounts:
     """Counts by run of an instance; each of them only grows.
 
-    ``heard_at`` is when an instance's last whole answer came, in true time,
+    ``answered_at`` is when an instance's last whole answer came, in true time,
     and ``leads`` how far its clock was ahead of ours.
     """
 
-    __slots__ = ('counts', 'heard_at', 'leads', '_answers')
+    __slots__ = ('counts', 'answered_at', 'leads', '_answers')
 
     def __init__(self) -> None:
         """Start with nothing heard."""
         self.counts: dict[str, _Run] = {}
-        self.heard_at: dict[str, float] = {}
+        self.answered_at: dict[str, float] = {}
         self.leads: dict[str, float] = {}
         self._answers: dict[str, _Answer] = {}
 
-    def hear(self, told: UsageTold, now: float, lead_s: float) -> None:
+    def add_answer(self, told: UsageAnswer, now: float, lead_s: float) -> None:
         """Take a part of an answer; again, or late, it changes nothing."""
         self.merge(told.run, told.counts)
         answer = self._answers.get(told.instance)
@@ -50,7 +50,7 @@
         answer.parts.add(told.part)
         self.leads[told.instance] = lead_s
         if len(answer.parts) == told.parts:
-            self.heard_at[told.instance] = now
+            self.answered_at[told.instance] = now
 
     def merge(self, run: str, counts: Mapping[int, Counts]) -> None:
         """Take the larger one of each two counts."""
@@ -61,14 +61,14 @@
                 collections.Counter(rows)
             )
 
-    def find_missing(
+    def list_unanswered(
         self,
         instances: Collection[str],
         since: float,
     ) -> Iterator[str]:
         """Yield the instances without a whole answer since a time."""
         for name in instances:
-            if self.heard_at.get(name, 0) < since:
+            if self.answered_at.get(name, 0) < since:
                 yield name
 
     def sum_window(self, window: int) -> dict[str, int]:
@@ -78,7 +78,7 @@
             total.update(windows.get(window, {}))
         return dict(total)
 
-    def forget_before(self, window: int) -> None:
+    def discard_before(self, window: int) -> None:
         """Drop the windows before one, and runs that have no others."""
         for run, windows in tuple(self.counts.items()):
             kept = {
--- a/packages/verbenahall/src/verbenahall/usage/_messages.py
+++ b/packages/verbenahall/src/verbenahall/usage/_messages.py
@@ -26,7 +26,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class UsageTold:
+class UsageAnswer:
     """A part of what one run of an instance has counted, in answer to a poll.
 
     ``at`` is the time by the instance's own clock alone.
@@ -41,12 +41,12 @@
     counts: Mapping[int, Counts]
 
 
-_TOLD_FIELDS: Final = len(dataclasses.fields(UsageTold))
+_TOLD_FIELDS: Final = len(dataclasses.fields(UsageAnswer))
 #: Window, workspace and count.
 _Cell = tuple[int, str, int]
 #: A run and its counts.
 Written = tuple[str, dict[int, Counts]]
-Message = Union[UsagePoll, UsageTold]
+Message = Union[UsagePoll, UsageAnswer]
 
 
 def encode_poll(poll: UsagePoll) -> bytes:
@@ -54,7 +54,7 @@
     return wire.encode({'usage_poll': [poll.number, poll.at]})
 
 
-def encode_told(told: UsageTold) -> bytes:
+def encode_answer(told: UsageAnswer) -> bytes:
     """Encode a part of an answer."""
     table = {
         field.name: getattr(told, field.name)
@@ -141,7 +141,7 @@
             'parts': int(),
             'at': at,
         } if _is_time(at) and len(table) == _TOLD_FIELDS:
-            return Some(UsageTold(**{**table, 'counts': counts}))
+            return Some(UsageAnswer(**{**table, 'counts': counts}))
         case _:
             return Nothing
 
--- a/packages/verbenahall/src/verbenahall/usage/_meter.py
+++ b/packages/verbenahall/src/verbenahall/usage/_meter.py
@@ -37,7 +37,7 @@
         """Whether anything was counted up to a window."""
         return any(known <= window for known in self.counts)
 
-    def forget_before(self, window: int) -> None:
+    def discard_before(self, window: int) -> None:
         """Drop the windows before one."""
         for known in tuple(self.counts):
             if known < window:
--- a/packages/verbenahall/src/verbenahall/usage/_reports.py
+++ b/packages/verbenahall/src/verbenahall/usage/_reports.py
@@ -87,7 +87,7 @@
                 self.ledger = ReportLedger(self._windows.find_overdue(now))
         return True
 
-    def forget(self) -> None:
+    def discard(self) -> None:
         """Drop what another holder may change."""
         self.ledger = None
         self._sent.clear()
@@ -132,7 +132,7 @@
             if window not in self._sent and window > overdue
         ]
 
-    def tell_overdue(self, now: float) -> None:
+    def log_overdue(self, now: float) -> None:
         """Write a line for each window that got no report in time."""
         overdue = self._windows.find_overdue(now)
         decided = self.ledger.last if self.ledger else overdue
--- a/packages/verbenahall/src/verbenahall/usage/_shell.py
+++ b/packages/verbenahall/src/verbenahall/usage/_shell.py
@@ -12,7 +12,7 @@
 from verbenahall.usage._decisions import (
     Windows,
     find_settled,
-    find_unasked,
+    find_unpolled,
     list_undecided,
     may_decide,
 )
@@ -82,11 +82,11 @@
         elif await parts.succession.step():
             journal.write_decision('duty_held', duty=DUTY)
             self._holds = True
-            parts.reports.forget()
+            parts.reports.discard()
         else:
             await self._write_unasked(at)
         kept = parts.windows.find_overdue(at) - _KEPT
-        parts.exchange.forget_before(kept)
+        parts.exchange.discard_before(kept)
 
     async def _carry_out(self, at: float) -> None:
         """Ask for counts, decide what is due, and send what was decided."""
@@ -120,7 +120,7 @@
         if ledger is None:
             return []
         windows = self._with.windows
-        self._with.reports.tell_overdue(at)
+        self._with.reports.log_overdue(at)
         return [
             window
             for window in list_undecided(windows, ledger.last, at)
@@ -128,13 +128,13 @@
                 windows,
                 window,
                 at,
-                is_whole=not self._list_missing(window),
+                is_complete=not self._list_missing(window),
             )
         ]
 
     def _list_missing(self, window: int) -> list[str]:
         since = find_settled(self._with.windows, window)
-        return self._with.exchange.find_missing(since)
+        return self._with.exchange.list_unanswered(since)
 
     async def _decide(self, window: int, at: float) -> bool:
         exchange = self._with.exchange
@@ -146,7 +146,7 @@
                 window=window,
                 missing=sorted(missing),
             )
-        counts = exchange.gathering.sum_window(window)
+        counts = exchange.gathered.sum_window(window)
         return await self._with.reports.decide(window, counts, at)
 
     async def _send_all(self, token: int, at: float) -> bool:
@@ -174,12 +174,12 @@
         journal.write_decision('duty_lost', duty=DUTY, reason=reason)
         self._holds = False
         self._with.succession.note_lost()
-        self._with.reports.forget()
+        self._with.reports.discard()
 
     async def _write_unasked(self, at: float) -> None:
         """Write counts to the store that nobody has asked for in time."""
         exchange = self._with.exchange
-        window = find_unasked(self._with.windows, exchange.asked_at, at)
+        window = find_unpolled(self._with.windows, exchange.polled_at, at)
         if window is None or window <= self._written:
             return
         has_counts = exchange.meter.has_counts(window)
--- a/packages/verbenahall/tests/usage/test_clock.py
+++ b/packages/verbenahall/tests/usage/test_clock.py
@@ -28,7 +28,7 @@
 def test_told_time_goes_before_the_own_one():
     """A machine started with a clock that was 20 seconds behind."""
     clock, boottime = make_clock(980)
-    clock.adopt(1000)
+    clock.record_time(1000)
     boottime.seconds += 2
     assert clock.now() == 1002
 
@@ -36,9 +36,9 @@
 def test_message_that_lay_unread_does_not_turn_time_back():
     """The process stood still for five seconds with a message unread."""
     clock, boottime = make_clock(1000)
-    clock.adopt(1000)
+    clock.record_time(1000)
     boottime.seconds += 5
-    clock.adopt(1000.5)
+    clock.record_time(1000.5)
     assert clock.now() == 1005
 
 
--- a/packages/verbenahall/tests/usage/test_gathering.py
+++ b/packages/verbenahall/tests/usage/test_gathering.py
@@ -6,11 +6,11 @@
 from verbenahall import wire
 from verbenahall.usage._decisions import (
     Windows,
-    find_unasked,
+    find_unpolled,
     list_undecided,
     may_decide,
 )
-from verbenahall.usage._gathering import Gathering
+from verbenahall.usage._gathering import GatheredCounts
 from verbenahall.usage._ledger import (
     ReportLedger,
     decide,
@@ -19,23 +19,23 @@
 )
 from verbenahall.usage._messages import (
     UsagePoll,
-    UsageTold,
+    UsageAnswer,
     decode,
     encode_poll,
-    encode_told,
+    encode_answer,
     split_counts,
 )
 
 WINDOWS = Windows(5, 10)
-TOLD = UsageTold('front-1', 'ab12', 3, 0, 1, 100.5, {7: {'club': 2}})
+TOLD = UsageAnswer('front-1', 'ab12', 3, 0, 1, 100.5, {7: {'club': 2}})
 
 
 def tell(number, counts, run='ab12', part=0, parts=1):
-    return UsageTold('front-1', run, number, part, parts, 0, counts)
+    return UsageAnswer('front-1', run, number, part, parts, 0, counts)
 
 
 def test_messages_are_read_as_they_were_written():
-    assert decode(encode_told(TOLD)) == Some(TOLD)
+    assert decode(encode_answer(TOLD)) == Some(TOLD)
     assert decode(encode_poll(UsagePoll(4, 1.5))) == Some(UsagePoll(4, 1.5))
 
 
@@ -53,7 +53,7 @@
 )
 def test_spoiled_answer_is_none(changes):
     """Believed in part, it would be billed to somebody."""
-    table = wire.decode_table(encode_told(TOLD)).unwrap()['usage_told']
+    table = wire.decode_table(encode_answer(TOLD)).unwrap()['usage_told']
     spoiled = wire.encode({'usage_told': {**table, **changes}})
     assert decode(spoiled) == Nothing
 
@@ -64,40 +64,40 @@
         for window in (356_564_960, 356_564_961)
     }
     parts = split_counts(counts)
-    joined = Gathering()
+    joined = GatheredCounts()
     for number, part in enumerate(parts):
         told = tell(1, part, part=number, parts=len(parts))
-        assert len(encode_told(told)) < 1400
-        joined.hear(told, 9, 0)
+        assert len(encode_answer(told)) < 1400
+        joined.add_answer(told, 9, 0)
     assert joined.sum_window(356_564_960) == counts[356_564_960]
-    assert joined.heard_at == {'front-1': 9}
+    assert joined.answered_at == {'front-1': 9}
 
 
 def test_lost_part_leaves_an_answer_missing():
     """What looks whole would be reported without the lost part."""
-    gathering = Gathering()
-    gathering.hear(tell(1, {7: {'a': 1}}, part=0, parts=2), 5, 0)
-    assert list(gathering.find_missing(['front-1'], 4)) == ['front-1']
-    gathering.hear(tell(2, {7: {'b': 1}}, part=1, parts=2), 6, 0)
-    assert list(gathering.find_missing(['front-1'], 4)) == ['front-1']
-    gathering.hear(tell(2, {7: {'a': 1}}, part=0, parts=2), 7, 0)
-    assert not list(gathering.find_missing(['front-1'], 4))
+    gathered = GatheredCounts()
+    gathered.add_answer(tell(1, {7: {'a': 1}}, part=0, parts=2), 5, 0)
+    assert list(gathered.list_unanswered(['front-1'], 4)) == ['front-1']
+    gathered.add_answer(tell(2, {7: {'b': 1}}, part=1, parts=2), 6, 0)
+    assert list(gathered.list_unanswered(['front-1'], 4)) == ['front-1']
+    gathered.add_answer(tell(2, {7: {'a': 1}}, part=0, parts=2), 7, 0)
+    assert not list(gathered.list_unanswered(['front-1'], 4))
 
 
 def test_late_and_doubled_answers_change_nothing():
-    gathering = Gathering()
+    gathered = GatheredCounts()
     for counts in ({7: {'a': 5}}, {7: {'a': 3}}, {7: {'a': 5}}):
-        gathering.hear(tell(1, counts), 5, 0)
-    assert gathering.sum_window(7) == {'a': 5}
+        gathered.add_answer(tell(1, counts), 5, 0)
+    assert gathered.sum_window(7) == {'a': 5}
 
 
 def test_run_before_a_restart_counts_beside_the_new_one():
-    gathering = Gathering()
-    gathering.hear(tell(1, {7: {'a': 5}}, run='old'), 5, 0)
-    gathering.hear(tell(2, {7: {'a': 2}}, run='new'), 6, 0)
-    assert gathering.sum_window(7) == {'a': 7}
-    gathering.forget_before(8)
-    assert not gathering.counts
+    gathered = GatheredCounts()
+    gathered.add_answer(tell(1, {7: {'a': 5}}, run='old'), 5, 0)
+    gathered.add_answer(tell(2, {7: {'a': 2}}, run='new'), 6, 0)
+    assert gathered.sum_window(7) == {'a': 7}
+    gathered.discard_before(8)
+    assert not gathered.counts
 
 
 def test_ledger_is_read_as_it_was_written():
@@ -119,10 +119,10 @@
 def test_windows_wait_until_their_counts_are_settled():
     # Window 19 ends at 100; its report is due at 110.
     assert list(list_undecided(WINDOWS, 17, 101)) == [18, 19]
-    assert not may_decide(WINDOWS, 19, 101.9, is_whole=True)
-    assert may_decide(WINDOWS, 19, 102, is_whole=True)
-    assert not may_decide(WINDOWS, 19, 103.9, is_whole=False)
-    assert may_decide(WINDOWS, 19, 104, is_whole=False)
+    assert not may_decide(WINDOWS, 19, 101.9, is_complete=True)
+    assert may_decide(WINDOWS, 19, 102, is_complete=True)
+    assert not may_decide(WINDOWS, 19, 103.9, is_complete=False)
+    assert may_decide(WINDOWS, 19, 104, is_complete=False)
 
 
 def test_overdue_window_is_not_decided():
@@ -131,5 +131,5 @@
 
 def test_counts_are_written_where_nobody_asks():
     """The holder cannot be reached, and the store can."""
-    assert find_unasked(WINDOWS, 99, 103.1) == 19
-    assert find_unasked(WINDOWS, 100.5, 103.1) is None
+    assert find_unpolled(WINDOWS, 99, 103.1) == 19
+    assert find_unpolled(WINDOWS, 100.5, 103.1) is None
