--- a/packages/verbenahall/src/verbenahall/scaling/_bases.py
+++ b/packages/verbenahall/src/verbenahall/scaling/_bases.py
@@ -24,7 +24,7 @@
 
 
 @final
-class Bases:
+class BaseSizes:
     """The first holder writes the numbers down, for all later ones.
 
     A successor that counted anew would take the reserve for a part of them.
--- a/packages/verbenahall/src/verbenahall/scaling/_decisions.py
+++ b/packages/verbenahall/src/verbenahall/scaling/_decisions.py
@@ -12,7 +12,7 @@
 from typing import Final
 
 from verbenahall.catalog import ScalingRules
-from verbenahall.scaling._messages import Kind, Pool, Sizes
+from verbenahall.scaling._messages import CapacityKind, Pool, Sizes
 
 #: Data centres whose spot instances may be gone at the same time, at most:
 #: one gets no new ones for a while, and the next may follow.
@@ -20,14 +20,14 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Mix:
+class EngineMix:
     """How many engines of each kind a data centre has."""
 
     on_demand: int
     spot: int | float
 
 
-def choose_mix(rules: ScalingRules, base: int) -> Mix:
+def choose_mix(rules: ScalingRules, base: int) -> EngineMix:
     """Return the cheapest mix of which ``base`` engines outlive reclaims."""
     centres = max(1, len(rules.prices))
     gone = min(_MOST_GONE, max(1, centres - 1))
@@ -40,19 +40,19 @@
     return min(
         (mix for mix in mixes if mix.on_demand + mix.spot <= rules.most),
         key=lambda mix: mix.on_demand + mix.spot * rules.spot_share,
-        default=Mix(most, 0),
+        default=EngineMix(most, 0),
     )
 
 
-def _complete(on_demand: int, missing: int, left: int) -> Mix:
+def _complete(on_demand: int, missing: int, left: int) -> EngineMix:
     """Add the spot instances of which ``missing`` are left in some centres."""
     if missing <= 0:
-        return Mix(on_demand, 0)
+        return EngineMix(on_demand, 0)
     spot = math.ceil(missing / left) if left else math.inf
-    return Mix(on_demand, spot)
+    return EngineMix(on_demand, spot)
 
 
-def list_pools(rules: ScalingRules, kind: Kind) -> list[Pool]:
+def list_pools(rules: ScalingRules, kind: CapacityKind) -> list[Pool]:
     """Return the pools of one kind, the cheapest data centre first."""
     centres = sorted(rules.prices, key=rules.prices.__getitem__)
     return [Pool(centre, kind) for centre in centres]
@@ -73,7 +73,7 @@
     mix = choose_mix(rules, base)
     if not mix.spot:
         return {}
-    spot = list_pools(rules, Kind.SPOT)
+    spot = list_pools(rules, CapacityKind.SPOT)
     serving = sum(present.get(pool, 0) for pool in spot)
     on_demand = _plan_on_demand(rules, mix, base - serving, present, closed)
     return {**_plan_spot(rules, mix, present, on_demand), **on_demand}
@@ -81,7 +81,7 @@
 
 def _plan_spot(
     rules: ScalingRules,
-    mix: Mix,
+    mix: EngineMix,
     present: Sizes,
     on_demand: Sizes,
 ) -> Sizes:
@@ -90,14 +90,14 @@
     for pool, wanted in on_demand.items():
         # The bound holds for both kinds together.
         room = rules.most - max(wanted, present.get(pool, 0))
-        beside = Pool(pool.data_centre, Kind.SPOT)
+        beside = Pool(pool.data_centre, CapacityKind.SPOT)
         sizes[beside] = max(0, min(mix.spot, room))
     return sizes
 
 
 def _plan_on_demand(
     rules: ScalingRules,
-    mix: Mix,
+    mix: EngineMix,
     missing: int,
     present: Sizes,
     closed: Collection[Pool],
@@ -107,7 +107,7 @@
     Those that are there come before new ones, and new ones where they cost
     least.
     """
-    pools = list_pools(rules, Kind.ON_DEMAND)
+    pools = list_pools(rules, CapacityKind.ON_DEMAND)
     least = max(mix.on_demand, rules.least - mix.spot)
     further = missing - least * len(pools)
     kept = _spread(
--- a/packages/verbenahall/src/verbenahall/scaling/_messages.py
+++ b/packages/verbenahall/src/verbenahall/scaling/_messages.py
@@ -7,7 +7,7 @@
 
 
 @final
-class Kind(enum.Enum):
+class CapacityKind(enum.Enum):
     """Whether the platform may take an engine back at any time."""
 
     ON_DEMAND = 'on_demand'
@@ -19,7 +19,7 @@
     """The engines of one kind in one data centre."""
 
     data_centre: str
-    kind: Kind
+    kind: CapacityKind
 
 
 #: Engines by pool.
--- a/packages/verbenahall/src/verbenahall/scaling/_shell.py
+++ b/packages/verbenahall/src/verbenahall/scaling/_shell.py
@@ -17,10 +17,10 @@
     StoreClient,
 )
 from verbenahall.roster import Entry
-from verbenahall.scaling._bases import Bases
+from verbenahall.scaling._bases import BaseSizes
 from verbenahall.scaling._decisions import plan_sizes
 from verbenahall.catalog import ScalingRules
-from verbenahall.scaling._messages import Kind, Pool, Sizes
+from verbenahall.scaling._messages import CapacityKind, Pool, Sizes
 from verbenahall.scaling._state import PoolOrders
 
 #: The name under which the lease on scaling is kept.
@@ -67,7 +67,7 @@
 
     def __init__(self, surroundings: Surroundings) -> None:
         """Prepare; nothing is ordered before ``run``."""
-        self._bases = Bases(surroundings.store, surroundings.now)
+        self._bases = BaseSizes(surroundings.store, surroundings.now)
         self._holds = False
         self._orders: dict[str, PoolOrders] = {}
         self._tried_at = -float('inf')
@@ -132,7 +132,7 @@
         outcome = await self._with.calls.scale(
             seal,
             service,
-            ScaleOrder(pool.data_centre, size, pool.kind is Kind.SPOT),
+            ScaleOrder(pool.data_centre, size, pool.kind is CapacityKind.SPOT),
         )
         journal.write_decision(
             'scale_order',
@@ -147,13 +147,13 @@
         orders = self._orders[service]
         match outcome:
             case DutyOutcome.DONE:
-                orders.note_ordered(pool, size, now)
+                orders.record_ordered(pool, size, now)
             case DutyOutcome.FENCED if self._with.lease.token() != token:
                 self._with.lease.forget()
                 self._end('a higher token was seen')
             case DutyOutcome.FENCED | DutyOutcome.REJECTED:
                 # The lease still holds, so the pool is what has no engines.
-                orders.note_none(pool, now)
+                orders.record_unavailable(pool, now)
             case _:
                 self._tried_at = now
 
@@ -167,7 +167,7 @@
     return collections.Counter(
         Pool(
             engine.data_centre,
-            Kind.SPOT if engine.spot else Kind.ON_DEMAND,
+            CapacityKind.SPOT if engine.spot else CapacityKind.ON_DEMAND,
         )
         for engine in engines
     )
--- a/packages/verbenahall/src/verbenahall/scaling/_state.py
+++ b/packages/verbenahall/src/verbenahall/scaling/_state.py
@@ -5,7 +5,7 @@
 from typing import Final, final
 
 from verbenahall.catalog import ScalingRules
-from verbenahall.scaling._messages import Kind, Pool, Sizes
+from verbenahall.scaling._messages import CapacityKind, Pool, Sizes
 
 #: First and longest time for which a pool without engines is left alone, in
 #: seconds.
@@ -79,13 +79,13 @@
             pool: size for pool, size in due.items() if pool not in held_back
         }
 
-    def note_ordered(self, pool: Pool, size: int, now: float) -> None:
+    def record_ordered(self, pool: Pool, size: int, now: float) -> None:
         """Note an order that the platform took."""
         self._ordered[pool] = size
         self._same_at[pool] = now
         self._closings.pop(pool, None)
 
-    def note_none(self, pool: Pool, now: float) -> None:
+    def record_unavailable(self, pool: Pool, now: float) -> None:
         """Note that a pool has no engine to give; it is tried again later."""
         known = self._closings.get(pool)
         pause_s = 2 * known.pause_s if known else _CLOSED_S
@@ -139,4 +139,4 @@
 
 def _gives_back(pool: Pool, size: int, present: Sizes) -> bool:
     """Whether an order would end engines on demand."""
-    return pool.kind is Kind.ON_DEMAND and size < present.get(pool, 0)
+    return pool.kind is CapacityKind.ON_DEMAND and size < present.get(pool, 0)
--- a/packages/verbenahall/tests/scaling/test_sizes.py
+++ b/packages/verbenahall/tests/scaling/test_sizes.py
@@ -3,35 +3,38 @@
 import pytest
 
 from verbenahall.catalog import ScalingRules
-from verbenahall.scaling import Kind, Pool
-from verbenahall.scaling._decisions import Mix, choose_mix, plan_sizes
+from verbenahall.scaling import CapacityKind, Pool
+from verbenahall.scaling._decisions import EngineMix, choose_mix, plan_sizes
 from verbenahall.scaling._state import PoolOrders
 
 PRICES = {'a': 0.85, 'b': 1.2, 'c': 1.0}
 RULES = ScalingRules(1, 20, 4, 0.18, PRICES)
-START = {Pool(centre, Kind.ON_DEMAND): 10 for centre in PRICES}
+START = {Pool(centre, CapacityKind.ON_DEMAND): 10 for centre in PRICES}
 
 
 def spot(**sizes):
-    return {Pool(centre, Kind.SPOT): size for centre, size in sizes.items()}
+    return {
+        Pool(centre, CapacityKind.SPOT): size for centre, size in sizes.items()
+    }
 
 
 def on_demand(**sizes):
     return {
-        Pool(centre, Kind.ON_DEMAND): size for centre, size in sizes.items()
+        Pool(centre, CapacityKind.ON_DEMAND): size
+        for centre, size in sizes.items()
     }
 
 
 @pytest.mark.parametrize(
     ('centres', 'most', 'share', 'mix'),
     [
-        (3, 40, 0.18, Mix(0, 30)),
-        (3, 20, 0.18, Mix(5, 15)),
-        (3, 20, 0.9, Mix(10, 0)),
-        (2, 20, 0.18, Mix(10, 10)),
-        (1, 40, 0.18, Mix(30, 0)),
-        (15, 10, 0.18, Mix(0, 3)),
-        (3, 4, 0.18, Mix(4, 0)),
+        (3, 40, 0.18, EngineMix(0, 30)),
+        (3, 20, 0.18, EngineMix(5, 15)),
+        (3, 20, 0.9, EngineMix(10, 0)),
+        (2, 20, 0.18, EngineMix(10, 10)),
+        (1, 40, 0.18, EngineMix(30, 0)),
+        (15, 10, 0.18, EngineMix(0, 3)),
+        (3, 4, 0.18, EngineMix(4, 0)),
     ],
 )
 def test_cheapest_mix_of_which_enough_outlives_reclaims(
@@ -74,7 +77,7 @@
     present = {**on_demand(a=5, b=5, c=5), **spot(b=12)}
     sizes = plan_sizes(RULES, 30, present, ())
     assert sizes == {**spot(a=12, b=15, c=15), **on_demand(a=8, b=5, c=5)}
-    closed = {Pool('a', Kind.ON_DEMAND)}
+    closed = {Pool('a', CapacityKind.ON_DEMAND)}
     sizes = plan_sizes(RULES, 30, present, closed)
     assert sizes == {**spot(a=15, b=15, c=12), **on_demand(a=5, b=5, c=8)}
 
@@ -95,7 +98,7 @@
     def send(self):
         chosen = self.choose()
         for pool, size in chosen.items():
-            self.orders.note_ordered(pool, size, self.now)
+            self.orders.record_ordered(pool, size, self.now)
         return chosen
 
 
@@ -112,12 +115,12 @@
 
 def test_pool_without_engines_is_tried_again_later():
     fleet = Fleet()
-    pool = Pool('a', Kind.SPOT)
-    fleet.orders.note_none(pool, fleet.now)
+    pool = Pool('a', CapacityKind.SPOT)
+    fleet.orders.record_unavailable(pool, fleet.now)
     assert pool not in fleet.choose()
     fleet.now += 1.1
     assert pool in fleet.choose()
-    fleet.orders.note_none(pool, fleet.now)
+    fleet.orders.record_unavailable(pool, fleet.now)
     fleet.now += 1.1
     assert pool not in fleet.choose()
 
@@ -145,7 +148,7 @@
     fleet.send()
     fleet.present = {**on_demand(a=5, b=5, c=5), **spot(b=12)}
     fleet.now += 5
-    assert fleet.send()[Pool('a', Kind.ON_DEMAND)] == 8
+    assert fleet.send()[Pool('a', CapacityKind.ON_DEMAND)] == 8
     fleet.now += 5
     fleet.present = {**on_demand(a=8, b=5, c=5), **spot(a=12, b=15, c=15)}
     assert not fleet.send()
