--- a/packages/verbenahall/src/verbenahall/orders/_decisions.py
+++ b/packages/verbenahall/src/verbenahall/orders/_decisions.py
@@ -1,4 +1,4 @@
-"""Which orders are outstanding, and when a new holder may send its first."""
+"""Outstanding orders, and when a new holder may send its first order."""
 
 import dataclasses
 
@@ -9,17 +9,17 @@
 
 
 def outstanding(state: OrdersState, scope: str) -> tuple[Order, ...]:
-    """Return a scope's valid orders that are neither done, failed nor void."""
+    """Return a scope's orders that are neither done, failed nor void."""
     return tuple(state.unsettled.get(scope, {}).values())
 
 
 def is_changing(state: OrdersState, engine: str) -> bool:
-    """Tell whether an engine is to get no new work because of a change.
+    """Return whether an engine gets no new requests because of a change.
 
-    True from the moment this process reads the order's record, so that the
-    engine runs empty and the change can begin with nothing in flight. An
-    engine that holds the target already may work on: its order only moves
-    its number. An engine that this process does not follow counts as free.
+    This is so from the time this process reads the order's record, so that
+    the engine drains and the change starts with nothing in flight. An engine
+    that already holds the target continues to get requests: its order only
+    updates the order number. An engine without a report is not changing.
     """
     report = state.reports.get(engine)
     if report is None:
@@ -36,8 +36,9 @@
 class SendGate:
     """When a holder may send its first order to an engine.
 
-    ``opens_at`` is in monotonic seconds; ``read_back`` asks for the engine's
-    state, read after that moment, before the order.
+    ``opens_at`` is in monotonic seconds. If ``read_back`` is set, the
+    engine's state must have been read after that time before an order is
+    sent.
     """
 
     opens_at: float
@@ -51,15 +52,16 @@
     *,
     checks_fencing: bool,
 ) -> SendGate:
-    """Decide how long a new holder leaves an engine alone.
+    """Return when a new holder may send its first order to an engine.
 
-    An engine that checks tokens refuses whatever an earlier holder still
-    sends as soon as it has seen the new token. One that ignores them would
-    carry out a late order: the earlier holder may have been paused between
-    its check of the lease and the write, and the bytes may wait in a
-    connection. The new holder therefore outwaits both before it looks at
-    what the engine has become. ``granted_at`` is when the new holder read
-    its own claim, which is later than the end of the earlier lease.
+    An engine that checks tokens rejects the orders of an earlier holder once
+    it has seen the new token. An engine that ignores tokens would carry out
+    a late order: the earlier holder may have been paused between its check
+    of the lease and the write, and the bytes may be buffered in a
+    connection. So the new holder waits for the longest pause and the order
+    timeout before it reads the engine's state. ``granted_at`` is when the
+    new holder read its own claim, which is after the end of the earlier
+    lease. After a release only the order timeout is waited for.
     """
     if checks_fencing:
         return SendGate(granted_at, read_back=False)
