--- a/packages/verbenahall/src/verbenahall/orders/_dispatch.py
+++ b/packages/verbenahall/src/verbenahall/orders/_dispatch.py
@@ -1,4 +1,4 @@
-"""When a lease holder sends which order to which engine."""
+"""Decides when a lease holder may send an order to an engine."""
 
 from typing import Final
 
@@ -9,22 +9,24 @@
 from verbenahall.orders._progress import Progress, find_progress
 from verbenahall.orders._state import OrdersState
 
-#: How long an engine must have gone on answering before its state, read
-#: back by a new holder, is believed.
-_SETTLE_S: Final = 0.5
-#: An order goes out only soon after its engine told its incarnation, so that
-#: another process under the same address does not get it.
-_FRESH_S: Final = 1.0
+#: Time in seconds for which an engine must keep responding before a new
+#: holder uses the state that it read back.
+_RESPONSIVE_S: Final = 0.5
+#: Maximum age in seconds of the engine's report when an order is sent. The
+#: report confirms the incarnation, so that another process that has started
+#: at the same address does not get the order.
+_MAX_REPORT_AGE_S: Final = 1.0
 
 
 class Track:
-    """What a holder knows of its sending to one engine.
-
-    ``read_back`` is when the engine's state was first read after the gate
-    opened. ``doubt`` is the number of an order that was written without an
-    answer, at ``doubt_at``. ``refusals`` counts tries in a row that brought
-    nothing, and ``failed`` is the number of the last order that the engine
-    took and did not fulfil.
+    """State of a holder's sends to one engine.
+
+    ``sending`` is set while a send is in progress, and ``cleared`` once the
+    send gate has been passed. ``read_back`` is when the engine's state was
+    first read after the gate opened. ``doubt`` is the number of an order that
+    was written at ``doubt_at`` and not answered. ``refusals`` counts
+    consecutive sends without effect, and ``failed`` is the number of the last
+    order that the engine accepted and did not complete.
     """
 
     __slots__ = (
@@ -53,9 +55,9 @@
 
 
 class Dispatch:
-    """One process's sending under one fencing token.
+    """State of one process's sends under one fencing token.
 
-    ``granted_at`` is when this process learnt that it holds ``token``.
+    ``granted_at`` is when this process read ``grant``, its own, from the log.
     """
 
     __slots__ = ('grant', 'granted_at', 'timing', 'tracks')
@@ -68,12 +70,12 @@
         self.tracks: dict[str, Track] = {}
 
     def find_track(self, engine: str) -> Track:
-        """Return the engine's track, a new one if there is none."""
+        """Return the state of the sends to an engine; create it if needed."""
         return self.tracks.setdefault(engine, Track())
 
 
 def take_over(dispatch: Dispatch, grant: Grant, now: float) -> None:
-    """Start over if this process holds a token that it did not hold before."""
+    """Reset the state if the grant has another fencing token than before."""
     if dispatch.grant is not None and dispatch.grant.token == grant.token:
         return
     dispatch.grant = grant
@@ -88,11 +90,11 @@
     state: OrdersState,
     endpoint: Endpoint,
 ) -> bool:
-    """Tell whether this holder may order the engine yet.
+    """Return whether this holder may send orders to the engine yet.
 
     Without this wait, an order that an earlier holder wrote just before its
-    lease ended could reach an engine that ignores tokens after this holder's
-    own, and take effect last.
+    lease ended could reach an engine that ignores tokens after an order of
+    this holder, and override it.
     """
     track = dispatch.find_track(endpoint.name)
     if not track.cleared:
@@ -119,11 +121,12 @@
         return True
     if reported_at < gate.opens_at:
         return False
-    # One answer proves that the engine is awake; only a later one that it
-    # has also gone through what lay unread in its connections.
+    # The first response only shows that the engine is running again. A later
+    # one shows that it has also processed the data that was waiting in its
+    # connections.
     if track.read_back is None:
         track.read_back = reported_at
-    return reported_at >= track.read_back + _SETTLE_S
+    return reported_at >= track.read_back + _RESPONSIVE_S
 
 
 def may_send(
@@ -133,19 +136,19 @@
     endpoint: Endpoint,
     now: float,
 ) -> bool:
-    """Tell whether ``order`` may go to its engine at ``now``."""
+    """Return whether ``order`` may be sent to its engine at ``now``."""
     track = dispatch.find_track(order.engine)
     if track.sending or now < track.retry_at:
         return False
     report = state.reports.get(order.engine)
     reported_at = state.reported_at.get(order.engine, -float('inf'))
-    if report is None or now - reported_at > _FRESH_S:
+    if report is None or now - reported_at > _MAX_REPORT_AGE_S:
         return False
     if find_progress(order, report) is not Progress.UNCONFIRMED:
         return False
     if not is_cleared(dispatch, state, endpoint):
         return False
-    return endpoint.checks_fencing or _is_doubtless(
+    return endpoint.checks_fencing or _has_no_rival_order(
         dispatch.timing,
         track,
         order,
@@ -153,19 +156,21 @@
     )
 
 
-def _is_doubtless(
+def _has_no_rival_order(
     timing: OrderTiming,
     track: Track,
     order: Order,
     reported_at: float,
 ) -> bool:
-    """Tell whether no other order can still reach an engine.
+    """Return whether no other order can still reach an engine.
 
-    An engine that ignores numbers would carry out an older order after a
-    newer one, if the older was written without an answer and lies in a
-    connection; the newer waits until that connection is surely dead and the
-    engine has answered since.
+    An engine that ignores order numbers could carry out an older order after
+    a newer one, if the older one was written, got no response and is still
+    in a connection. The newer order waits until that connection has timed
+    out and the engine has responded since.
     """
     if track.doubt in {'', order.number}:
         return True
-    return reported_at >= track.doubt_at + timing.order_timeout_s + _SETTLE_S
+    return (
+        reported_at >= track.doubt_at + timing.order_timeout_s + _RESPONSIVE_S
+    )
