--- a/packages/verbenahall/src/verbenahall/orders/_failures.py
+++ b/packages/verbenahall/src/verbenahall/orders/_failures.py
@@ -1,4 +1,4 @@
-"""What a holder does about sends and changes that bring nothing."""
+"""Backoff and withdrawal after sends and changes that had no effect."""
 
 from typing import Final
 
@@ -10,19 +10,19 @@
 from verbenahall.orders._state import OrdersState
 
 _FIRST_PAUSE_S: Final = 0.25
-_LONGEST_PAUSE_S: Final = 20.0
-_MOST_DOUBLINGS: Final = 10
-#: So many tries in a row without effect withdraw an order.
-_MOST_REFUSALS: Final = 3
-_FRUITLESS: Final = frozenset((Outcome.REFUSED, Outcome.UNKNOWN))
-#: Outcomes after which the pause does not grow.
-_ORDINARY: Final = frozenset(
+_MAX_PAUSE_S: Final = 20.0
+_MAX_DOUBLINGS: Final = 10
+#: Consecutive sends without effect after which an order is withdrawn.
+_MAX_REFUSALS: Final = 3
+_NO_EFFECT: Final = frozenset((Outcome.REFUSED, Outcome.UNKNOWN))
+#: Outcomes that reset the backoff.
+_NO_BACKOFF: Final = frozenset(
     (Outcome.STARTED, Outcome.ALREADY, Outcome.BUSY, Outcome.NOT_SENT),
 )
 
 
 def note_sending(dispatch: Dispatch, order: Order) -> None:
-    """Keep that a send is under way."""
+    """Record that a send to the engine is in progress."""
     dispatch.find_track(order.engine).sending = True
 
 
@@ -32,24 +32,24 @@
     outcome: Outcome,
     now: float,
 ) -> None:
-    """Keep what became of a send and when to look again."""
+    """Record the outcome of a send and when the next one may start."""
     track = dispatch.find_track(order.engine)
     track.sending = False
     if outcome is Outcome.UNKNOWN:
         track.doubt = order.number
         track.doubt_at = now
-    if outcome in _ORDINARY:
+    if outcome in _NO_BACKOFF:
         track.failures = 0
         track.refusals = 0
     else:
         track.failures += 1
-        track.refusals += outcome in _FRUITLESS
-    _pause(track, now)
+        track.refusals += outcome in _NO_EFFECT
+    _back_off(track, now)
 
 
-def _pause(track: Track, now: float) -> None:
-    pause = _FIRST_PAUSE_S * 2 ** min(track.failures, _MOST_DOUBLINGS)
-    track.retry_at = now + min(_LONGEST_PAUSE_S, pause)
+def _back_off(track: Track, now: float) -> None:
+    pause = _FIRST_PAUSE_S * 2 ** min(track.failures, _MAX_DOUBLINGS)
+    track.retry_at = now + min(_MAX_PAUSE_S, pause)
 
 
 def record_failed_change(
@@ -58,11 +58,11 @@
     engine: str,
     now: float,
 ) -> None:
-    """Let an engine rest that took an order and did not fulfil it.
+    """Back off from an engine that accepted an order and failed to apply it.
 
-    A change that cannot succeed, such as a version that the weight store
-    does not have, would otherwise be ordered again at once, and the engine
-    would spend its whole time in it.
+    A change that cannot succeed, such as one to a version that is missing in
+    the weight store, would otherwise be ordered again at once, and the
+    engine would do nothing else.
     """
     order = state.orders.get(engine)
     if order is None:
@@ -72,7 +72,7 @@
     if progress is Progress.FAILED and track.failed != order.number:
         track.failed = order.number
         track.failures += 1
-        _pause(track, now)
+        _back_off(track, now)
 
 
 def list_withdrawals(
@@ -81,17 +81,18 @@
     scope: str,
     now: float,
 ) -> tuple[PlannedOrder, ...]:
-    """Return orders to stay as it is, for engines that refuse to change.
+    """Return orders that keep an engine's state, where it rejects a change.
 
-    While an order is outstanding its engine gets no new work. An engine that
-    refuses the order, or never answers it, would stand idle for ever; the
-    order to stay takes the place of the refused one in every instance's
-    fold, and the engine rests before it is asked again.
+    An engine gets no new requests while an order is outstanding. If it
+    rejects the order, or never responds to it, it would stay idle for good.
+    The new order, whose target is the state that the engine already has,
+    replaces the rejected one in the fold of every instance, and the engine is
+    left alone for ``_MAX_PAUSE_S``.
     """
     withdrawn = [
         order
         for order in outstanding(state, scope)
-        if _is_hopeless(dispatch, state, order)
+        if _should_withdraw(dispatch, state, order)
     ]
     return tuple(
         _withdraw(dispatch, state, hopeless, now) for hopeless in withdrawn
@@ -106,12 +107,12 @@
 ) -> PlannedOrder:
     track = dispatch.find_track(order.engine)
     track.refusals = 0
-    track.retry_at = now + _LONGEST_PAUSE_S
+    track.retry_at = now + _MAX_PAUSE_S
     report = state.reports[order.engine]
     return PlannedOrder(report.name, report.incarnation, report.holding)
 
 
-def _is_hopeless(
+def _should_withdraw(
     dispatch: Dispatch,
     state: OrdersState,
     order: Order,
@@ -119,4 +120,4 @@
     report = state.reports.get(order.engine)
     if report is None or report.changing or report.holding == order.target:
         return False
-    return dispatch.find_track(order.engine).refusals >= _MOST_REFUSALS
+    return dispatch.find_track(order.engine).refusals >= _MAX_REFUSALS
