--- a/packages/verbenahall/src/verbenahall/orders/_state.py
+++ b/packages/verbenahall/src/verbenahall/orders/_state.py
@@ -1,4 +1,4 @@
-"""The fold of the orders stream, and what engines last said."""
+"""The fold of the orders stream, and the latest reports of engines."""
 
 from verbenahall.authority import AuthorityState, current_token
 from verbenahall.orders._messages import EngineReport, Order, decode_batch
@@ -9,11 +9,12 @@
 class OrdersState:
     """The latest valid order and the latest report of each engine.
 
-    ``authority`` is folded from the same records, each record before this
-    state sees it. ``reported_at`` holds monotonic seconds. ``unsettled`` has
-    each scope's orders that are still to be seen to, so that a step costs as
-    much as there is to do and not as there are engines; ``finished_at`` is
-    when an engine's report took its order out of them.
+    ``authority`` is folded from the same records and must be given each
+    record before this state. ``reported_at`` holds monotonic seconds.
+    ``unsettled`` holds the outstanding orders of each scope, so that the cost
+    of a step depends on their number and not on the number of engines.
+    ``finished_at`` is when a report showed that an engine's order is no
+    longer outstanding.
     """
 
     __slots__ = (
@@ -27,7 +28,7 @@
     )
 
     def __init__(self, authority: AuthorityState) -> None:
-        """Start with no order known."""
+        """Start without orders."""
         self.authority = authority
         self.orders: dict[str, Order] = {}
         self.reports: dict[str, EngineReport] = {}
@@ -38,11 +39,11 @@
 
 
 def apply_record(state: OrdersState, record: Record) -> tuple[Order, ...]:
-    """Fold one record; return the orders that it made valid.
+    """Fold one record; return its valid orders.
 
-    A batch is valid only under the token in force at its own offset. So a
-    process that lost its scope and still appends changes nothing, without
-    any clock.
+    A batch is valid only if its token is the one in force at its offset. So
+    the appends of a process that has lost its scope have no effect, and this
+    does not depend on any clock.
     """
     if record.offset <= state.position:
         return ()
@@ -69,20 +70,20 @@
     report: EngineReport,
     now: float,
 ) -> None:
-    """Keep what an engine said of itself at ``now``."""
+    """Record the report of an engine that was read at ``now``."""
     state.reports[report.name] = report
     state.reported_at[report.name] = now
     order = state.orders.get(report.name)
     if order is None:
         return
-    was_unsettled = report.name in state.unsettled.get(order.scope, {})
+    was_outstanding = report.name in state.unsettled.get(order.scope, {})
     update_outstanding(state, order)
-    if was_unsettled and report.name not in state.unsettled[order.scope]:
+    if was_outstanding and report.name not in state.unsettled[order.scope]:
         state.finished_at[report.name] = now
 
 
 def update_outstanding(state: OrdersState, order: Order) -> None:
-    """Keep an order among the unsettled ones of its scope, or drop it."""
+    """Add an order to its scope's outstanding ones, or remove it."""
     unsettled = state.unsettled.setdefault(order.scope, {})
     progress = find_progress(order, state.reports.get(order.engine))
     if progress in OUTSTANDING:
