--- a/packages/verbenahall/src/verbenahall/orders/_shell.py
+++ b/packages/verbenahall/src/verbenahall/orders/_shell.py
@@ -1,4 +1,4 @@
-"""Sends recorded orders to engines and reads engines' states back."""
+"""Sends recorded orders to engines and reads the states of engines."""
 
 import asyncio
 import socket
@@ -28,10 +28,11 @@
 
 
 class OrderSender:
-    """Speaks the engine's order protocol on connections of its own.
+    """Client for the order protocol of engines.
 
-    ``held(now)`` returns the fencing token while the lease is held. Each
-    order gets a fresh connection, so that no order waits behind other bytes.
+    ``held(now)`` returns the fencing token while the lease is held, and None
+    otherwise. Each order is sent on a new connection, so that it does not
+    wait behind other data.
     """
 
     def __init__(
@@ -41,28 +42,28 @@
         clock: Clock = monotonic,
         heard: Callable[[dict[str, Any]], object] = bool,
     ) -> None:
-        """Prepare; the session is opened by the first call.
+        """Create the sender; the session is opened by the first call.
 
-        ``heard`` is given each state that an engine tells, for others who
-        want to know it as soon.
+        ``heard`` is called with the decoded body of each state that is read
+        from an engine.
         """
-        self._heard = heard
-        self._held = held
+        self._on_state = heard
+        self._get_token = held
         self._timing = timing
         self._clock = clock
         self._session: aiohttp.ClientSession | None = None
 
     async def send(self, order: Order, endpoint: Endpoint) -> Outcome:
-        """Send one order under the token now held.
+        """Send one order under the current fencing token.
 
-        The caller never has two calls for the same engine at once.
+        The caller must not have two calls for one engine at a time.
         """
-        token = self._held(self._clock())
+        token = self._get_token(self._clock())
         if token is None:
             return Outcome.NOT_SENT
         body = LeaseBody(
             _encode_order(order, token),
-            lambda: self._held(self._clock()) == token,
+            lambda: self._get_token(self._clock()) == token,
         )
         url = f'http://{endpoint.address}/orders'
         try:
@@ -72,7 +73,7 @@
             return Outcome.UNKNOWN if body.written else Outcome.NOT_SENT
 
     async def read_state(self, endpoint: Endpoint) -> Maybe[EngineReport]:
-        """Ask an engine for its state; Nothing if it did not answer."""
+        """Read an engine's state; return Nothing if there is no valid one."""
         url = f'http://{endpoint.address}/state'
         try:
             async with self._open_session().get(url) as answer:
@@ -80,7 +81,7 @@
         except (aiohttp.ClientError, asyncio.TimeoutError, OSError):
             return Nothing
         decoded = wire.decode_table(body)
-        decoded.map(self._heard)
+        decoded.map(self._on_state)
         return decoded.map(decode_report).value_or(Nothing)
 
     async def close(self) -> None:
@@ -104,11 +105,11 @@
         return self._session
 
     def _open_socket(self, address: Any) -> socket.socket:
-        """Open a socket whose unacknowledged bytes die with the timeout.
+        """Open a socket with a TCP user timeout of the order timeout.
 
-        Without it the kernel would go on resending an order for minutes to
-        an engine that a partition hides, and deliver it when the partition
-        heals, long after a successor took over.
+        Without it the kernel would retransmit an order for minutes to an
+        engine behind a network partition and deliver it after the partition
+        has ended, long after another holder has taken the lease.
         """
         family, kind, protocol = address[:3]
         opened = socket.socket(family, kind, protocol)
@@ -128,10 +129,10 @@
     endpoint: Endpoint,
     clock: Clock,
 ) -> Outcome:
-    """Send an order and note its outcome, whatever happens on the way.
+    """Send an order and record its outcome, also after an exception.
 
-    A send that ended by an error nobody foresaw would otherwise count as
-    under way for ever, and its engine would get no other order.
+    Otherwise a send that ended with an unexpected exception would count as in
+    progress for good, and its engine would get no other order.
     """
     outcome = Outcome.UNKNOWN
     try:
