--- a/packages/verbenahall/src/verbenahall/orders/_messages.py
+++ b/packages/verbenahall/src/verbenahall/orders/_messages.py
@@ -1,4 +1,4 @@
-"""Messages of the orders slice and their JSON shapes."""
+"""Orders and reports of engines, and their JSON encoding."""
 
 import dataclasses
 from collections.abc import Iterable, Mapping
@@ -8,13 +8,13 @@
 
 from verbenahall.fleet import Adapter, Role, Target
 
-#: What reading a body of another shape raises.
-_UNSOUND: Final = (AttributeError, KeyError, TypeError, ValueError)
+#: Errors that decoding a malformed body raises.
+_DECODE_ERRORS: Final = (AttributeError, KeyError, TypeError, ValueError)
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class PlannedOrder:
-    """What an engine process should hold next; not yet recorded."""
+    """Target for an engine process that is not in the log yet."""
 
     engine: str
     incarnation: str
@@ -23,9 +23,11 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Order:
-    """A recorded order: absolute, numbered by its place in the log.
+    """An order in the log; its target is absolute, not a difference.
 
-    ``token`` is the fencing token under which it was recorded.
+    It is numbered by its position: ``offset`` is that of its record and
+    ``index`` its place in the record. ``token`` is the fencing token under
+    which it was recorded.
     """
 
     offset: int
@@ -38,13 +40,18 @@
 
     @property
     def number(self) -> str:
-        """The number on the wire, ``"offset.index"``."""
+        """The number as sent to the engine, ``"offset.index"``."""
         return f'{self.offset}.{self.index}'
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class EngineReport:
-    """What an engine said of itself in ``GET /state``."""
+    """State of an engine from its response to ``GET /state``.
+
+    ``order`` is the number of the last order that it accepted, ``fencing``
+    the highest fencing token that it has seen, and ``in_flight`` the number
+    of running and queued requests.
+    """
 
     name: str
     incarnation: str
@@ -58,7 +65,11 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class OrderTiming:
-    """Bounds in seconds on how late an order may still reach an engine."""
+    """Bounds in seconds on how late an order may still reach an engine.
+
+    ``order_timeout_s`` bounds the time in a connection, ``longest_pause_s``
+    a pause of the sending process.
+    """
 
     order_timeout_s: float
     longest_pause_s: float
@@ -75,7 +86,7 @@
 
 
 def encode_target(target: Target) -> dict[str, Any]:
-    """Build the wire shape of a target."""
+    """Return a target as JSON-encodable values."""
     return {
         'role': target.role.value,
         'models': dict(target.models),
@@ -91,7 +102,7 @@
 
 
 def decode_target(body: Mapping[str, Any]) -> Target:
-    """Read a target; raises KeyError, TypeError or ValueError if unsound."""
+    """Decode a target; raise an error of ``_DECODE_ERRORS`` if malformed."""
     versions = body['models'].items()
     models = tuple(_read_pair(*pair) for pair in versions)
     adapters = tuple(map(_read_adapter, body['adapters']))
@@ -115,7 +126,7 @@
     token: int,
     planned: Iterable[PlannedOrder],
 ) -> dict[str, Any]:
-    """Build the body of one record that carries a batch of orders."""
+    """Return the body of a record that holds a batch of orders."""
     return {
         'scope': scope,
         'token': token,
@@ -131,7 +142,7 @@
 
 
 def decode_batch(body: Mapping[str, Any], offset: int) -> tuple[Order, ...]:
-    """Read a batch; an unsound one is empty, for every reader alike."""
+    """Decode a batch; a malformed one is empty on every instance."""
     try:
         return tuple(
             Order(
@@ -145,15 +156,15 @@
             )
             for index, row in enumerate(body['orders'])
         )
-    except _UNSOUND:
+    except _DECODE_ERRORS:
         return ()
 
 
 def decode_report(body: Mapping[str, Any]) -> Maybe[EngineReport]:
-    """Read an engine's state; Nothing if it does not have the right shape."""
+    """Decode an engine's state; return Nothing if it is malformed."""
     try:
         return Some(_read_report(body))
-    except _UNSOUND:
+    except _DECODE_ERRORS:
         return Nothing
 
 
