--- a/packages/verbenahall/src/verbenahall/orders/_lease_body.py
+++ b/packages/verbenahall/src/verbenahall/orders/_lease_body.py
@@ -9,22 +9,23 @@
 
 
 class LeaseLostError(VerbenahallError):
-    """The lease was over when the order was about to be written."""
+    """The lease ended before the order was written."""
 
 
 class LeaseBody(payload.BytesPayload):
-    """Bytes whose writing checks the lease in the same step.
-
-    aiohttp connects first, keeps the headers in memory and joins them with
-    the first chunk of the body. So nothing of the order has left the process
-    when ``check`` runs, and the transport hands everything to the kernel
-    before the loop runs anything else. A pause can still fall between the
-    check and that call; for an engine that ignores tokens the next holder
-    waits it out. ``written`` tells whether the engine may have got the order.
+    """Body that checks the lease in the same event loop step as its write.
+
+    aiohttp connects first, buffers the headers and sends them together with
+    the first chunk of the body. So no byte of the request has left the
+    process when ``check`` runs, and the transport passes all of them to the
+    kernel before the event loop runs anything else. The process can still be
+    paused between the check and that call; if the engine ignores tokens, the
+    next holder waits for the longest such pause. ``written`` is true if the
+    engine may have received the order.
     """
 
     def __init__(self, body: bytes, check: Callable[[], bool]) -> None:
-        """Keep the body and the check to run before it is written."""
+        """Set the body and the check to run before it is written."""
         super().__init__(body, content_type='application/json')
         self.written = False
         self._check = check
