--- a/packages/verbenahall/src/verbenahall/orders/_progress.py
+++ b/packages/verbenahall/src/verbenahall/orders/_progress.py
@@ -1,4 +1,4 @@
-"""How far an order has got, by what its engine last said."""
+"""Progress of an order according to the latest report of its engine."""
 
 import enum
 from typing import Final, final
@@ -8,24 +8,25 @@
 
 @final
 class Progress(enum.Enum):
-    """How far an order has got, by what the engine last said."""
+    """Progress of an order according to the latest report of its engine."""
 
-    #: The engine has not told that it took the order.
+    #: No report shows yet that the engine has accepted the order.
     UNCONFIRMED = 'unconfirmed'
     RUNNING = 'running'
     DONE = 'done'
-    #: The engine took the order, stopped changing, and holds another target.
+    #: The engine accepted the order, ended the change, and holds another
+    #: target.
     FAILED = 'failed'
-    #: Another process answers under the engine's name; plan again.
+    #: The engine has another incarnation; a new plan is needed.
     VOID = 'void'
 
 
-#: An order in one of these is still to be seen to.
+#: Progress of an order that still has to be sent or completed.
 OUTSTANDING: Final = frozenset((Progress.UNCONFIRMED, Progress.RUNNING))
 
 
 def find_progress(order: Order, report: EngineReport | None) -> Progress:
-    """Tell how far ``order`` has got."""
+    """Return the progress of ``order``; the report may be missing."""
     if report is None:
         return Progress.UNCONFIRMED
     if report.incarnation != order.incarnation:
