--- a/packages/verbenahall/src/verbenahall/orders/_outcomes.py
+++ b/packages/verbenahall/src/verbenahall/orders/_outcomes.py
@@ -1,4 +1,4 @@
-"""What may become of one attempt to send an order."""
+"""Outcomes of an attempt to send an order."""
 
 import enum
 from collections.abc import Mapping
@@ -8,21 +8,21 @@
 
 @final
 class Outcome(enum.Enum):
-    """What became of one attempt to send an order."""
+    """Outcome of one attempt to send an order."""
 
     #: The engine started the change.
     STARTED = 'started'
     #: The engine already holds the target.
     ALREADY = 'already'
-    #: Work is in flight or another change runs; try again later.
+    #: Requests are in flight or another change is running; retry later.
     BUSY = 'busy'
     #: The engine has seen a higher fencing token or order number.
     FENCED = 'fenced'
     REFUSED = 'refused'
-    #: Nothing was written: no lease, or no connection.
+    #: Nothing was written: there was no lease or no connection.
     NOT_SENT = 'not_sent'
-    #: Written without an answer; the engine may carry it out at any time
-    #: until the connection's user timeout has passed.
+    #: The order was written and got no response; the engine may carry it out
+    #: until the connection's TCP user timeout has passed.
     UNKNOWN = 'unknown'
 
 
