--- a/packages/verbenahall/src/verbenahall/orders/_export.py
+++ b/packages/verbenahall/src/verbenahall/orders/_export.py
@@ -1,4 +1,4 @@
-"""The orders' fold as JSON, for snapshots."""
+"""Encodes the fold of orders as JSON for snapshots."""
 
 from collections.abc import Mapping
 from typing import Any
@@ -8,7 +8,7 @@
 
 
 def export_state(state: OrdersState) -> dict[str, Any]:
-    """Return what the log says: the latest valid order of each engine."""
+    """Return the latest valid order of each engine, for a snapshot."""
     return {
         engine: _export_order(order)
         for engine, order in sorted(state.orders.items())
@@ -22,7 +22,7 @@
 ) -> None:
     """Replace the orders by a snapshot taken at offset ``position``.
 
-    What engines said of themselves stays: it is no part of the log.
+    The reports of engines are kept, as they are not part of the log.
     """
     state.orders = {
         engine: _restore_order(row) for engine, row in exported.items()
