--- a/packages/verbenahall/src/verbenahall/orders/__init__.py
+++ b/packages/verbenahall/src/verbenahall/orders/__init__.py
@@ -1,4 +1,4 @@
-"""Orders to engines: recorded in the log, sent under a lease, followed up."""
+"""Orders to engines: recorded in the log, sent under a lease, and tracked."""
 
 from verbenahall.orders._decisions import (
     SendGate,
