--- a/packages/verbenahall/tests/orders/test_lease_body.py
+++ b/packages/verbenahall/tests/orders/test_lease_body.py
@@ -1,4 +1,4 @@
-"""The check of the lease and the write are one step."""
+"""The lease is checked and the order written in one event loop step."""
 
 import asyncio
 import select
@@ -31,8 +31,8 @@
     return socket.create_server(('127.0.0.1', 0))
 
 
-async def write_without_giving_way(accepting):
-    """Write an order and look at the peer before the loop goes on."""
+async def write_without_yielding(accepting):
+    """Write an order and read at the peer before the loop continues."""
     loop = asyncio.get_running_loop()
     transport, protocol = await loop.create_connection(
         lambda: ResponseHandler(loop),
@@ -52,11 +52,11 @@
 def test_order_is_with_the_kernel_when_the_check_s_step_ends():
     """The process is stopped right after the step that checked its lease.
 
-    Were the write kept until the loop's turn ends, the checked order would
-    leave only when the process is woken, long after its lease.
+    If the write were buffered until the end of the loop's iteration, the
+    order would be sent when the process continues, long after its lease.
     """
     with listen() as accepting:
-        got = uvloop.run(write_without_giving_way(accepting))
+        got = uvloop.run(write_without_yielding(accepting))
 
     assert got.startswith(b'POST /orders')
     assert got.endswith(b'{"order": "2.0"}')
@@ -86,9 +86,9 @@
 
 @pytest.mark.parametrize('second', [None, 9])
 def test_nothing_leaves_once_the_lease_is_lost(second):
-    """The lease ends, or passes to a new token, while the sender connects.
+    """The lease ends, or gets a new token, while the sender connects.
 
-    The engine must not see a byte of the order.
+    The engine must not receive a byte of the order.
     """
     with listen() as accepting:
         outcome, got = asyncio.run(send_once(accepting, iter((1, second))))
@@ -97,8 +97,8 @@
     assert not got
 
 
-def test_unheard_order_is_unknown():
-    """The engine takes the order and closes without an answer."""
+def test_unanswered_order_is_unknown():
+    """The engine receives the order and closes without a response."""
     with listen() as accepting:
         outcome, got = asyncio.run(send_once(accepting, iter((1, 1))))
 
@@ -107,9 +107,10 @@
 
 
 def test_send_that_breaks_is_over():
-    """An error that nobody foresaw ends a send.
+    """An unexpected exception ends a send.
 
-    The engine must not wait for ever for a send that has ended.
+    The send must not count as in progress any more, or the engine would get
+    no further order.
     """
     endpoint = Endpoint('e1', EndpointKind.ENGINE, '127.0.0.1:1', 'ain', 'i1')
     dispatch = Dispatch(TIMING)
