--- a/packages/verbenahall/tests/orders/test_naive.py
+++ b/packages/verbenahall/tests/orders/test_naive.py
@@ -1,4 +1,4 @@
-"""Leases and orders against naive folds that look at the whole log."""
+"""Leases and orders compared with naive folds over the whole log."""
 
 import functools
 import itertools
@@ -47,7 +47,7 @@
 
 @st.composite
 def logs(draw):
-    """Draw a log; half of the time authors know the last record."""
+    """Draw a log; in half of the records the author has read the last one."""
     log = []
     for stream, body in draw(st.lists(records, max_size=12)):
         if draw(st.booleans()):
@@ -84,7 +84,7 @@
 
 
 def find_order(log, scope):
-    """Return the offset of the last order that its own prefix makes valid."""
+    """Return the offset of the last order that was valid when appended."""
     valid = [
         record.offset
         for record in log
@@ -100,7 +100,7 @@
 def test_folds_agree_with_the_naive_ones(log, restart, doubled):
     """Instances read the same log, some twice, some from a snapshot.
 
-    If two of them made different leases of it, both would order engines.
+    If they folded it into different leases, two would send orders to engines.
     """
     authority = AuthorityState()
     state = OrdersState(authority)
