--- a/packages/verbenahall/tests/orders/test_orders.py
+++ b/packages/verbenahall/tests/orders/test_orders.py
@@ -1,4 +1,4 @@
-"""Orders: which ones count, when they go out, what failures do to them."""
+"""Orders: which are valid, when they are sent, how failures are handled."""
 
 import dataclasses
 
@@ -39,7 +39,7 @@
 
 
 def claim(offset, holder, after):
-    """Build a claim's record."""
+    """Return the record of a claim."""
     body = {
         'kind': 'claim',
         'scope': SCOPE,
@@ -51,14 +51,14 @@
 
 
 def order(offset, token, target=TARGET, incarnation='i1'):
-    """Build an orders record for engine e1."""
+    """Return an orders record for engine e1."""
     planned = [PlannedOrder('e1', incarnation, target)]
     body = encode_batch(SCOPE, token, planned)
     return Record(offset, ORDERS_STREAM, '', body)
 
 
 def fold(*records):
-    """Fold authority and orders."""
+    """Fold records into leases and orders."""
     authority = AuthorityState()
     state = OrdersState(authority)
     for record in records:
@@ -68,14 +68,14 @@
 
 
 def lead(state, now=0):
-    """Return a dispatch that holds the scope's token since ``now``."""
+    """Return a dispatch with the scope's grant, held since ``now``."""
     dispatch = Dispatch(TIMING)
     take_over(dispatch, state.authority.find_grant(SCOPE), now)
     return dispatch
 
 
 def engine(*, checks=True):
-    """Build the engine's endpoint."""
+    """Return the endpoint of engine e1."""
     return Endpoint(
         'e1',
         EndpointKind.ENGINE,
@@ -92,17 +92,17 @@
         ([order(1, 1)], None),
         ([claim(1, 'a', 0), order(2, 1)], '2.0'),
         ([claim(1, 'a', 0), order(2, 7)], None),
-        # The successor claimed while the order was on its way to the log.
+        # The successor claimed while the order was in transit to the log.
         ([claim(1, 'a', 0), claim(2, 'b', 1), order(3, 1)], None),
         ([claim(1, 'a', 0), order(2, 1), order(3, 1, OTHER)], '3.0'),
         ([claim(1, 'a', 0), Record(2, ORDERS_STREAM, '', {'token': 1})], None),
     ],
 )
 def test_only_the_holder_s_orders_count(records, number):
-    """A holder is paused, loses its scope, and records an order on waking.
+    """A holder is paused, loses its scope, and then records an order.
 
-    Every instance drops it; otherwise engines would get the plan of a
-    process that knows nothing of the settings since.
+    Every instance must drop that order; otherwise engines would get targets
+    from settings that have changed since.
     """
     valid = fold(*records).orders.get('e1')
 
@@ -118,10 +118,10 @@
     ],
 )
 def test_new_holder_waits_before_its_first_order(checks, clean, reads, when):
-    """An instance takes over from one that was paused just after its check.
+    """The previous holder was paused between its lease check and its write.
 
-    An engine that ignores tokens would obey the woken instance last; its
-    callers would see an old model come back.
+    Its late order would override that of the new holder on an engine that
+    ignores tokens, and callers would get an old model again.
     """
     state = fold(claim(1, 'a', 0), order(2, 1))
     dispatch = Dispatch(TIMING)
@@ -144,8 +144,8 @@
 def test_newer_order_waits_for_an_unheard_one():
     """An order was written and never answered; then the settings change.
 
-    An engine that ignores numbers could carry out the old order after the
-    new one, so the new one waits until the old connection is dead.
+    An engine that ignores order numbers could carry out the old order after
+    the new one, so the new one waits until the old connection has timed out.
     """
     state = fold(claim(1, 'a', 0), order(2, 1))
     dispatch = lead(state)
@@ -167,15 +167,15 @@
 @pytest.mark.parametrize(
     'change',
     [
-        # Another process answers under the name.
+        # Another process has started under the name.
         {'incarnation': 'i2'},
-        # It has it already.
+        # The engine holds the target already.
         {'order': '2.0', 'holding': TARGET},
         {'order': '2.0', 'changing': True},
     ],
 )
 def test_no_order_to_an_engine_that_is_not_meant(change):
-    """The engine was replaced under the same address, or took the order."""
+    """The engine was replaced at its address, or has accepted the order."""
     state = fold(claim(1, 'a', 0), order(2, 1))
     observe_report(state, dataclasses.replace(REPORT, **change), 1)
 
@@ -183,7 +183,7 @@
 
 
 def test_engine_gets_no_new_work_until_the_order_is_done():
-    """A planned change must find nothing in flight, or it would cut work."""
+    """A change starts with nothing in flight, or it would abort requests."""
     state = fold(claim(1, 'a', 0), order(2, 1))
     seen = []
     for change in (
@@ -199,9 +199,10 @@
 
 @pytest.mark.parametrize('outcome', [Outcome.REFUSED, Outcome.UNKNOWN])
 def test_refused_order_is_withdrawn(outcome):
-    """An engine refuses each try, or never answers the order.
+    """An engine rejects each attempt, or never responds to the order.
 
-    It would get no work for ever; the order to stay as it is frees it.
+    It would get no requests any more; an order for the state that it already
+    has ends this.
     """
     state = fold(claim(1, 'a', 0), order(2, 1))
     dispatch = lead(state)
@@ -219,7 +220,7 @@
 
 
 def test_failed_change_is_not_repeated_at_once():
-    """A version is missing in the weight store, so each change fails."""
+    """A version is missing in the weight store, so that each change fails."""
     state = fold(claim(1, 'a', 0), order(2, 1))
     dispatch = lead(state)
     pauses = []
@@ -237,7 +238,7 @@
 
 
 def test_restored_order_is_still_seen_to():
-    """An instance starts from a snapshot while an engine's change waits."""
+    """An instance starts from a snapshot while an order is outstanding."""
     before = fold(claim(1, 'a', 0), order(2, 1))
     after = OrdersState(before.authority)
     restore_state(after, export_state(before), 2)
