--- a/packages/verbenahall/src/verbenahall/rollout/_plan.py
+++ b/packages/verbenahall/src/verbenahall/rollout/_plan.py
@@ -1,4 +1,4 @@
-"""Which engines start to change now, out of all that should."""
+"""Plans which of the due engine changes start now."""
 
 import collections
 import dataclasses
@@ -24,7 +24,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class _Change:
-    """One engine that should change; ``weight_gb`` is what it must fetch."""
+    """A due change of an engine; it fetches ``weight_gb`` gigabytes."""
 
     view: EngineView
     target: Target
@@ -32,18 +32,19 @@
 
 
 class _Capacity:
-    """What the data centre can serve while the plan grows.
+    """Capacity of the data centre with the changes planned so far.
 
-    ``serving`` counts engines that serve a model now, ``coming`` those whose
-    change will bring it. ``loads`` and ``changes`` count engines on the way.
+    ``serving`` counts the engines that serve a model now, ``incoming`` those
+    that will serve it after their change. ``changes`` counts the engines that
+    are changing, ``loads`` those of them that fetch weights.
     """
 
-    __slots__ = ('changes', 'coming', 'floors', 'loads', 'serving')
+    __slots__ = ('changes', 'incoming', 'floors', 'loads', 'serving')
 
     def __init__(self, floors: Mapping[str, int]) -> None:
         self.floors = floors
         self.serving: collections.Counter[str] = collections.Counter()
-        self.coming: collections.Counter[str] = collections.Counter()
+        self.incoming: collections.Counter[str] = collections.Counter()
         self.loads = 0
         self.changes = 0
 
@@ -55,27 +56,28 @@
     automatic: Mapping[str, Role] = _NO_ROLES,
     limits: RolloutLimits = _DEFAULT_LIMITS,
 ) -> Rollout:
-    """Decide which engines get a new target now.
+    """Return which engines get a new target now, and which have to wait.
 
-    All changes that settings ask of an engine go into one absolute target,
-    so a window of many changes costs each engine one order. No change starts
-    that would leave a model with fewer serving engines than its floor.
+    The target of an engine covers all settings that differ, so that each
+    engine gets one order for any number of changed settings. A change does
+    not start if it would leave a model with fewer serving engines than its
+    floor.
     """
     targets = find_targets(settings, data_centre, engines, automatic)
     capacity = _count_capacity(settings, targets, engines)
     changes = _list_changes(settings, targets, engines)
     orders: list[PlannedOrder] = []
-    chosen = _choose(changes, capacity, limits)
+    chosen = _choose_change(changes, capacity, limits)
     while chosen is not None:
         changes.remove(chosen)
-        _take(chosen, capacity)
-        orders.append(_order(chosen))
-        chosen = _choose(changes, capacity, limits)
-    obstacles = (_find_obstacle(left, capacity, limits) for left in changes)
-    return Rollout(tuple(orders), tuple(filter(None, obstacles)))
+        _reserve(chosen, capacity)
+        orders.append(_make_order(chosen))
+        chosen = _choose_change(changes, capacity, limits)
+    blockers = (_find_blocker(left, capacity, limits) for left in changes)
+    return Rollout(tuple(orders), tuple(filter(None, blockers)))
 
 
-def _choose(
+def _choose_change(
     changes: list[_Change],
     capacity: _Capacity,
     limits: RolloutLimits,
@@ -85,7 +87,7 @@
         (
             change
             for change in changes
-            if _find_obstacle(change, capacity, limits) is None
+            if _find_blocker(change, capacity, limits) is None
         ),
         None,
     )
@@ -106,7 +108,7 @@
         if view.changing:
             _count_changing(settings, view, capacity)
         else:
-            _count_standing(settings, view, capacity)
+            _count_unchanging(settings, view, capacity)
     return capacity
 
 
@@ -114,17 +116,17 @@
     return view.reachable
 
 
-def _count_standing(
+def _count_unchanging(
     settings: EffectiveSettings,
     view: EngineView,
     capacity: _Capacity,
 ) -> None:
     held = [name for name, _ in view.holding.models]
     if view.just_changed:
-        # Instances hear of the end of a change one after the other. If the
-        # next engine went at once, those that hear late would know of no
-        # engine, and turn callers away.
-        capacity.coming.update(held)
+        # Instances read the end of a change one after the other. If the next
+        # engine changed at once, instances that have not read it yet would
+        # have no engine for the model and reject requests.
+        capacity.incoming.update(held)
     elif view.name not in settings.drains:
         capacity.serving.update(held)
 
@@ -136,8 +138,8 @@
 ) -> None:
     target = view.pending or view.holding
     capacity.changes += 1
-    capacity.loads += bool(_weigh(settings, view.holding, target))
-    capacity.coming.update(name for name, _ in target.models)
+    capacity.loads += bool(_compute_load_gb(settings, view.holding, target))
+    capacity.incoming.update(name for name, _ in target.models)
 
 
 def _list_changes(
@@ -149,7 +151,7 @@
         _Change(
             view,
             targets[view.name],
-            _weigh(settings, view.holding, targets[view.name]),
+            _compute_load_gb(settings, view.holding, targets[view.name]),
         )
         for view in engines
         if view.name in targets
@@ -157,12 +159,12 @@
     ]
 
 
-def _weigh(
+def _compute_load_gb(
     settings: EffectiveSettings,
     holding: Target,
     target: Target,
 ) -> float:
-    """Return how many gigabytes an engine must fetch for a target."""
+    """Return how many gigabytes of weights an engine fetches for a target."""
     missing = set(target.models) - set(holding.models)
     return sum(
         settings.models[name].weight_gb
@@ -188,13 +190,13 @@
 
 
 def _rank_model(name: str, capacity: _Capacity) -> int:
-    on_hand = capacity.serving[name] + capacity.coming[name]
-    if on_hand == 0:
+    available = capacity.serving[name] + capacity.incoming[name]
+    if available == 0:
         return 0
-    return 1 if on_hand < capacity.floors.get(name, 0) else 2
+    return 1 if available < capacity.floors.get(name, 0) else 2
 
 
-def _find_obstacle(
+def _find_blocker(
     change: _Change,
     capacity: _Capacity,
     limits: RolloutLimits,
@@ -222,16 +224,16 @@
     return None
 
 
-def _take(change: _Change, capacity: _Capacity) -> None:
+def _reserve(change: _Change, capacity: _Capacity) -> None:
     if change.view.pending is not None:
         return
     capacity.changes += 1
     capacity.loads += bool(change.weight_gb)
     capacity.serving.subtract(name for name, _ in change.view.holding.models)
-    capacity.coming.update(name for name, _ in change.target.models)
+    capacity.incoming.update(name for name, _ in change.target.models)
 
 
-def _order(change: _Change) -> PlannedOrder:
+def _make_order(change: _Change) -> PlannedOrder:
     return PlannedOrder(
         change.view.name,
         change.view.incarnation,
