--- a/packages/verbenahall/src/verbenahall/rollout/_messages.py
+++ b/packages/verbenahall/src/verbenahall/rollout/_messages.py
@@ -1,4 +1,4 @@
-"""Messages of the rollout slice."""
+"""Input and results of the rollout plan."""
 
 import dataclasses
 import enum
@@ -10,14 +10,14 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class EngineView:
-    """What the planner knows of one engine.
-
-    ``reachable`` says that it may get new work as far as membership knows.
-    ``pending`` is the target of an order that is not done yet and
-    ``running`` says that its change has begun. ``resting`` keeps an engine
-    that failed or refused a change out of the plan for a while. ``just_changed``
-    says that its change ended so short a time ago that other instances may
-    not know it yet.
+    """State of one engine as the planner sees it.
+
+    ``reachable`` is true if the engine may get requests according to
+    membership. ``pending`` is the target of an outstanding order, and
+    ``running`` is true once its change has started. ``resting`` keeps an
+    engine out of the plan for a while after it failed or rejected a change.
+    ``just_changed`` is true if a change ended so recently that other
+    instances may not have read it yet.
     """
 
     name: str
@@ -31,7 +31,7 @@
 
     @property
     def changing(self) -> bool:
-        """Whether the engine is kept from new work by a change."""
+        """Whether the engine gets no requests because of a change."""
         return self.running or self.pending is not None
 
 
@@ -39,10 +39,10 @@
 class RolloutLimits:
     """How many engines of a data centre may change at once.
 
-    ``loads`` bounds those that fetch weights and ``changes`` all of them.
-    The weight store's rate is shared, so more loads at once only keep every
-    one of these engines away for longer; a few hide the time that engines
-    take to run empty.
+    ``loads`` bounds the changes that fetch weights, ``changes`` all of them.
+    Loading engines share the weight store's rate, so more loads at once only
+    make each of them unavailable for longer. A few at once use the rate also
+    while other engines drain.
     """
 
     loads: int = 3
@@ -51,7 +51,7 @@
 
 @final
 class Reason(enum.Enum):
-    """Why an engine that should change does not change yet."""
+    """Why a change of an engine does not start yet."""
 
     FLOOR = 'floor'
     LOADS = 'loads'
@@ -63,7 +63,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Waiting:
-    """An engine that waits; ``model`` is set where a floor holds it back."""
+    """An engine whose change waits; ``model`` is set if a floor is why."""
 
     engine: str
     reason: Reason
@@ -72,7 +72,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Rollout:
-    """What to record now, and what has to wait for which reason."""
+    """Orders to record now, and the engines that wait, with the reason."""
 
     orders: tuple[PlannedOrder, ...]
     waiting: tuple[Waiting, ...]
