--- a/packages/verbenahall/src/verbenahall/rollout/_targets.py
+++ b/packages/verbenahall/src/verbenahall/rollout/_targets.py
@@ -1,4 +1,4 @@
-"""What each engine should hold by the settings in force."""
+"""Targets of engines according to the settings in force."""
 
 from collections.abc import Iterator, Mapping, Sequence
 from types import MappingProxyType
@@ -17,10 +17,10 @@
     engines: Sequence[EngineView],
     automatic: Mapping[str, Role] = _NO_ROLES,
 ) -> dict[str, Target]:
-    """Return the target of each known engine that a pool names.
+    """Return the target of each engine in ``engines`` that is in a pool.
 
-    Drained engines get none: they keep what they hold until they leave.
-    ``automatic`` gives the planner's role for engines of automatic pools.
+    Drained engines get no target: they keep their state until they leave.
+    ``automatic`` maps engines of automatic pools to their planned roles.
     """
     views = {view.name: view for view in engines}
     targets: dict[str, Target] = {}
@@ -28,7 +28,7 @@
         members = [
             views[name]
             for name in sorted(set(pool.engines))
-            if _is_free(name, settings, views, targets)
+            if _is_assignable(name, settings, views, targets)
         ]
         roles = _assign_roles(pool, members, automatic)
         for view in members:
@@ -49,7 +49,7 @@
             yield pool
 
 
-def _is_free(
+def _is_assignable(
     name: str,
     settings: EffectiveSettings,
     views: Mapping[str, EngineView],
@@ -88,8 +88,9 @@
 ) -> list[str]:
     """Choose engines for a role: first those that have it, then mixed ones.
 
-    Any other order would swap roles between engines whenever the list of
-    members changes, and each swap takes two engines away for seconds.
+    With another order, roles would be swapped between engines whenever the
+    list of members changes, and each swap makes two engines unavailable for
+    seconds.
     """
     free = [view for view in members if roles[view.name] is Role.MIXED]
     free.sort(
