--- a/packages/verbenahall/src/verbenahall/rollout/_views.py
+++ b/packages/verbenahall/src/verbenahall/rollout/_views.py
@@ -1,4 +1,4 @@
-"""Builds what the planner knows of each engine."""
+"""Builds the planner's view of each engine."""
 
 from collections.abc import Iterator, Sequence
 from typing import Final
@@ -15,11 +15,11 @@
 )
 from verbenahall.rollout._messages import EngineView
 
-#: After this long every instance has heard of the end of a change, since
-#: each of them asks an engine under an order several times a second.
-_KNOWN_S: Final = 1.0
+#: Time in seconds after which every instance has read the end of a change;
+#: each polls an engine with an outstanding order several times a second.
+_PROPAGATION_S: Final = 1.0
 
-#: An engine of the data centre and whether it may get new work.
+#: An engine of the data centre and its status.
 Member = tuple[Endpoint, Standing]
 
 
@@ -29,7 +29,7 @@
     dispatch: Dispatch,
     now: float,
 ) -> tuple[EngineView, ...]:
-    """Return a view of each engine that has told its state."""
+    """Return a view of each engine that has a report."""
     return tuple(_list_views(members, state, dispatch, now))
 
 
@@ -57,7 +57,7 @@
             pending=_find_pending(state, report, progress),
             running=report.changing,
             resting=resting or not cleared,
-            just_changed=now - finished_at < _KNOWN_S,
+            just_changed=now - finished_at < _PROPAGATION_S,
         )
 
 
