--- a/packages/verbenahall/src/verbenahall/rollout/_shell.py
+++ b/packages/verbenahall/src/verbenahall/rollout/_shell.py
@@ -1,4 +1,4 @@
-"""The controller: lease, plan, record, send, for one data centre."""
+"""The controller of one data centre: plans, records and sends orders."""
 
 import asyncio
 from collections.abc import Mapping, Sequence
@@ -31,12 +31,12 @@
 from verbenahall.settings import EffectiveSettings
 
 _TICK_S: Final = 0.1
-#: How many times as long as a plan takes nothing is planned after it. A plan's
-#: cost grows with the data centre, the time spent on plans must not. Processor
-#: time counts: after a freeze of 2.5 s in a plan, which costs nothing, a holder
-#: would order nothing for two minutes.
-_REST: Final = 50
-#: How long to wait for a record whose append had no clear answer.
+#: Pause after a plan, as a multiple of the time that the plan took, because
+#: the cost of a plan grows with the data centre and the share of time spent on
+#: plans must not. The time is processor time: with wall time, a process that is
+#: frozen for 2.5 s during a plan would send no order for two minutes.
+_PLAN_PAUSE_FACTOR: Final = 50
+#: Time in seconds to wait for a record whose append has an unknown outcome.
 _RECORD_WAIT_S: Final = 2.0
 _RECORD: Final = 'record'
 _DEFAULT_LIMITS: Final = RolloutLimits()
@@ -50,32 +50,32 @@
         stream: str,
         body: dict[str, Any],
     ) -> Result[int, Problem]:
-        """Append one record; its offset, or why it is not known."""
+        """Append one record; return its offset, or why it is unknown."""
 
 
-class Surroundings(Protocol):
-    """What the controller reads anew at each step."""
+class Dependencies(Protocol):
+    """Data that the controller reads at each step."""
 
     def read_settings(self) -> EffectiveSettings:
         """Return the settings in force."""
 
     def list_engines(self, now: float) -> Sequence[Member]:
-        """Return the data centre's engines with their standing."""
+        """Return the data centre's engines with their status."""
 
     def read_roles(self) -> Mapping[str, Role]:
-        """Return the role planner's wish for engines of automatic pools."""
+        """Return the planned roles of engines in automatic pools."""
 
 
 class Controller:
-    """Brings the engines of one data centre to the settings in force.
+    """Changes the engines of one data centre to match the settings.
 
-    Every instance runs one. Without the lease it only follows the engines
-    that have an order outstanding, so that its routing knows of them.
+    Every instance runs one. Without the lease it only polls the engines that
+    have an outstanding order, so that its routing uses their current state.
     """
 
     def __init__(
         self,
-        surroundings: Surroundings,
+        dependencies: Dependencies,
         order_state: OrdersState,
         keeper: LeaseKeeper,
         client: Appender,
@@ -84,8 +84,8 @@
         limits: RolloutLimits = _DEFAULT_LIMITS,
         clock: Clock = monotonic,
     ) -> None:
-        """Prepare; nothing is asked or sent before ``run``."""
-        self._surroundings = surroundings
+        """Create the controller; nothing is sent before ``run``."""
+        self._dependencies = dependencies
         self._orders = order_state
         self._keeper = keeper
         self._client = client
@@ -95,7 +95,7 @@
         self._clock = clock
         self._scope = keeper.candidacy.scope
         self._tasks = Tasks()
-        self._talk = EngineClient(
+        self._engine_client = EngineClient(
             order_state,
             dispatch,
             sender,
@@ -108,47 +108,49 @@
         self._waiting: frozenset[Waiting] = frozenset()
 
     async def run(self) -> None:
-        """Plan and send until cancelled, then end what is under way."""
+        """Plan and send until cancelled, then cancel the open tasks."""
         try:
             while True:
-                self._take_step()
+                self._run_step()
                 await asyncio.sleep(_TICK_S)
         finally:
             await self._tasks.stop()
             await self._sender.close()
 
-    def _take_step(self) -> None:
+    def _run_step(self) -> None:
         now = self._clock()
-        members = self._surroundings.list_engines(now)
+        members = self._dependencies.list_engines(now)
         token = self._keeper.held(self._scope, now)
         due = outstanding(self._orders, self._scope)
         busy = {order.engine for order in due}
-        self._talk.poll_states(
+        self._engine_client.poll_states(
             members, now, busy, holds_lease=token is not None
         )
         if token is None:
             return
         grant = self._orders.authority.find_grant(self._scope)
         take_over(self._dispatch, grant, now)
-        is_planned = self._is_settled(now)
+        is_planned = self._may_plan(now)
         if is_planned:
-            self._plan_and_rest(members, token, now)
-        # An order that is just being superseded is not sent, nor one of an
-        # earlier holder in a step without a plan: a new holder would take
-        # the engine away for its predecessor's target first and for its own
-        # right after.
+            self._plan_and_pause(members, token, now)
+        # An order that is just being replaced is not sent. In a step without
+        # a plan, neither is an order of an earlier holder: otherwise a new
+        # holder could have the engine change to its predecessor's target and
+        # to its own right after.
         kept = [
             order
             for order in due
             if order.engine not in self._recording
             and (is_planned or order.token == token)
         ]
-        self._talk.send_due(members, kept, now)
+        self._engine_client.send_due(members, kept, now)
 
-    def _is_settled(self, now: float) -> bool:
-        """Tell whether the last batch has been read back or given up.
+    def _may_plan(self, now: float) -> bool:
+        """Return whether a new plan may be made at ``now``.
 
-        Planning again before would record the same orders twice.
+        That is when the last batch has been read back or its wait has ended,
+        as an earlier plan would record the same orders twice, and when the
+        pause after the last plan is over.
         """
         if self._tasks.is_running(_RECORD):
             return False
@@ -156,7 +158,7 @@
             return False
         return now >= self._wait_until
 
-    def _plan_and_rest(
+    def _plan_and_pause(
         self,
         members: Sequence[Member],
         token: int,
@@ -164,8 +166,8 @@
     ) -> None:
         started = thread_time()
         self._plan(members, token, now)
-        rest_s = _REST * (thread_time() - started)
-        self._wait_until = max(self._wait_until, now + rest_s)
+        pause_s = _PLAN_PAUSE_FACTOR * (thread_time() - started)
+        self._wait_until = max(self._wait_until, now + pause_s)
 
     def _plan(
         self,
@@ -181,10 +183,10 @@
         )
         views = build_views(members, self._orders, self._dispatch, now)
         rollout = plan(
-            self._surroundings.read_settings(),
+            self._dependencies.read_settings(),
             self._scope,
             views,
-            self._surroundings.read_roles(),
+            self._dependencies.read_roles(),
             self._limits,
         )
         waiting = frozenset(rollout.waiting)
@@ -206,5 +208,5 @@
             self._wait_offset = appended.unwrap()
             log_placed(planned, self._wait_offset)
         else:
-            # The record may stand or not; the follower will show it.
+            # The record may be in the log; the follower reads it in that case.
             self._wait_until = self._clock() + _RECORD_WAIT_S
