--- a/packages/verbenahall/src/verbenahall/rollout/_engines.py
+++ b/packages/verbenahall/src/verbenahall/rollout/_engines.py
@@ -1,4 +1,4 @@
-"""Talks to the engines of one data centre: asks states, sends orders."""
+"""Polls the states of the engines of a data centre and sends them orders."""
 
 import heapq
 import math
@@ -21,18 +21,20 @@
 from verbenahall.rollout._tasks import Tasks
 from verbenahall.rollout._views import Member
 
-#: How often an engine is asked for its state, with and without an order.
+#: Polling intervals in seconds of engines with and without an outstanding
+#: order.
 _BUSY_PERIOD_S: Final = 0.2
 _IDLE_PERIOD_S: Final = 2.0
-#: An answer is about half a kilobyte: two a second are 1 kB/s.
+#: Interval in seconds between polls of engines without an order. A response
+#: has about half a kilobyte, so these polls receive 1 kB/s.
 _IDLE_SPACING_S: Final = 0.5
-#: A new holder must hear every engine; not all of them in one moment.
-_AT_ONCE: Final = 8
-_MOST_KEPT: Final = 4096
+#: Engines polled at the same time at most; a new holder has to poll all.
+_MAX_PARALLEL_POLLS: Final = 8
+_MAX_POLL_TIMES: Final = 4096
 
 
 class EngineClient:
-    """Asks and orders engines, each of them by one task at a time."""
+    """Polls engines and sends them orders, in background tasks."""
 
     def __init__(
         self,
@@ -42,13 +44,13 @@
         tasks: Tasks,
         clock: Clock,
     ) -> None:
-        """Prepare; nothing is sent yet."""
+        """Create the client; nothing is sent yet."""
         self._orders = orders
         self._dispatch = dispatch
         self._sender = sender
         self._tasks = tasks
         self._clock = clock
-        self._asked_at: dict[tuple[str, str], float] = {}
+        self._polled_at: dict[tuple[str, str], float] = {}
         self._idle_at = -math.inf
         self._sent = SentOrderLog()
 
@@ -60,24 +62,27 @@
         *,
         holds_lease: bool,
     ) -> None:
-        """Ask the engines that are due; without the lease only ``busy``.
+        """Poll the engines that are due; without the lease only ``busy``.
 
-        Engines without an order are asked one at a time, so that what the
-        holder reads does not grow with the data centre.
+        ``busy`` holds the names of engines with an outstanding order. Engines
+        without one are polled one at a time, so that the data that the holder
+        reads does not grow with the size of the data centre.
         """
         wanted = [
             endpoint
             for endpoint, _ in members
             if holds_lease or endpoint.name in busy
         ]
-        hurried = [one for one in wanted if self._is_hurried(one, busy)]
-        for endpoint in self._choose(hurried, _AT_ONCE, now - _BUSY_PERIOD_S):
-            self._start_asking(endpoint, now)
+        fast = [one for one in wanted if self._is_polled_fast(one, busy)]
+        for endpoint in self._list_due(
+            fast, _MAX_PARALLEL_POLLS, now - _BUSY_PERIOD_S
+        ):
+            self._start_poll(endpoint, now)
         if now >= self._idle_at:
             self._idle_at = now + _IDLE_SPACING_S
-            rested = [one for one in wanted if one not in hurried]
-            for idle in self._choose(rested, 1, now - _IDLE_PERIOD_S):
-                self._start_asking(idle, now)
+            slow = [one for one in wanted if one not in fast]
+            for idle in self._list_due(slow, 1, now - _IDLE_PERIOD_S):
+                self._start_poll(idle, now)
 
     def send_due(
         self,
@@ -85,7 +90,7 @@
         due: Sequence[Order],
         now: float,
     ) -> None:
-        """Send each order whose engine may have it now."""
+        """Send each order that may be sent to its engine now."""
         endpoints = {endpoint.name: endpoint for endpoint, _ in members}
         for order in due:
             endpoint = endpoints.get(order.engine)
@@ -96,41 +101,41 @@
                 work = self._send(order, endpoint)
                 self._tasks.start(f'send {order.engine}', work)
 
-    def _is_hurried(self, endpoint: Endpoint, busy: set[str]) -> bool:
+    def _is_polled_fast(self, endpoint: Endpoint, busy: set[str]) -> bool:
         cleared = self._dispatch.find_track(endpoint.name).cleared
         return endpoint.name in busy or not cleared
 
-    def _choose(
+    def _list_due(
         self,
         endpoints: Sequence[Endpoint],
         count: int,
         before: float,
     ) -> list[Endpoint]:
-        """Return those not asked since ``before``, the longest ago first."""
+        """Return endpoints not polled since ``before``, longest ago first."""
         return heapq.nsmallest(
             count,
-            (one for one in endpoints if self._read_asked(one) <= before),
-            key=self._read_asked,
+            (one for one in endpoints if self._get_polled_at(one) <= before),
+            key=self._get_polled_at,
         )
 
-    def _read_asked(self, endpoint: Endpoint) -> float:
-        return self._asked_at.get(_identify(endpoint), -math.inf)
+    def _get_polled_at(self, endpoint: Endpoint) -> float:
+        return self._polled_at.get(_make_key(endpoint), -math.inf)
 
-    def _start_asking(self, endpoint: Endpoint, now: float) -> None:
-        if len(self._asked_at) >= _MOST_KEPT:
-            # Lives that have ended leave their entries behind; all are soon
-            # asked anew.
-            self._asked_at.clear()
-        self._asked_at[_identify(endpoint)] = now
-        self._tasks.start(f'ask {endpoint.name}', self._ask(endpoint))
+    def _start_poll(self, endpoint: Endpoint, now: float) -> None:
+        if len(self._polled_at) >= _MAX_POLL_TIMES:
+            # Entries of ended incarnations are never removed one by one. With
+            # no entry left, all engines are soon polled again.
+            self._polled_at.clear()
+        self._polled_at[_make_key(endpoint)] = now
+        self._tasks.start(f'poll {endpoint.name}', self._poll(endpoint))
 
-    async def _ask(self, endpoint: Endpoint) -> None:
-        asked_at = self._clock()
+    async def _poll(self, endpoint: Endpoint) -> None:
+        polled_at = self._clock()
         found = await self._sender.read_state(endpoint)
         report = found.value_or(None)
-        # Another engine may have come under this address.
+        # Another engine may have started at this address.
         if report is not None and report.name == endpoint.name:
-            observe_report(self._orders, report, asked_at)
+            observe_report(self._orders, report, polled_at)
 
     async def _send(self, order: Order, endpoint: Endpoint) -> None:
         report = self._orders.reports[order.engine]
@@ -144,6 +149,6 @@
         self._sent.log(order, outcome, report.holding.role)
 
 
-def _identify(endpoint: Endpoint) -> tuple[str, str]:
-    """Name one life of an engine; a new one has not been asked yet."""
+def _make_key(endpoint: Endpoint) -> tuple[str, str]:
+    """Return a key for one incarnation of an engine."""
     return endpoint.name, endpoint.incarnation
