--- a/packages/verbenahall/src/verbenahall/rollout/_decision_log.py
+++ b/packages/verbenahall/src/verbenahall/rollout/_decision_log.py
@@ -1,4 +1,4 @@
-"""Decision lines and counts of the controller."""
+"""Decision log lines and metrics of the controller."""
 
 from collections.abc import Iterable, Sequence
 from typing import final
@@ -11,7 +11,7 @@
 
 
 def log_placed(planned: Sequence[PlannedOrder], offset: int) -> None:
-    """Write a line for each order recorded at ``offset``."""
+    """Log each order of the record at ``offset``."""
     for index, order in enumerate(planned):
         write_decision(
             'place',
@@ -23,19 +23,20 @@
 
 @final
 class SentOrderLog:
-    """Writes a line for each try of an order, and counts role changes."""
+    """Logs each attempt to send an order, and counts role changes."""
 
     __slots__ = ('_counted',)
 
     def __init__(self) -> None:
-        """Start with nothing counted."""
+        """Start without counted orders."""
         self._counted: dict[str, str] = {}
 
     def log(self, order: Order, outcome: Outcome, role: Role) -> None:
-        """Tell of one try; ``role`` is what the engine had before.
+        """Log one attempt; ``role`` is the engine's role before it.
 
-        An order whose answer came too late is sent again, and an engine that
-        is at it says again that it has started: one change of its role.
+        An order whose response came too late is sent again, and an engine
+        that is already applying it reports once more that it has started. The
+        role change is counted once.
         """
         started = outcome is Outcome.STARTED and order.target.role is not role
         if started and self._counted.get(order.engine) != order.number:
@@ -50,7 +51,7 @@
 
 
 def log_waiting(just_changed: Iterable[Waiting]) -> None:
-    """Write a line for each engine that newly waits."""
+    """Log each engine that has started to wait."""
     for entry in sorted(just_changed, key=lambda waits: waits.engine):
         write_decision(
             'place_later',
