--- a/packages/verbenahall/src/verbenahall/rollout/_tasks.py
+++ b/packages/verbenahall/src/verbenahall/rollout/_tasks.py
@@ -1,4 +1,4 @@
-"""Named background tasks, one for each name at a time."""
+"""Background tasks, of which one runs under each name at a time."""
 
 import asyncio
 from collections.abc import Coroutine
@@ -6,16 +6,16 @@
 
 
 class Tasks:
-    """Keeps tasks alive and ends them together."""
+    """Holds references to running tasks and cancels them together."""
 
     __slots__ = ('_running',)
 
     def __init__(self) -> None:
-        """Start with none."""
+        """Start without tasks."""
         self._running: dict[str, asyncio.Task[None]] = {}
 
     def start(self, name: str, work: Coroutine[Any, Any, None]) -> None:
-        """Run work beside the loop, unless its name is still running."""
+        """Start a task, unless one of the same name is still running."""
         if name in self._running:
             work.close()
             return
@@ -24,11 +24,11 @@
         task.add_done_callback(lambda _: self._running.pop(name, None))
 
     def is_running(self, name: str) -> bool:
-        """Tell whether work of this name is under way."""
+        """Return whether a task of this name is running."""
         return name in self._running
 
     async def stop(self) -> None:
-        """Cancel everything and wait for it to end."""
+        """Cancel all tasks and wait until they have ended."""
         running = tuple(self._running.values())
         for task in running:
             task.cancel()
