--- a/packages/verbenahall/src/verbenahall/rollout/__init__.py
+++ b/packages/verbenahall/src/verbenahall/rollout/__init__.py
@@ -1,4 +1,4 @@
-"""Which engine gets which target next, and the loop that sees to it."""
+"""Plans which engine gets which target, and carries the plan out."""
 
 from verbenahall.rollout._messages import (
     EngineView,
