--- a/packages/verbenahall/tests/rollout/test_controller.py
+++ b/packages/verbenahall/tests/rollout/test_controller.py
@@ -1,4 +1,4 @@
-"""A published model gets onto engines through the whole controller."""
+"""A published model is loaded by engines through the whole controller."""
 
 import asyncio
 import time
@@ -35,7 +35,7 @@
 
 
 class MemoryLog:
-    """A log in memory that hands each record to the folds at once."""
+    """A log in memory that passes each record to the folds at once."""
 
     def __init__(self):
         self.records = []
@@ -53,9 +53,9 @@
 
 
 class FakeEngine:
-    """An engine that takes every order at once, and starts it once.
+    """An engine that applies each order at once, and only once.
 
-    As real engines do, it answers a copy of an order as it has answered it.
+    As real engines do, it responds to a copy of an order as to the first.
     """
 
     def __init__(self, name, **settings):
@@ -69,8 +69,8 @@
     async def start(self):
         """Listen on a free port and return the endpoint."""
         app = web.Application()
-        app.router.add_get('/state', self._tell)
-        app.router.add_post('/orders', self._obey)
+        app.router.add_get('/state', self._get_state)
+        app.router.add_post('/orders', self._post_order)
         self.runner = web.AppRunner(app)
         await self.runner.setup()
         site = web.TCPSite(self.runner, '127.0.0.1', 0)
@@ -85,7 +85,7 @@
             **self.settings,
         )
 
-    async def _tell(self, request):
+    async def _get_state(self, request):
         return web.json_response(
             {
                 'name': self.name,
@@ -99,7 +99,7 @@
             },
         )
 
-    async def _obey(self, request):
+    async def _post_order(self, request):
         body = await request.json()
         if body['order'] == self.order:
             return web.json_response({}, status=202)
@@ -110,7 +110,7 @@
         return web.json_response({}, status=202)
 
 
-class Surroundings:
+class FakeDependencies:
     """Settings with one model for two engines."""
 
     def __init__(self, endpoints):
@@ -151,8 +151,8 @@
         return {}
 
 
-class FrozenOnce(Surroundings):
-    """The process is frozen for a while in the middle of its first plan."""
+class FrozenOnce(FakeDependencies):
+    """Freezes the process for a while during its first plan."""
 
     def __init__(self, endpoints):
         """Start before the freeze."""
@@ -168,14 +168,14 @@
 
 
 async def wait_until(condition, bound_s=20):
-    """Wait for a condition with a generous bound."""
+    """Wait for a condition, for ``bound_s`` at most."""
     async with asyncio.timeout(bound_s):
         while not condition():
             await asyncio.sleep(0.02)
 
 
-async def roll_out(surroundings=Surroundings):
-    """Run keeper and controller until both engines are done."""
+async def roll_out(dependencies=FakeDependencies):
+    """Run keeper and controller until both engines have got an order."""
     engines = [FakeEngine('e1'), FakeEngine('e2', checks_fencing=False)]
     starts = (engine.start() for engine in engines)
     endpoints = await asyncio.gather(*starts)
@@ -190,7 +190,7 @@
     )
     sender = OrderSender(lambda now: keeper.held(DATA_CENTRE, now), ORDER)
     controller = Controller(
-        surroundings(endpoints),
+        dependencies(endpoints),
         log.orders,
         keeper,
         log,
@@ -209,7 +209,7 @@
 
 
 def test_published_model_reaches_engines():
-    """An operator publishes a model for a pool; both engines get it."""
+    """An operator publishes a model for a pool; both engines load it."""
     metrics.ROLE_CHANGES.add({}, 0)
     changed = metrics.ROLE_CHANGES.get({})
     engines, log = asyncio.run(roll_out())
@@ -223,11 +223,11 @@
 
 
 def test_order_that_is_sent_again_is_one_role_change():
-    """The process stands still while an engine's answer is there to be read.
+    """The process is paused while an engine's response is in its socket.
 
-    It takes the order for unanswered and sends it again; the engine, which is
-    at it, says again that it has started. Operators who watch role changes
-    would see two of them.
+    The order counts as unanswered and is sent again, and the engine, which is
+    applying it, reports once more that it has started. The metric of role
+    changes would count two.
     """
     metrics.ROLE_CHANGES.add({}, 0)
     before = metrics.ROLE_CHANGES.get({})
@@ -241,10 +241,9 @@
 
 
 def test_freeze_in_a_plan_does_not_hold_up_the_next_one():
-    # A machine freezes its process for a second just as it plans. Counted as
-    # the plan's cost, the second would be followed by most of a minute in
-    # which the holder renews its lease and orders nothing, and an accepted
-    # setting takes hold nowhere.
+    # The process is frozen for a second during a plan. If this counted as the
+    # plan's cost, the holder would renew its lease and send no order for most
+    # of a minute, and an accepted setting would not be applied.
     engines, _ = asyncio.run(roll_out(FrozenOnce))
 
     assert all(engine.state['models'] == {'drafter': '1'} for engine in engines)
