--- a/packages/verbenahall/tests/rollout/test_floor.py
+++ b/packages/verbenahall/tests/rollout/test_floor.py
@@ -1,4 +1,4 @@
-"""The capacity floor while changes end one after another."""
+"""The capacity floor while changes end one after the other."""
 
 import pytest
 
@@ -14,8 +14,8 @@
 NEW = Target(Role.MIXED, (('drafter', '2'),))
 
 
-def find_orders(first_is_fresh):
-    """Plan for two engines of which the first has just changed."""
+def find_orders(first_just_changed):
+    """Plan for two engines, of which the first has the new model."""
     settings = EffectiveSettings()
     settings.models['drafter'] = ModelSettings('drafter', '2', 1, 10, 'desk')
     settings.pools['ain'] = PoolSettings(
@@ -30,20 +30,22 @@
         team='desk',
     )
     views = (
-        EngineView('e1', 'a', NEW, just_changed=first_is_fresh),
+        EngineView('e1', 'a', NEW, just_changed=first_just_changed),
         EngineView('e2', 'b', OLD),
     )
     return [order.engine for order in plan(settings, 'ain', views).orders]
 
 
 @pytest.mark.parametrize(
-    ('first_is_fresh', 'orders'),
+    ('first_just_changed', 'orders'),
     [(True, []), (False, ['e2'])],
 )
-def test_next_engine_waits_until_all_know_of_the_first(first_is_fresh, orders):
-    """One of two engines has just ended its change when the other goes.
+def test_next_engine_waits_until_all_know_of_the_first(
+    first_just_changed, orders
+):
+    """The second of two engines changes just after the first one.
 
-    An instance that has not heard of the first one yet knows of no engine
-    that holds the model, and turns its callers away with 503.
+    An instance that has not read the end of the first change would have no
+    engine for the model, and respond to its callers with 503.
     """
-    assert find_orders(first_is_fresh) == orders
+    assert find_orders(first_just_changed) == orders
