--- a/packages/verbenahall/tests/rollout/test_plan.py
+++ b/packages/verbenahall/tests/rollout/test_plan.py
@@ -1,4 +1,4 @@
-"""The planner on any settings and any fleet."""
+"""Properties of the plan for random settings and fleets."""
 
 import collections
 import dataclasses
@@ -47,7 +47,7 @@
 
 @st.composite
 def fleets(draw):
-    """Draw settings and what five engines hold."""
+    """Draw settings and the states of five engines."""
     settings = EffectiveSettings()
     for name in MODELS:
         settings.models[name] = ModelSettings(
@@ -78,7 +78,7 @@
 
 
 def count_serving(settings, engines, without=()):
-    """Count naively which engines serve each model."""
+    """Count the engines that serve each model, naively."""
     away = {*settings.drains, *without}
     free = [view for view in engines if view.reachable and not view.changing]
     return collections.Counter(
@@ -91,10 +91,10 @@
 
 @given(fleets(), st.integers(1, 3), st.integers(1, 3))
 def test_plan_keeps_its_bounds(fleet, loads, changes):
-    """Many engines should change, some are away, some refuse, some drain.
+    """Many changes are due; engines are unreachable, resting or draining.
 
-    A model under its floor, or more engines away than the limit, would be
-    felt by every reader of that model.
+    A model under its floor, or more changing engines than the limit, would
+    slow down or fail requests for that model.
     """
     settings, engines = fleet
     limits = RolloutLimits(loads, changes)
@@ -123,7 +123,7 @@
 
 @given(fleets())
 def test_every_engine_is_accounted_for(fleet):
-    """An engine that should change is ordered or says why it waits."""
+    """A due change is ordered, or is listed with a reason to wait."""
     settings, engines = fleet
     rollout = plan(settings, SITE, engines)
     wanted = find_targets(settings, SITE, engines)
@@ -141,7 +141,7 @@
 
 @given(fleets())
 def test_settled_engines_are_left_alone(fleet):
-    """Once every engine holds its target nothing is ordered again."""
+    """Nothing is ordered once every engine holds its target."""
     settings, engines = fleet
     wanted = find_targets(settings, SITE, engines)
     settled = [
@@ -156,7 +156,7 @@
 def test_roles_do_not_wander(fleet, role):
     """A pool has enough engines of a role already.
 
-    A role that moved to another engine would take two away for seconds.
+    Moving the role would make two engines unavailable for seconds.
     """
     settings, engines = fleet
     wanted = find_targets(settings, SITE, engines)
