--- a/packages/verbenahall/tests/rollout/test_thaw_window.py
+++ b/packages/verbenahall/tests/rollout/test_thaw_window.py
@@ -1,6 +1,6 @@
-"""Many frozen changes land at once: floors, and time against two yardsticks.
+"""Many changes are released at once: floors, and the time to apply them.
 
-Run as a script it prints the figures of each way.
+Run as a script, it prints the figures of each way to publish them.
 """
 
 import collections
@@ -28,7 +28,8 @@
 )
 
 SITE = 'aberystwyth'
-#: Gigabytes a second for all engines, seconds to run empty, to switch over.
+#: Rate of the weight store in gigabytes a second for all engines together,
+#: seconds for an engine to drain and to switch models, and length of a step.
 STORE_RATE = 2.0
 EMPTYING_S = 10.0
 SWITCH_S = 2.0
@@ -45,7 +46,7 @@
 
 
 def build_settings():
-    """Return what is in force before the window."""
+    """Return the settings before the changes."""
     settings = EffectiveSettings()
     for name in ('drafter', 'checker', 'caption'):
         put_model(settings, name, '1')
@@ -99,7 +100,7 @@
 
 
 def list_changes():
-    """Return the window's 40 changes in the order in which they arrive."""
+    """Return the 40 changes in the order in which they are published."""
     south = ENGINES[5:]
     models = ('drafter', 'checker', 'archive')
     versions = (('drafter', '234'), ('checker', '2345'), ('caption', '23456'))
@@ -124,7 +125,7 @@
 
 
 class Site:
-    """Engines that run empty, load at a shared rate, and switch over."""
+    """Engines that drain, load at a shared rate, and switch models."""
 
     def __init__(self, settings):
         self.settings = settings
@@ -141,7 +142,7 @@
         self.changes = {}
 
     def list_views(self, changes):
-        """Return what the planner sees."""
+        """Return the planner's views of the engines."""
         return [
             EngineView(
                 name,
@@ -168,7 +169,7 @@
             self.pass_time()
 
     def start(self, order):
-        """Let an engine take an order."""
+        """Start the change of an engine."""
         missing = set(order.target.models) - set(
             self.holding[order.engine].models,
         )
@@ -182,7 +183,7 @@
         ]
 
     def watch(self):
-        """Keep the fewest engines that served each model."""
+        """Record the fewest engines that served each model."""
         serving = collections.Counter(
             name
             for engine, holding in self.holding.items()
@@ -194,7 +195,7 @@
             self.lowest[name] = min(least, serving[name])
 
     def pass_time(self):
-        """Move every change on by one step."""
+        """Advance all changes by one step."""
         self.now += STEP_S
         loading = [
             change
@@ -214,7 +215,7 @@
 
 
 def run_window(limits):
-    """Publish all changes, then let the site settle."""
+    """Publish all changes, then apply them."""
     site = Site(build_settings())
     for change in list_changes():
         change(site.settings)
@@ -223,7 +224,7 @@
 
 
 def run_one_by_one():
-    """Publish each change once the one before is in force everywhere."""
+    """Publish each change once the previous one has been applied."""
     site = Site(build_settings())
     for change in list_changes():
         change(site.settings)
@@ -232,20 +233,20 @@
 
 
 def find_bound(site):
-    """Return the least time: every needed byte at the store's full rate."""
+    """Return the least time: all loads at the store's full rate."""
     return site.loaded_gb / STORE_RATE + EMPTYING_S + SWITCH_S
 
 
 @pytest.fixture(scope='module')
 def window():
-    """Run the window once."""
+    """Apply all changes at once, for all tests."""
     return run_window(RolloutLimits())
 
 
 def test_floors_hold_throughout(window):
-    """All frozen changes are released together.
+    """All changes are released together.
 
-    Too many engines leaving at once would leave readers without a model.
+    If too many engines changed at once, a model would have no engine.
     """
     assert len(list_changes()) == 40
     for name, least in window.lowest.items():
@@ -253,17 +254,17 @@
 
 
 def test_window_is_near_the_bound(window):
-    """The weight store's rate is what bounds the window, not the order."""
+    """The time is bounded by the weight store's rate, not by the plan."""
     assert window.now <= 1.25 * find_bound(window)
 
 
 def test_window_beats_one_by_one(window):
-    """Each change waits for the one before and takes the engine away again."""
+    """One by one, each engine would become unavailable for each change."""
     assert window.now * 5 <= run_one_by_one().now
 
 
 def test_floor_holds_a_change_back():
-    """A floor as high as the pool leaves no engine free to change."""
+    """With a floor as high as the pool's size no engine may change."""
     settings = build_settings()
     floor = dataclasses.replace(settings.models['checker'], floor=5)
     site = Site(settings)
@@ -276,7 +277,7 @@
 
 
 def print_ways():
-    """Print one line for each way of changing."""
+    """Print one line for each way to publish the changes."""
     ways = {'one by one': run_one_by_one()}
     for loads in (1, 2, 3, 6):
         ways[f'loads {loads}'] = run_window(RolloutLimits(loads, 6))
