--- a/packages/verbenahall/src/verbenahall/claims/_decisions.py
+++ b/packages/verbenahall/src/verbenahall/claims/_decisions.py
@@ -1,4 +1,4 @@
-"""The fold of claims: the first record that carries a key wins it."""
+"""The fold of claims: the first record that contains a key wins it."""
 
 import hashlib
 from collections.abc import Iterator
@@ -14,10 +14,11 @@
 
 
 def name_key(workspace: str, key: str) -> str:
-    """Name a caller's key in the log: a digest of its workspace and it.
+    """Return the name of a caller's key in the log.
 
-    All names have the same length, whatever callers send, so a batch never
-    outgrows a record; and a secret key never reaches the log.
+    It is a digest of the workspace and the key. All names have the same
+    length, so that a batch never exceeds the size of a record, and a key that
+    is a secret is not written to the log.
     """
     named = workspace.encode(*_ENCODING)
     digest = hashlib.blake2b(
@@ -28,17 +29,17 @@
 
 
 def find_owner(state: ClaimsState, key: str) -> int | None:
-    """Return the offset of the record that won a key, if one is known."""
+    """Return the offset of the record that won a key, None without one."""
     offset = state.young.get(key)
     return state.old.get(key) if offset is None else offset
 
 
 def try_claim(state: ClaimsState, key: str) -> Verdict | None:
-    """Ask for a key; ``None`` means that the log must decide.
+    """Try to claim a key; return ``None`` if the log has to decide.
 
-    A claim that this process won and never used is used now. One whose
-    release may already stand in the log can't be: another process may have
-    won the key since.
+    A claim that this process has won and not used is used now. This does not
+    hold once its release may be in the log, since another process may have
+    won the key after that.
     """
     unused = state.unused.pop(key, None)
     if unused is not None:
@@ -52,19 +53,19 @@
 
 
 def stop_waiting(state: ClaimsState, key: str) -> None:
-    """Stop waiting for a verdict; a claim that wins later is freed."""
+    """Stop waiting for a verdict; a claim that wins later is released."""
     state.unsent.pop(key, None)
     state.waiting.discard(key)
 
 
 def release(state: ClaimsState, key: str, offset: int) -> None:
-    """Give back a won claim whose request never ran and never will."""
+    """Release a won claim whose request has not run and will not run."""
     if find_owner(state, key) == offset:
         state.unused[key] = offset
 
 
 def pop_batch(state: ClaimsState, limit: int) -> Batch | None:
-    """Take what the next record carries, or ``None`` if nothing waits."""
+    """Remove and return the next batch, or ``None`` if it would be empty."""
     state.freeing.update(state.unused)
     state.unused.clear()
     freed = tuple(state.freeing.items())[:limit]
@@ -83,9 +84,9 @@
 
 
 def apply_record(state: ClaimsState, record: Record) -> tuple[Verdict, ...]:
-    """Fold one record; return verdicts on keys that are waited for.
+    """Fold one record; return the verdicts on awaited keys.
 
-    Records of other streams and second copies of an offset change nothing.
+    Records of other streams and repeated offsets are ignored.
     """
     if record.stream != CLAIMS_STREAM or record.offset <= state.position:
         return ()
@@ -123,11 +124,11 @@
 
 
 def _apply_freed(state: ClaimsState, key: str, offset: int) -> None:
-    """Forget a claim that was never used.
+    """Remove a claim that was released.
 
-    The offset names the very claim. A release whose append was thought lost
-    may land after the key was won anew: by name alone it would free a claim
-    that runs, and the request would run twice.
+    The offset identifies the claim. A release whose append seemed to have
+    failed may be appended after the key was won again; with the key alone it
+    would remove a claim in use, and the request would run twice.
     """
     for generation in (state.young, state.old):
         if generation.get(key) == offset:
@@ -145,7 +146,7 @@
 ) -> Verdict | None:
     owner = find_owner(state, key)
     if owner is None:
-        _keep(state, key, offset)
+        _add_key(state, key, offset)
         return _apply_first(state, key, offset, own=own)
     if key not in state.waiting or state.freeing.get(key) == owner:
         return None
@@ -164,14 +165,14 @@
         stop_waiting(state, key)
         return Won(key, offset) if own else Lost(key, offset)
     if own:
-        # The append was given up as lost and landed after all. Nobody runs
-        # under it; left alone it would refuse the caller's next try for
-        # good.
+        # The append had timed out and its record is in the log after all. No
+        # request runs under this claim. If it were kept, every later attempt
+        # with the key would be rejected.
         state.unused[key] = offset
     return None
 
 
-def _keep(state: ClaimsState, key: str, offset: int) -> None:
+def _add_key(state: ClaimsState, key: str, offset: int) -> None:
     if len(state.young) >= state.generation_size:
         state.old = state.young
         state.young = {}
@@ -179,7 +180,7 @@
 
 
 def dump(state: ClaimsState) -> dict[str, Any]:
-    """Return the fold as JSON, the same for each instance at a position."""
+    """Return the fold as JSON; it is equal on all instances at a position."""
     return {
         'position': state.position,
         'young': dict(state.young),
@@ -190,7 +191,7 @@
 def load(state: ClaimsState, dumped: dict[str, Any]) -> tuple[str, ...]:
     """Replace the fold; return the awaited keys, whose verdict is unknown.
 
-    Their records may lie in the part of the log that is skipped.
+    Their records may be in the part of the log that is skipped.
     """
     state.position = int(dumped['position'])
     state.young = dict(dumped['young'])
