--- a/packages/verbenahall/src/verbenahall/claims/_shell.py
+++ b/packages/verbenahall/src/verbenahall/claims/_shell.py
@@ -1,4 +1,4 @@
-"""Shell of claims: callers wait here for the log's verdict."""
+"""Claims keys for callers, who wait until the log has decided."""
 
 import asyncio
 import secrets
@@ -25,7 +25,7 @@
 
 _UNAVAILABLE: Final = Problem(
     ErrorKind.LOG_UNAVAILABLE,
-    'the log can not tell whether this key has run',
+    'the log is unavailable: it is unknown whether this key has run',
     Ran.NO,
 )
 _DUPLICATE: Final = Problem(
@@ -37,12 +37,11 @@
 
 @final
 class Claims:
-    """At most one winner for each key, among all instances.
+    """Claims keys so that each has at most one winner among all instances.
 
-    ``apply_record`` must be given every record of the claims stream in
-    order, and ``run`` must run. A process never shares a holder with
-    another, nor with its own earlier life: a random token is added to
-    ``holder``.
+    ``apply_record`` must be called with every record of the claims stream in
+    order, and ``run`` must be running. A random token is added to ``holder``,
+    so that no other process and no later run of this one uses the same name.
     """
 
     #: The section's name in snapshots.
@@ -55,7 +54,7 @@
         timing: ClaimsTiming = DEFAULT_TIMING,
         now: clock.Clock = clock.monotonic,
     ) -> None:
-        """Claim through ``client``."""
+        """Create the claims; they are appended through ``client``."""
         token = secrets.token_hex(_TOKEN_BYTES)
         self.state = ClaimsState(f'{holder}/{token}')
         self._timeout_s = timing.verdict_timeout_s
@@ -63,16 +62,17 @@
         self.batcher = Batcher(
             self.state,
             client,
-            self._refuse,
+            self._reject,
             timing,
             now,
         )
 
     async def claim(self, workspace: str, key: str) -> Result[int, Problem]:
-        """Claim a key; success means that this caller alone may run it.
+        """Claim a key; on success only this call may run the request.
 
-        A repeated key fails with ``DUPLICATE``. When the log can't tell it
-        fails with ``LOG_UNAVAILABLE``, and nothing has run.
+        Return the offset of the claim. A key that was claimed before fails
+        with ``DUPLICATE``. If the log cannot decide in time, the claim fails
+        with ``LOG_UNAVAILABLE``, and nothing has run.
         """
         name = decisions.name_key(workspace, key)
         result = await self._decide(name)
@@ -80,16 +80,16 @@
             'claim',
             workspace=workspace,
             key=name,
-            outcome=_describe(result),
+            outcome=_get_outcome_label(result),
             position=self.state.position,
         )
         return result
 
     def release(self, workspace: str, key: str, offset: int) -> None:
-        """Give back a claim won at ``offset`` whose request never ran.
+        """Release a claim won at ``offset`` whose request has not run.
 
-        Call it only where the caller is told that the request did not run;
-        the caller may then try the key again at any instance.
+        Call this only if the response says that the request did not run; the
+        caller may then retry with the same key at any instance.
         """
         decisions.release(
             self.state,
@@ -99,9 +99,9 @@
         self.batcher.wake()
 
     def apply_record(self, record: Record) -> None:
-        """Fold one record of the log; a handler for the log's follower."""
+        """Fold one record; called by the follower of the log."""
         for verdict in decisions.apply_record(self.state, record):
-            self._settle(verdict.key, verdict)
+            self._resolve(verdict.key, verdict)
         if self.state.unused:
             self.batcher.wake()
 
@@ -110,9 +110,9 @@
         return decisions.dump(self.state)
 
     def load(self, section: dict[str, Any]) -> None:
-        """Start over from a snapshot; claims that wait are refused."""
+        """Replace the fold by a snapshot; reject the waiting claims."""
         for key in decisions.load(self.state, section):
-            self._settle(key, None)
+            self._resolve(key, None)
 
     async def run(self) -> None:
         """Append batches until cancelled."""
@@ -121,7 +121,7 @@
     async def _decide(self, name: str) -> Result[int, Problem]:
         awaited = self._verdicts.get(name)
         if awaited is not None:
-            return await _share(awaited)
+            return await _await_other_call(awaited)
         match decisions.try_claim(self.state, name):
             case Won(offset=offset):
                 return Success(offset)
@@ -139,10 +139,10 @@
         try:
             await asyncio.wait({awaited}, timeout=self._timeout_s)
         except asyncio.CancelledError:
-            self._let_go(name, awaited)
+            self._abandon(name, awaited)
             raise
         if not awaited.done():
-            self._refuse(name)
+            self._reject(name)
         match awaited.result():
             case Won(offset=offset):
                 return Success(offset)
@@ -150,44 +150,44 @@
                 return Failure(_DUPLICATE)
         return Failure(_UNAVAILABLE)
 
-    def _let_go(
+    def _abandon(
         self,
         key: str,
         awaited: asyncio.Future[Verdict | None],
     ) -> None:
-        """Give up a claim whose caller has gone away.
+        """Abandon a claim whose caller has disconnected.
 
-        It may have been won in the same turn of the loop: nobody would run
-        it, and nobody else could.
+        If it was won in the same iteration of the event loop, it is released;
+        otherwise no request with the key could ever run.
         """
         if not awaited.done():
-            self._refuse(key)
+            self._reject(key)
             return
         won = awaited.result()
         if isinstance(won, Won):
             decisions.release(self.state, key, won.offset)
             self.batcher.wake()
 
-    def _refuse(self, key: str) -> None:
-        """Stop waiting for a key whose verdict can't be known."""
+    def _reject(self, key: str) -> None:
+        """Reject a claim whose verdict is unknown."""
         decisions.stop_waiting(self.state, key)
-        self._settle(key, None)
+        self._resolve(key, None)
 
-    def _settle(self, key: str, verdict: Verdict | None) -> None:
+    def _resolve(self, key: str, verdict: Verdict | None) -> None:
         awaited = self._verdicts.pop(key, None)
         if awaited is not None and not awaited.done():
             awaited.set_result(verdict)
 
 
-async def _share(
+async def _await_other_call(
     awaited: asyncio.Future[Verdict | None],
 ) -> Result[int, Problem]:
-    """Wait for the verdict of another call; at most that call wins."""
+    """Wait for another call with the same key; this one never wins."""
     await asyncio.wait({awaited})
     return Failure(_DUPLICATE if awaited.result() else _UNAVAILABLE)
 
 
-def _describe(result: Result[int, Problem]) -> str:
+def _get_outcome_label(result: Result[int, Problem]) -> str:
     if isinstance(result, Success):
         return 'won'
     return result.failure().kind.value
