--- a/packages/verbenahall/src/verbenahall/claims/_batcher.py
+++ b/packages/verbenahall/src/verbenahall/claims/_batcher.py
@@ -1,4 +1,4 @@
-"""Batches of claims: one append at a time, within a share of the log's rate."""
+"""Appends claims in batches, one append at a time and at a limited rate."""
 
 import asyncio
 from collections.abc import Callable
@@ -14,8 +14,8 @@
 
 
 @final
-class Pace:
-    """A token bucket over the process's appends."""
+class TokenBucket:
+    """Token bucket that limits the rate of this process's appends."""
 
     def __init__(self, timing: ClaimsTiming, now: clock.Clock) -> None:
         """Start with a full bucket."""
@@ -26,7 +26,7 @@
         self._filled_at = now()
 
     async def wait(self) -> None:
-        """Wait for a token and take it."""
+        """Wait until a token is available and consume it."""
         self._fill()
         if self._tokens < 1:
             await asyncio.sleep((1 - self._tokens) / self._rate)
@@ -42,18 +42,19 @@
 
 @final
 class Batcher:
-    """Appends what the state wants told.
+    """Appends the unsent claims and releases of a state.
 
-    While one append is on its way the next batch grows, so the number of
-    appends follows the log's speed and not the number of keys. ``refuse``
-    is called with each key of a batch that can't be known to have landed.
+    The next batch is collected while an append is in progress, so the number
+    of appends depends on the log's speed and not on the number of keys.
+    ``reject`` is called with each key of a batch whose append failed or timed
+    out.
     """
 
     def __init__(
         self,
         state: ClaimsState,
         client: Appender,
-        refuse: Callable[[str], None],
+        reject: Callable[[str], None],
         timing: ClaimsTiming,
         now: clock.Clock,
     ) -> None:
@@ -61,32 +62,32 @@
         self.appends = 0
         self._state = state
         self._client = client
-        self._refuse = refuse
+        self._reject = reject
         self._timing = timing
         self._now = now
-        self._pace = Pace(timing, now)
+        self._bucket = TokenBucket(timing, now)
         self._wake = asyncio.Event()
-        self._refuse_until = float('-inf')
+        self._reject_until = float('-inf')
 
     @property
     def is_rejecting(self) -> bool:
-        """Whether the log failed just now, so that a claim would only wait."""
-        return self._now() < self._refuse_until
+        """Whether an append failed recently, so that claims are rejected."""
+        return self._now() < self._reject_until
 
     def wake(self) -> None:
-        """Append soon."""
+        """Schedule an append."""
         self._wake.set()
 
     async def run(self) -> None:
         """Append batches until cancelled."""
         while True:
             await self._wake.wait()
-            await self._pace.wait()
+            await self._bucket.wait()
             self._wake.clear()
             await self.flush()
 
     async def flush(self) -> None:
-        """Append one batch, if anything waits."""
+        """Append one batch, if there is anything to append."""
         batch = decisions.pop_batch(self._state, self._timing.keys_at_once)
         if batch is None:
             return
@@ -95,7 +96,7 @@
         if await self._append(batch):
             return
         if self._is_awaited(batch):
-            self._give_up(batch)
+            self._reject_all(batch)
         if self._state.freeing:
             loop = asyncio.get_running_loop()
             loop.call_later(self._timing.refuse_s, self.wake)
@@ -113,13 +114,13 @@
     def _is_awaited(self, batch: Batch) -> bool:
         """Whether a failed append leaves a claim undecided.
 
-        The record may be read before the append is answered; a log whose
-        answers are late is not down.
+        The record may be read from the log before the append is answered. A
+        log that is slow to answer is not down.
         """
         return not self._state.waiting.isdisjoint(batch.keys)
 
-    def _give_up(self, batch: Batch) -> None:
-        """Refuse at once while the log is down, rather than let all wait."""
-        self._refuse_until = self._now() + self._timing.refuse_s
+    def _reject_all(self, batch: Batch) -> None:
+        """Reject a batch, and further claims at once for a while."""
+        self._reject_until = self._now() + self._timing.refuse_s
         for key in batch.keys:
-            self._refuse(key)
+            self._reject(key)
