--- a/packages/verbenahall/src/verbenahall/claims/_messages.py
+++ b/packages/verbenahall/src/verbenahall/claims/_messages.py
@@ -1,4 +1,4 @@
-"""What the claims fold hears and says."""
+"""Verdicts, batches and timing of claims."""
 
 import dataclasses
 from typing import Any, Final, Protocol
@@ -7,13 +7,13 @@
 
 from verbenahall.errors import Problem
 
-#: Keys kept per generation of the fold; two generations are kept. Part of
-#: the fold: all instances of a deployment use the same number.
+#: Keys per generation of the fold, of which two are kept. The fold depends on
+#: it, so all instances of a deployment must use the same number.
 KEYS_PER_GENERATION: Final = 25_000
 
 
 class Appender(Protocol):
-    """The part of the log client that claims use."""
+    """The part of the log client that is used here."""
 
     async def append(
         self,
@@ -25,7 +25,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Won:
-    """This process's claim is the first of its key: it alone may run."""
+    """This process's claim on the key came first; its request may run."""
 
     key: str
     offset: int
@@ -33,7 +33,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Lost:
-    """Another claim of the key came first, at ``offset``."""
+    """Another claim on the key came first, at ``offset``."""
 
     key: str
     offset: int
@@ -44,10 +44,10 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Batch:
-    """One record to append.
+    """Contents of one record to append.
 
-    ``freed`` holds won claims, as key and offset, whose request surely
-    never ran and never will under that claim.
+    ``freed`` holds released claims as pairs of key and offset: won claims
+    under which no request has run or will run.
     """
 
     keys: tuple[str, ...]
@@ -56,12 +56,12 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class ClaimsTiming:
-    """How often records are appended and how long a claim may take.
+    """Rate of appends and timeouts of claims.
 
-    ``appends_per_s`` and ``burst`` bound this process's share of the log's
-    rate. ``append_timeout_s`` bounds one append, ``verdict_timeout_s`` a
-    whole claim. For ``refuse_s`` after a failed append claims are refused
-    at once.
+    ``appends_per_s`` and ``burst`` limit this process's share of the log's
+    rate, ``keys_at_once`` the size of a batch. ``append_timeout_s`` is the
+    timeout of one append, ``verdict_timeout_s`` that of a whole claim. For
+    ``refuse_s`` after a failed append, claims are rejected at once.
     """
 
     appends_per_s: float = 20.0
