--- a/packages/verbenahall/src/verbenahall/claims/_state.py
+++ b/packages/verbenahall/src/verbenahall/claims/_state.py
@@ -1,4 +1,4 @@
-"""Claims folded from the log, and those that this process waits for."""
+"""Claims folded from the log, and the claims that this process awaits."""
 
 from typing import final
 
@@ -7,14 +7,16 @@
 
 @final
 class ClaimsState:
-    """Who claimed which key first.
+    """Winning claims by key, and the open claims of this process.
 
     ``young`` and ``old`` map a key to the offset of the record that won it.
-    When ``young`` is full it becomes ``old``, so what is known depends on
-    the log alone and memory stays bounded. ``unsent`` holds keys to put in
-    the next record, ``waiting`` those whose verdict is awaited, ``unused``
-    won claims that never ran and are not yet told, ``freeing`` those of
-    them that may already be told.
+    When ``young`` is full, it replaces ``old``. So memory is bounded, and
+    which keys are kept depends on the log alone.
+
+    ``unsent`` holds keys for the next record, and ``waiting`` keys whose
+    verdict is awaited. ``unused`` holds won claims that were not used and
+    whose release has not been sent. ``freeing`` holds those whose release may
+    already be in the log.
     """
 
     __slots__ = (
@@ -34,7 +36,7 @@
         holder: str,
         generation_size: int = KEYS_PER_GENERATION,
     ) -> None:
-        """Start with an empty fold; ``holder`` must never be used again."""
+        """Start with an empty fold; ``holder`` must be unique to this run."""
         self.holder = holder
         self.generation_size = generation_size
         self.position = 0
