--- a/packages/verbenahall/src/verbenahall/claims/__init__.py
+++ b/packages/verbenahall/src/verbenahall/claims/__init__.py
@@ -1,4 +1,7 @@
-"""At most once for keyed calls, decided by the order of the log."""
+"""Claims on keys, so that a keyed call runs at most once.
+
+The order of the log decides which claim on a key wins.
+"""
 
 from verbenahall.claims._messages import (
     DEFAULT_TIMING,
