--- a/packages/verbenahall/tests/claims/test_claims.py
+++ b/packages/verbenahall/tests/claims/test_claims.py
@@ -1,4 +1,4 @@
-"""At most one winner for each key, whatever the log does."""
+"""At most one claim on a key wins, also if the log fails."""
 
 import asyncio
 import itertools
@@ -23,7 +23,7 @@
 
 
 class FakeLog:
-    """A log in memory, read at once by every claims fold."""
+    """A log in memory, which every claims fold reads at once."""
 
     def __init__(self):
         self.records = []
@@ -77,9 +77,9 @@
 
 
 def test_one_winner_among_instances():
-    """A caller repeats its key at two instances at once, twice at each.
+    """A caller sends its key to two instances at once, twice to each.
 
-    Two winners would bill the summary twice.
+    With two winners the request would run, and be billed, twice.
     """
 
     async def check(log, first, second):
@@ -95,7 +95,7 @@
 
 
 def test_many_keys_share_appends():
-    """A burst of keyed calls must not use up the log's rate."""
+    """A burst of keyed calls must not exhaust the log's rate."""
 
     async def check(log, first):
         verdicts = await asyncio.gather(
@@ -111,8 +111,8 @@
 def test_log_down_refuses(mode):
     """The log is down or hangs when a keyed call arrives.
 
-    It can't be known whether the key has run, so it must not run; later
-    calls are refused at once and not after the log's timeout.
+    The call must not run, since it is unknown whether the key was claimed
+    before. Later calls are rejected at once and not after the log's timeout.
     """
 
     async def check(log, first):
@@ -132,10 +132,10 @@
 
 
 def test_late_answers_do_not_refuse():
-    """The log takes claims at once but answers late.
+    """The log appends claims at once but responds late.
 
-    Their verdicts are read all the same; refusing further calls would turn a
-    slow log into an outage.
+    The verdicts are read from the log anyway. If further calls were rejected,
+    a slow log would become an outage.
     """
 
     async def check(log, first):
@@ -151,10 +151,10 @@
 
 @pytest.mark.parametrize('mode', ['lost', 'late'])
 def test_lost_answer_of_the_log(mode):
-    """The log keeps a claim but its answer is lost, or it lands later.
+    """The response to an append is lost, or the record is appended later.
 
-    The first caller was told "not run"; its next try, at another instance,
-    must run, and only once.
+    The first response to the caller was "not run"; a retry at another
+    instance must run, and only once.
     """
 
     async def check(log, first, second):
@@ -177,9 +177,9 @@
 
 
 def test_released_claim_runs_elsewhere():
-    """An engine refuses a claimed call before it starts.
+    """An engine rejects a claimed call before it starts.
 
-    The caller is told "not run" and tries the same key elsewhere.
+    The response says "not run", and the caller retries at another instance.
     """
 
     async def check(log, first, second):
@@ -189,7 +189,7 @@
             await asyncio.sleep(0.01)
         log.publish()
         assert isinstance(await second.claim('desk', 'k'), Success)
-        # A second copy of the release must not free the new claim.
+        # A second copy of the release must not release the new claim.
         copy = log.records[1]
         log.records.append(Record(4, copy.stream, copy.identity, copy.body))
         log.publish()
@@ -199,9 +199,9 @@
 
 
 def test_caller_goes_away_as_its_claim_is_won():
-    """A caller hangs up in the very moment in which its claim is won.
+    """A caller disconnects just as its claim is won.
 
-    Nobody runs the call; its next try must not hear "duplicate" for good.
+    The call does not run, so its retry must not be rejected as a duplicate.
     """
 
     async def check(log, first, second):
@@ -217,7 +217,7 @@
 
 
 def test_names_of_keys():
-    """A caller picks workspace and key so that they run into another's."""
+    """Other pairs of workspace and key must not lead to an equal name."""
     pairs = [('a', 'bc'), ('ab', 'c'), ('a:b', 'c'), ('a', 'b:c'), ('', 'abc')]
     named = {decisions.name_key(*pair) for pair in pairs}
 
@@ -226,7 +226,7 @@
 
 
 def test_snapshot_carries_claims():
-    """All instances are replaced after the log's retention has passed."""
+    """All instances are replaced after the claim has expired from the log."""
 
     async def check(log, first, second):
         await first.claim('desk', 'k')
@@ -239,10 +239,10 @@
 
 
 def test_release_on_its_way_is_not_taken_back():
-    """A call is refused by its engine; its release is on the way to the log.
+    """A release is in transit to the log, and the caller retries.
 
-    The caller tries again at the same instance. Running under the old claim
-    would let another instance run the key too, once the release has landed.
+    If the retry ran under the old claim, another instance could run the key
+    too, once the release has been appended.
     """
     state = ClaimsState('a')
     assert decisions.try_claim(state, 'k') is None
