--- a/packages/verbenahall/tests/claims/test_schedules.py
+++ b/packages/verbenahall/tests/claims/test_schedules.py
@@ -1,4 +1,4 @@
-"""Claims under random schedules, against a naive "first in the log wins"."""
+"""Claims under random schedules, compared with a naive fold."""
 
 import collections
 
@@ -29,11 +29,11 @@
 
 
 class Schedules(RuleBasedStateMachine):
-    """Instances that ask, lose answers, pause, time out, restart and free.
+    """Instances that claim, lose responses, pause, time out and restart.
 
-    ``wins`` holds claims that were won and neither run nor freed: an
-    instance may be paused there for as long as the schedule likes, also
-    while others start from a snapshot.
+    ``wins`` holds claims that were won and neither used nor released, as an
+    instance may be paused at that point for any time, also while others start
+    from a snapshot.
     """
 
     def __init__(self):
@@ -97,7 +97,7 @@
 
     @rule()
     def pass_time(self):
-        """All send what waits, it lands, and all read to the log's end."""
+        """Send and append all batches; all instances read to the end."""
         for sender, _ in enumerate(self.states):
             self.send(sender)
         while self.flying:
@@ -126,7 +126,7 @@
 
     @rule(index=number, other=number)
     def try_again(self, index, other):
-        """A caller that was told "not run" tries its key at once again."""
+        """A caller whose request did not run retries its key at once."""
         self.use_win(index, ran=False)
         self.send(index)
         self.ask(other, 'k')
@@ -142,7 +142,7 @@
             assert state.young == expected
 
     def teardown(self):
-        """Let all quiet down: a key that never ran can then still run."""
+        """Deliver everything; a key that has not run can then still run."""
         for _ in range(12):
             self.pass_time()
         held = {name for _, name in self.wins} | set(self.runs)
@@ -168,8 +168,8 @@
 def test_memory_is_bounded(count):
     """A deployment claims keys for months.
 
-    Each instance must forget at the same place of the log, so that all give
-    the same verdict.
+    Each instance must drop old keys at the same offset of the log, so that
+    all reach the same verdict.
     """
     states = [ClaimsState(holder, generation_size=10) for holder in 'ab']
     for offset in range(1, count + 1):
@@ -196,7 +196,7 @@
     ],
 )
 def test_records_that_do_not_decode(body):
-    """Somebody else writes to the stream; no instance may stop there."""
+    """Another program writes to the stream; the fold must go on."""
     state = ClaimsState('a')
     record = Record(1, CLAIMS_STREAM, 'x', body)
 
