--- a/packages/verbenahall/src/verbenahall/usage/_reports.py
+++ b/packages/verbenahall/src/verbenahall/usage/_reports.py
@@ -1,8 +1,9 @@
-"""Decides each window's report once for ever, and sends what was decided.
+"""Decides each window's report once, and sends decided reports.
 
-A report that was sent without an answer may be carried out seconds later.
-With other counts in a second one the platform would bill twice, so a report
-is in the store before it is sent, and every holder sends that record.
+A report whose response was lost may be carried out seconds later. If a second
+report of the window had other counts, the platform would bill it twice. So a
+report is written to the store before it is sent, and every holder sends the
+report from the store.
 """
 
 from collections.abc import Iterable
@@ -36,10 +37,10 @@
 
 @final
 class Reports:
-    """The ledger as the store has it, and what of it was sent.
+    """The ledger in the store, and the windows whose reports were sent.
 
-    ``ledger`` is None until it was read, and again after an append whose
-    outcome is not known.
+    ``ledger`` is None until it has been read, and again after an append that
+    did not succeed or whose outcome is unknown.
     """
 
     __slots__ = (
@@ -68,7 +69,10 @@
         self._windows = windows
 
     async def load(self, now: float) -> bool:
-        """Read the ledger; without one every window in time is undecided."""
+        """Read the ledger; return whether the store was available.
+
+        Without a ledger all windows that are not overdue are undecided.
+        """
         match await self._store.read_newest(REPORTS_TOPIC):
             case Success(newest):
                 self._end = newest.end
@@ -79,8 +83,8 @@
             case Some(ledger):
                 self.ledger = ledger
             case _ if content:
-                # What was reported before is not known, so none of it is
-                # reported again.
+                # It is unknown which windows were reported, so no past window
+                # is reported again.
                 journal.write_decision('reports_unreadable')
                 self.ledger = ReportLedger(self._windows.find(now) - 1)
             case _:
@@ -88,12 +92,12 @@
         return True
 
     def discard(self) -> None:
-        """Drop what another holder may change."""
+        """Discard the data that another holder may change."""
         self.ledger = None
         self._sent.clear()
 
     async def decide(self, window: int, counts: Counts, now: float) -> bool:
-        """Write a window's report down; False when it is not known to be in."""
+        """Write a window's report to the store; return whether it is in."""
         ledger = self.ledger
         if ledger is None:
             return False
@@ -103,8 +107,8 @@
             for known, rows in ledger.open.items()
             if known not in self._sent and known > overdue
         }
-        grown = decide(ledger, window, counts, still_open)
-        record = encode_keyed(KeyedRecord(_KEY, encode_ledger(grown)))
+        updated = decide(ledger, window, counts, still_open)
+        record = encode_keyed(KeyedRecord(_KEY, encode_ledger(updated)))
         outcome = await self._store.append(REPORTS_TOPIC, [record], self._end)
         journal.write_decision(
             'usage_decided',
@@ -117,11 +121,11 @@
             self.ledger = None
             return False
         self._end = outcome.offset + 1
-        self.ledger = grown
+        self.ledger = updated
         return True
 
     def list_unsent(self, now: float) -> Iterable[int]:
-        """Return the windows whose reports are still to be sent."""
+        """Return decided windows with a report neither sent nor overdue."""
         ledger = self.ledger
         if ledger is None:
             return ()
@@ -133,7 +137,7 @@
         ]
 
     def log_overdue(self, now: float) -> None:
-        """Write a line for each window that got no report in time."""
+        """Log and count each window that was not decided in time."""
         overdue = self._windows.find_overdue(now)
         decided = self.ledger.last if self.ledger else overdue
         for window in range(max(decided, self._overdue) + 1, overdue + 1):
@@ -142,7 +146,7 @@
         self._overdue = max(self._overdue, overdue)
 
     async def send(self, window: int, seal: Seal) -> DutyOutcome:
-        """Send a report that was decided."""
+        """Send the report of a decided window."""
         counts = self.ledger.open[window] if self.ledger else {}
         outcome = await self._calls.report_usage(seal, window, counts)
         metrics.USAGE_WINDOWS.add(outcome.value)
