--- a/packages/verbenahall/src/verbenahall/usage/_decisions.py
+++ b/packages/verbenahall/src/verbenahall/usage/_decisions.py
@@ -1,31 +1,34 @@
-"""When a window is decided, and how long its report is tried."""
+"""When a window is decided, and until when its report is sent."""
 
 import dataclasses
 from collections.abc import Iterator
 from typing import Final
 
-#: How long after a window's end its counts may still grow, as a share of the
-#: time within which it is reported. Plain requests count once they are
-#: answered.
+#: Time after a window's end in which its counts may still grow, as a share of
+#: the time in which it must be reported. Plain requests are counted when they
+#: are answered.
 _SETTLED_SHARE: Final = 0.2
-#: Until when instances that were not heard are waited for, as such a share.
-_WAITED_SHARE: Final = 0.4
-#: After this share instances that were not asked write their counts down.
-_WRITTEN_SHARE: Final = 0.3
+#: Time after which a window is decided without the instances that have not
+#: answered, as such a share.
+_MAX_WAIT_SHARE: Final = 0.4
+#: Time after which an instance that was not polled writes its counts to the
+#: store, as such a share.
+_WRITE_SHARE: Final = 0.3
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Windows:
-    """The windows of a deployment: their length, and when reports are late.
+    """The windows of a deployment.
 
-    Window ``k`` begins ``k * length_s`` seconds after the start of 1970.
+    Window ``k`` begins ``k * length_s`` seconds after the start of 1970. Its
+    report is overdue ``late_s`` seconds after its end.
     """
 
     length_s: float
     late_s: float
 
     def find(self, now: float) -> int:
-        """Return the window that a time falls into."""
+        """Return the window that contains a time."""
         return int(now // self.length_s)
 
     def find_end(self, window: int) -> float:
@@ -33,7 +36,7 @@
         return (window + 1) * self.length_s
 
     def find_overdue(self, now: float) -> int:
-        """Return the last window whose report would come too late."""
+        """Return the last window whose report is overdue."""
         return self.find(now - self.late_s) - 1
 
 
@@ -42,7 +45,7 @@
     last: int,
     now: float,
 ) -> Iterator[int]:
-    """Yield the windows after ``last`` that are over and not overdue."""
+    """Yield the windows after ``last`` that have ended and are not overdue."""
     first = max(last, windows.find_overdue(now)) + 1
     for window in range(first, windows.find(now)):
         yield window
@@ -55,16 +58,17 @@
     *,
     is_complete: bool,
 ) -> bool:
-    """Whether a window is reported by what is known.
+    """Whether a window may be decided with the counts gathered so far.
 
-    ``is_complete`` tells that all instances were heard since its counts settled.
+    ``is_complete`` is true if all instances have answered since the window's
+    counts settled.
     """
-    share = _SETTLED_SHARE if is_complete else _WAITED_SHARE
+    share = _SETTLED_SHARE if is_complete else _MAX_WAIT_SHARE
     return now >= windows.find_end(window) + windows.late_s * share
 
 
 def find_settled(windows: Windows, window: int) -> float:
-    """Return when the counts of a window hardly grow any more."""
+    """Return the time after which a window's counts hardly grow."""
     return windows.find_end(window) + windows.late_s * _SETTLED_SHARE / 2
 
 
@@ -73,6 +77,6 @@
     polled_at: float,
     now: float,
 ) -> int | None:
-    """Return the last window whose counts nobody has asked for in time."""
-    window = windows.find(now - windows.late_s * _WRITTEN_SHARE) - 1
+    """Return the last window that was not polled in time, None without one."""
+    window = windows.find(now - windows.late_s * _WRITE_SHARE) - 1
     return window if polled_at < windows.find_end(window) else None
