--- a/packages/verbenahall/src/verbenahall/usage/_shell.py
+++ b/packages/verbenahall/src/verbenahall/usage/_shell.py
@@ -1,4 +1,4 @@
-"""Reports usage while this instance holds the duty, and stands by else."""
+"""Reports usage while this instance holds the duty, else stands by."""
 
 import asyncio
 import dataclasses
@@ -19,22 +19,22 @@
 from verbenahall.usage._exchange import DUTY, UsageExchange
 from verbenahall.usage._reports import Reports
 
-#: How often the loop looks at its clock, in seconds.
-_LOOK_S: Final = 0.1
-#: How often the holder asks for counts, in seconds: what a killed instance
-#: has counted since the last time is lost.
+#: Interval of the loop, in seconds.
+_CHECK_INTERVAL_S: Final = 0.1
+#: Interval of the holder's polls, in seconds. A killed instance loses what it
+#: has counted since the last poll.
 _POLL_S: Final = 0.7
-#: Time for one window's calls, in seconds.
+#: Lease on the duty, in seconds; it covers the calls for one window.
 LEASE_S: Final = 2.5
-#: Pause before a call is tried again, in seconds.
-_PAUSE_S: Final = 0.4
-#: Windows that counts are kept for beyond the time of their reports.
-_KEPT: Final = 2
+#: Time before a failed call is retried, in seconds.
+_RETRY_INTERVAL_S: Final = 0.4
+#: Number of overdue windows whose counts are kept.
+_EXTRA_WINDOWS: Final = 2
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Surroundings:
-    """What the reporter works with; ``name`` is the instance's."""
+    """Dependencies of the reporter; ``name`` is the instance's."""
 
     name: str
     exchange: UsageExchange
@@ -48,79 +48,79 @@
 
 @final
 class UsageReporter:
-    """One instance's part in the duty of usage reports."""
+    """Carries out the duty of usage reports if this instance holds it."""
 
     __slots__ = (
-        '_holds',
+        '_holds_duty',
         '_polled_at',
-        '_tried_at',
-        '_with',
-        '_written',
+        '_failed_at',
+        '_dependencies',
+        '_written_window',
     )
 
     def __init__(self, surroundings: Surroundings) -> None:
-        """Prepare; nothing is asked or sent before ``run``."""
-        self._with = surroundings
-        self._holds = False
+        """Create the reporter; nothing is sent before ``run``."""
+        self._dependencies = surroundings
+        self._holds_duty = False
         self._polled_at = -float('inf')
-        #: When a call failed that is to be tried again.
-        self._tried_at = -float('inf')
-        self._written = 0
+        #: When the last call failed.
+        self._failed_at = -float('inf')
+        self._written_window = 0
 
     async def run(self) -> None:
         """Report or stand by until cancelled."""
         while True:
-            await asyncio.sleep(_LOOK_S)
+            await asyncio.sleep(_CHECK_INTERVAL_S)
             await self.step()
 
     async def step(self) -> None:
-        """Do what is due now."""
-        parts = self._with
-        at = parts.clock.now()
-        if self._holds:
-            await self._carry_out(at)
-        elif await parts.succession.step():
+        """Run one step of the duty, or of standing by for it."""
+        dependencies = self._dependencies
+        at = dependencies.clock.now()
+        if self._holds_duty:
+            await self._run_duty(at)
+        elif await dependencies.succession.step():
             journal.write_decision('duty_held', duty=DUTY)
-            self._holds = True
-            parts.reports.discard()
+            self._holds_duty = True
+            dependencies.reports.discard()
         else:
-            await self._write_unasked(at)
-        kept = parts.windows.find_overdue(at) - _KEPT
-        parts.exchange.discard_before(kept)
+            await self._write_unpolled(at)
+        kept = dependencies.windows.find_overdue(at) - _EXTRA_WINDOWS
+        dependencies.exchange.discard_before(kept)
 
-    async def _carry_out(self, at: float) -> None:
-        """Ask for counts, decide what is due, and send what was decided."""
-        now = self._with.now()
+    async def _run_duty(self, at: float) -> None:
+        """Poll counts, decide the windows that are due, and send reports."""
+        now = self._dependencies.now()
         if now - self._polled_at >= _POLL_S:
             self._polled_at = now
-            self._with.exchange.poll()
-        if now - self._tried_at < _PAUSE_S:
+            self._dependencies.exchange.poll()
+        if now - self._failed_at < _RETRY_INTERVAL_S:
             return
         if not await self._report_due(at):
-            self._tried_at = self._with.now()
+            self._failed_at = self._dependencies.now()
 
     async def _report_due(self, at: float) -> bool:
-        """Decide and send under the lease; False if something is left."""
-        reports = self._with.reports
+        """Decide and send under the lease; return whether all succeeded."""
+        reports = self._dependencies.reports
         if reports.ledger is None and not await reports.load(at):
             return False
         due = self._list_due(at)
         if not due and not reports.list_unsent(at):
             return True
-        token = await self._with.lease.acquire()
+        token = await self._dependencies.lease.acquire()
         if token is None:
-            return self._judge_loss()
+            return self._check_lease_lost()
         for window in due:
             if not await self._decide(window, at):
                 return False
         return await self._send_all(token, at)
 
     def _list_due(self, at: float) -> list[int]:
-        ledger = self._with.reports.ledger
+        ledger = self._dependencies.reports.ledger
         if ledger is None:
             return []
-        windows = self._with.windows
-        self._with.reports.log_overdue(at)
+        windows = self._dependencies.windows
+        self._dependencies.reports.log_overdue(at)
         return [
             window
             for window in list_undecided(windows, ledger.last, at)
@@ -133,11 +133,11 @@
         ]
 
     def _list_missing(self, window: int) -> list[str]:
-        since = find_settled(self._with.windows, window)
-        return self._with.exchange.list_unanswered(since)
+        since = find_settled(self._dependencies.windows, window)
+        return self._dependencies.exchange.list_unanswered(since)
 
     async def _decide(self, window: int, at: float) -> bool:
-        exchange = self._with.exchange
+        exchange = self._dependencies.exchange
         missing = self._list_missing(window)
         if missing:
             await exchange.read_counts()
@@ -147,41 +147,43 @@
                 missing=sorted(missing),
             )
         counts = exchange.gathered.sum_window(window)
-        return await self._with.reports.decide(window, counts, at)
+        return await self._dependencies.reports.decide(window, counts, at)
 
     async def _send_all(self, token: int, at: float) -> bool:
-        reports = self._with.reports
+        reports = self._dependencies.reports
         for window in reports.list_unsent(at):
-            if self._with.lease.token() != token:
+            if self._dependencies.lease.token() != token:
                 return False
-            seal = Seal(self._with.name, token)
+            seal = Seal(self._dependencies.name, token)
             outcome = await reports.send(window, seal)
             if outcome is DutyOutcome.FENCED:
-                self._with.lease.forget()
-                self._end('a higher token was seen')
+                self._dependencies.lease.forget()
+                self._step_down('a higher token was seen')
             if outcome is not DutyOutcome.DONE:
                 return False
         return True
 
-    def _judge_loss(self) -> bool:
-        """Give the duty up when another one holds the lease."""
-        lease = self._with.lease
+    def _check_lease_lost(self) -> bool:
+        """Step down if another instance holds the lease."""
+        lease = self._dependencies.lease
         if lease.grant.token and lease.grant.holder != lease.holder:
-            self._end('another instance holds the lease')
+            self._step_down('another instance holds the lease')
         return False
 
-    def _end(self, reason: str) -> None:
+    def _step_down(self, reason: str) -> None:
         journal.write_decision('duty_lost', duty=DUTY, reason=reason)
-        self._holds = False
-        self._with.succession.note_lost()
-        self._with.reports.discard()
-
-    async def _write_unasked(self, at: float) -> None:
-        """Write counts to the store that nobody has asked for in time."""
-        exchange = self._with.exchange
-        window = find_unpolled(self._with.windows, exchange.polled_at, at)
-        if window is None or window <= self._written:
+        self._holds_duty = False
+        self._dependencies.succession.note_lost()
+        self._dependencies.reports.discard()
+
+    async def _write_unpolled(self, at: float) -> None:
+        """Write the counts to the store if they were not polled in time."""
+        exchange = self._dependencies.exchange
+        window = find_unpolled(
+            self._dependencies.windows, exchange.polled_at, at
+        )
+        if window is None or window <= self._written_window:
             return
         has_counts = exchange.meter.has_counts(window)
         if not has_counts or await exchange.write_counts():
-            self._written = window
+            self._written_window = window
