--- a/packages/verbenahall/src/verbenahall/usage/_exchange.py
+++ b/packages/verbenahall/src/verbenahall/usage/_exchange.py
@@ -1,4 +1,4 @@
-"""Asks all instances for their counts, and tells the own ones."""
+"""Exchanges counts with the other instances."""
 
 import itertools
 import uuid
@@ -30,19 +30,19 @@
 )
 from verbenahall.usage._meter import UsageMeter
 
-#: The name of the duty, by which instances are ranked for it.
+#: Name of the duty, by which instances are ranked for it.
 DUTY: Final = 'usage'
-#: Instances that keep the counts of the one that reports.
+#: Number of instances that get the counts of the holder at each poll.
 _SUCCESSORS: Final = 3
-#: Digits that tell this run of the process from the ones before.
+#: Digits of the identifier of this run of the process.
 _RUN_DIGITS: Final = 8
 
 
 @final
 class UsageExchange:
-    """Gathers counts by datagrams, and by the store where these get lost.
+    """Gathers counts by datagrams, and from the store if these are lost.
 
-    ``polled_at`` is when a poll was last heard, in true time.
+    ``polled_at`` is when the last poll was received, in seconds since 1970.
     """
 
     __slots__ = (
@@ -52,7 +52,7 @@
         '_book',
         '_clock',
         '_exchange',
-        '_hear_other',
+        '_next_handler',
         '_numbers',
         '_poller',
         '_run',
@@ -67,34 +67,34 @@
         meter: UsageMeter,
         clock: TrueClock,
     ) -> None:
-        """Speak through the exchange between peers."""
+        """Register for datagrams of the exchange between peers."""
         self.polled_at: float = 0
         self.gathered = GatheredCounts()
         self.meter = meter
         self._book = book
         self._clock = clock
         self._exchange = exchange
-        self._hear_other = exchange.hear_other
+        self._next_handler = exchange.hear_other
         self._numbers = itertools.count(1)
         self._poller = ''
         self._run = uuid.uuid4().hex[:_RUN_DIGITS]
         self._store = store
-        exchange.hear_other = self.hear
+        exchange.hear_other = self.handle_datagram
 
-    def hear(self, datagram: bytes, sender: str) -> bool:
-        """Take a message about usage; other datagrams are passed on."""
+    def handle_datagram(self, datagram: bytes, sender: str) -> bool:
+        """Handle a usage message; pass other datagrams to the next handler."""
         match decode(datagram):
             case Some(UsagePoll() as poll):
-                self._answer(poll, sender)
-            case Some(UsageAnswer() as told):
-                lead_s = self._clock.compute_lead(told.at)
-                self.gathered.add_answer(told, self._clock.now(), lead_s)
+                self._answer_poll(poll, sender)
+            case Some(UsageAnswer() as answer):
+                lead_s = self._clock.compute_lead(answer.at)
+                self.gathered.add_answer(answer, self._clock.now(), lead_s)
             case _:
-                return self._hear_other(datagram, sender)
+                return self._next_handler(datagram, sender)
         return True
 
     def poll(self) -> None:
-        """Ask every known instance; the own counts are taken at once."""
+        """Poll all known instances and merge the local counts."""
         at = self._clock.find_median(self.gathered.leads.values())
         if at is not None:
             self._clock.record_time(at)
@@ -102,24 +102,24 @@
         for peer in self._book.peers.values():
             self._exchange.send(datagram, peer.address)
         self.gathered.merge(self._run, self.meter.counts)
-        self._tell_successors()
+        self._send_to_successors()
 
     def tell_last(self) -> None:
-        """Tell once more who asks, before the process ends."""
+        """Send the final counts to the last poller before the process ends."""
         if self._poller:
-            self._tell(0, self._poller)
+            self._send_counts(0, self._poller)
 
     def list_unanswered(self, since: float) -> list[str]:
         """Return the instances that have not answered since a time."""
         return list(self.gathered.list_unanswered(self._book.peers, since))
 
     def discard_before(self, window: int) -> None:
-        """Drop the windows before one."""
+        """Discard the windows before ``window``."""
         self.meter.discard_before(window)
         self.gathered.discard_before(window)
 
     async def write_counts(self) -> bool:
-        """Write the own counts to the store, for whoever reports later."""
+        """Write the local counts to the store; return whether they are in."""
         content = encode_written(self._run, self.meter.counts)
         record = encode_keyed(KeyedRecord(self._book.name, content))
         outcome = await self._store.append(USAGE_TOPIC, [record])
@@ -127,7 +127,7 @@
         return isinstance(outcome, Appended)
 
     async def read_counts(self) -> bool:
-        """Take the counts that instances have written; False if away."""
+        """Merge the counts in the store; False if it is unavailable."""
         match await self._store.read_newest(USAGE_TOPIC):
             case Success(newest):
                 for name, content in newest.items.items():
@@ -141,27 +141,30 @@
             case Some((run, counts)):
                 self.gathered.merge(run, counts)
             case _:
-                # Another writer's record; the others' counts hold.
+                # Not a record of an instance; the other records are used.
                 journal.write_decision('usage_unreadable', instance=name)
 
-    def _tell_successors(self) -> None:
-        """Tell the own counts to those that take over when this one dies."""
+    def _send_to_successors(self) -> None:
+        """Send the local counts to the next instances in rank for the duty.
+
+        They need them if this instance is killed.
+        """
         now = clock.monotonic()
         for name in list_first(self._book, DUTY, now, _SUCCESSORS):
-            self._tell(0, self._book.peers[name].address)
+            self._send_counts(0, self._book.peers[name].address)
 
-    def _answer(self, poll: UsagePoll, sender: str) -> None:
+    def _answer_poll(self, poll: UsagePoll, sender: str) -> None:
         if poll.at:
             self._clock.record_time(poll.at)
         self.polled_at = self._clock.now()
         self._poller = sender
-        self._tell(poll.number, sender)
+        self._send_counts(poll.number, sender)
 
-    def _tell(self, number: int, address: str) -> None:
+    def _send_counts(self, number: int, address: str) -> None:
         parts = split_counts(self.meter.counts)
         at = self._clock.read_local()
         for place, counts in enumerate(parts):
-            told = UsageAnswer(
+            answer = UsageAnswer(
                 self._book.name,
                 self._run,
                 number,
@@ -170,4 +173,4 @@
                 at,
                 counts,
             )
-            self._exchange.send(encode_answer(told), address)
+            self._exchange.send(encode_answer(answer), address)
