--- a/packages/verbenahall/src/verbenahall/usage/_gathering.py
+++ b/packages/verbenahall/src/verbenahall/usage/_gathering.py
@@ -1,4 +1,4 @@
-"""What the reporting instance has heard of the counts of all instances."""
+"""Counts of all instances, as gathered by the reporting one."""
 
 import collections
 import dataclasses
@@ -14,8 +14,8 @@
 
 
 @dataclasses.dataclass(slots=True)
-class _Answer:
-    """The parts of an answer that have come, of one poll."""
+class _ReceivedParts:
+    """Parts received of an instance's answer to one poll."""
 
     number: int
     parts: set[int]
@@ -23,37 +23,40 @@
 
 @final
 class GatheredCounts:
-    """Counts by run of an instance; each of them only grows.
+    """Counts by run of an instance; they never decrease.
 
-    ``answered_at`` is when an instance's last whole answer came, in true time,
-    and ``leads`` how far its clock was ahead of ours.
+    ``answered_at`` is when an instance's last complete answer was received,
+    in seconds since 1970, and ``leads`` by how many seconds its clock was
+    ahead of the local one.
     """
 
     __slots__ = ('counts', 'answered_at', 'leads', '_answers')
 
     def __init__(self) -> None:
-        """Start with nothing heard."""
+        """Start without counts."""
         self.counts: dict[str, _Run] = {}
         self.answered_at: dict[str, float] = {}
         self.leads: dict[str, float] = {}
-        self._answers: dict[str, _Answer] = {}
-
-    def add_answer(self, told: UsageAnswer, now: float, lead_s: float) -> None:
-        """Take a part of an answer; again, or late, it changes nothing."""
-        self.merge(told.run, told.counts)
-        answer = self._answers.get(told.instance)
-        if answer is None or answer.number < told.number:
-            answer = _Answer(told.number, set())
-            self._answers[told.instance] = answer
-        if answer.number != told.number:
+        self._answers: dict[str, _ReceivedParts] = {}
+
+    def add_answer(
+        self, answer: UsageAnswer, now: float, lead_s: float
+    ) -> None:
+        """Add a part of an answer; a repeated or late one has no effect."""
+        self.merge(answer.run, answer.counts)
+        received = self._answers.get(answer.instance)
+        if received is None or received.number < answer.number:
+            received = _ReceivedParts(answer.number, set())
+            self._answers[answer.instance] = received
+        if received.number != answer.number:
             return
-        answer.parts.add(told.part)
-        self.leads[told.instance] = lead_s
-        if len(answer.parts) == told.parts:
-            self.answered_at[told.instance] = now
+        received.parts.add(answer.part)
+        self.leads[answer.instance] = lead_s
+        if len(received.parts) == answer.parts:
+            self.answered_at[answer.instance] = now
 
     def merge(self, run: str, counts: Mapping[int, Counts]) -> None:
-        """Take the larger one of each two counts."""
+        """Merge counts of a run; the larger of two counts is kept."""
         known = self.counts.setdefault(run, {})
         for window, rows in counts.items():
             # The union of counters keeps the maximum of each count.
@@ -66,20 +69,20 @@
         instances: Collection[str],
         since: float,
     ) -> Iterator[str]:
-        """Yield the instances without a whole answer since a time."""
+        """Yield the instances without a complete answer since a time."""
         for name in instances:
             if self.answered_at.get(name, 0) < since:
                 yield name
 
     def sum_window(self, window: int) -> dict[str, int]:
-        """Return the requests of each workspace over all runs."""
+        """Return the number of requests by workspace, over all runs."""
         total: collections.Counter[str] = collections.Counter()
         for windows in self.counts.values():
             total.update(windows.get(window, {}))
         return dict(total)
 
     def discard_before(self, window: int) -> None:
-        """Drop the windows before one, and runs that have no others."""
+        """Discard the windows before ``window``, and runs without others."""
         for run, windows in tuple(self.counts.items()):
             kept = {
                 known: rows
