--- a/packages/verbenahall/src/verbenahall/usage/_clock.py
+++ b/packages/verbenahall/src/verbenahall/usage/_clock.py
@@ -1,4 +1,4 @@
-"""The true time of day, whatever a machine's own clock does."""
+"""Time of day that does not depend on one machine's wall clock."""
 
 import collections
 import statistics
@@ -7,58 +7,61 @@
 
 from verbenahall.clock import Clock
 
-#: Offsets that are remembered, of the last messages that told the time.
-_KEPT: Final = 8
-#: Instances that must tell their time before their median is believed.
-_FEWEST: Final = 3
+#: Number of offsets that are kept, of the latest messages with a time.
+_MAX_OFFSETS: Final = 8
+#: Number of clocks, with the local one, that a median needs.
+_MIN_CLOCKS: Final = 3
 
 
 @final
 class TrueClock:
-    """Seconds since 1970, on a clock that no step of the wall clock moves.
+    """Seconds since 1970, on a clock that a wall clock step does not move.
 
-    ``boottime`` counts on while a machine is suspended; the wall clock is
-    read once, at the start. A machine may have started with a clock that is
-    seconds off, so the median of all instances goes before it.
+    It adds an offset to ``boottime``, which also advances while a machine is
+    suspended. The wall clock is read once, at the start. As it may be wrong
+    by seconds then, the median over all instances is used once it is known.
     """
 
-    __slots__ = ('_boottime', '_own', '_told')
+    __slots__ = ('_boottime', '_local_offset', '_offsets')
 
     def __init__(self, boottime: Clock, wall: Clock) -> None:
         """Read the wall clock once."""
         self._boottime = boottime
-        self._own = wall() - boottime()
-        self._told: collections.deque[float] = collections.deque(maxlen=_KEPT)
+        self._local_offset = wall() - boottime()
+        self._offsets: collections.deque[float] = collections.deque(
+            maxlen=_MAX_OFFSETS
+        )
 
     def now(self) -> float:
-        """Return the true time."""
+        """Return the time of day, agreed with the other instances."""
         return self._boottime() + self._find_offset()
 
     def read_local(self) -> float:
-        """Return the time as this machine alone would tell it."""
-        return self._boottime() + self._own
+        """Return the time by this machine's clock alone."""
+        return self._boottime() + self._local_offset
 
     def record_time(self, at: float) -> None:
-        """Take the time of a message that has just come.
+        """Record the time ``at`` of a message that was just received.
 
-        A message that lay unread while the process stood still tells a time
-        that has long passed, so the latest of several is believed.
+        A message that waited unread while the process was paused has a time
+        that is too early, so the latest of the kept offsets is used.
         """
-        self._told.append(at - self._boottime())
+        self._offsets.append(at - self._boottime())
 
     def compute_lead(self, at: float) -> float:
-        """Return how far the time of a message is ahead of the own one."""
+        """Return by how many seconds ``at`` is ahead of the local clock."""
         return at - self.read_local()
 
     def find_median(self, leads: Iterable[float]) -> float | None:
-        """Return the time by the median of all, None if too few tell theirs.
+        """Return the time by the median of all clocks, None if too few.
 
-        ``leads`` are how far the other instances are ahead of this one.
+        ``leads`` holds by how many seconds the clock of each other instance
+        is ahead of the local one.
         """
         known = [0, *leads]
-        if len(known) < _FEWEST:
+        if len(known) < _MIN_CLOCKS:
             return None
         return self.read_local() + statistics.median(known)
 
     def _find_offset(self) -> float:
-        return max(self._told, default=self._own)
+        return max(self._offsets, default=self._local_offset)
