--- a/packages/verbenahall/src/verbenahall/usage/_messages.py
+++ b/packages/verbenahall/src/verbenahall/usage/_messages.py
@@ -1,4 +1,4 @@
-"""The datagrams by which the counts of all instances are gathered."""
+"""Datagrams and stored records with the counts of an instance."""
 
 import dataclasses
 import itertools
@@ -11,15 +11,15 @@
 from verbenahall import wire
 from verbenahall.usage._meter import Counts
 
-_POLL: Final = b'{"usage_poll":'
-_TOLD: Final = b'{"usage_told":'
-#: Counts in a datagram at most: it stays under 1,400 bytes.
-_MOST_IN_DATAGRAM: Final = 40
+_POLL_START: Final = b'{"usage_poll":'
+_ANSWER_START: Final = b'{"usage_told":'
+#: Number of counts with which a datagram stays under 1,400 bytes.
+_MAX_COUNTS_PER_DATAGRAM: Final = 40
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class UsagePoll:
-    """A request for counts; ``at`` is the true time, 0 when it is not sure."""
+    """A request for counts; ``at`` is the agreed time, 0 if it is unknown."""
 
     number: int
     at: float
@@ -27,9 +27,10 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class UsageAnswer:
-    """A part of what one run of an instance has counted, in answer to a poll.
+    """A part of the counts of one run of an instance, in answer to a poll.
 
-    ``at`` is the time by the instance's own clock alone.
+    ``number`` is that of the poll, ``part`` the index of this part of
+    ``parts``, and ``at`` the time by the instance's local clock.
     """
 
     instance: str
@@ -41,7 +42,7 @@
     counts: Mapping[int, Counts]
 
 
-_TOLD_FIELDS: Final = len(dataclasses.fields(UsageAnswer))
+_ANSWER_FIELD_COUNT: Final = len(dataclasses.fields(UsageAnswer))
 #: Window, workspace and count.
 _Cell = tuple[int, str, int]
 #: A run and its counts.
@@ -54,26 +55,26 @@
     return wire.encode({'usage_poll': [poll.number, poll.at]})
 
 
-def encode_answer(told: UsageAnswer) -> bytes:
+def encode_answer(answer: UsageAnswer) -> bytes:
     """Encode a part of an answer."""
     table = {
-        field.name: getattr(told, field.name)
-        for field in dataclasses.fields(told)
+        field.name: getattr(answer, field.name)
+        for field in dataclasses.fields(answer)
     }
     return wire.encode(
-        {'usage_told': {**table, 'counts': list_rows(told.counts)}},
+        {'usage_told': {**table, 'counts': list_rows(answer.counts)}},
     )
 
 
 def decode(datagram: bytes) -> Maybe[Message]:
-    """Decode a datagram; Nothing when it is of another kind or spoiled."""
-    if not datagram.startswith((_POLL, _TOLD)):
+    """Decode a datagram; return Nothing if it is malformed or another one."""
+    if not datagram.startswith((_POLL_START, _ANSWER_START)):
         return Nothing
     match wire.decode_table(datagram):
         case Success({'usage_poll': [int(number), at]}) if _is_time(at):
             return Some(UsagePoll(number, at))
         case Success({'usage_told': dict(table)}):
-            return _read_told(table)
+            return _decode_answer(table)
         case _:
             return Nothing
 
@@ -84,7 +85,7 @@
 
 
 def decode_written(content: bytes) -> Maybe[Written]:
-    """Decode what a run has written to the store; Nothing when spoiled."""
+    """Decode the stored counts of a run; return Nothing if malformed."""
     match wire.decode_table(content):
         case Success({'run': str(run), 'counts': rows}):
             counts = read_counts(rows)
@@ -94,10 +95,10 @@
 
 
 def split_counts(counts: Mapping[int, Counts]) -> list[dict[int, Counts]]:
-    """Split counts into parts that each fit a datagram; one at least."""
+    """Split counts into one or more parts that each fit into a datagram."""
     cells = _list_cells(counts)
     parts: list[dict[int, Counts]] = []
-    while taken := list(itertools.islice(cells, _MOST_IN_DATAGRAM)):
+    while taken := list(itertools.islice(cells, _MAX_COUNTS_PER_DATAGRAM)):
         part: dict[int, Counts] = {}
         for window, workspace, count in taken:
             part[window] = {**part.get(window, {}), workspace: count}
@@ -106,12 +107,12 @@
 
 
 def list_rows(counts: Mapping[int, Counts]) -> list[Any]:
-    """Return counts as rows that can be encoded."""
+    """Return counts as JSON-encodable rows."""
     return [[window, dict(row)] for window, row in counts.items()]
 
 
 def read_counts(rows: Any) -> dict[int, Counts] | None:
-    """Check rows of windows and counts; None when they are something else."""
+    """Decode rows of windows and counts; return None if malformed."""
     counts: dict[int, Counts] = {}
     for row in rows if isinstance(rows, list) else (None,):
         match row:
@@ -128,7 +129,7 @@
             yield window, workspace, count
 
 
-def _read_told(table: dict[str, Any]) -> Maybe[Message]:
+def _decode_answer(table: dict[str, Any]) -> Maybe[Message]:
     counts = read_counts(table.get('counts'))
     if counts is None:
         return Nothing
@@ -140,7 +141,7 @@
             'part': int(),
             'parts': int(),
             'at': at,
-        } if _is_time(at) and len(table) == _TOLD_FIELDS:
+        } if _is_time(at) and len(table) == _ANSWER_FIELD_COUNT:
             return Some(UsageAnswer(**{**table, 'counts': counts}))
         case _:
             return Nothing
