--- a/packages/verbenahall/src/verbenahall/usage/_ledger.py
+++ b/packages/verbenahall/src/verbenahall/usage/_ledger.py
@@ -1,4 +1,4 @@
-"""Which windows have a report, as the store keeps it for every holder."""
+"""Ledger of decided windows, kept in the store for all holders."""
 
 import dataclasses
 from collections.abc import Mapping
@@ -13,10 +13,10 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class ReportLedger:
-    """The last window that was decided, and the reports still to be sent.
+    """The last decided window, and the reports that are still to be sent.
 
-    A window up to ``last`` is never decided again: one that is not ``open``
-    was reported, or given up.
+    A window up to ``last`` is never decided again. If it is not in ``open``,
+    it was reported, or its report became overdue.
     """
 
     last: int
@@ -29,7 +29,7 @@
     counts: Counts,
     still_open: Mapping[int, Counts],
 ) -> ReportLedger:
-    """Return the ledger with one window more, and what is still to be sent."""
+    """Return a ledger with one more decided window and the open reports."""
     if window <= ledger.last:
         raise ValueError(f'window {window} was decided before')
     return ReportLedger(window, {**still_open, window: counts})
@@ -41,7 +41,7 @@
 
 
 def decode_ledger(content: bytes) -> Maybe[ReportLedger]:
-    """Decode a ledger; Nothing when it is none."""
+    """Decode a ledger; return Nothing if it is malformed."""
     match wire.decode_table(content):
         case Success({'last': int(last), 'open': rows}):
             found = read_counts(rows)
