--- a/packages/verbenahall/src/verbenahall/usage/_meter.py
+++ b/packages/verbenahall/src/verbenahall/usage/_meter.py
@@ -1,4 +1,4 @@
-"""Counts the requests that begin to run, by window and workspace."""
+"""Counts the requests that start to run, by window and workspace."""
 
 import collections
 from collections.abc import Mapping
@@ -12,33 +12,33 @@
 
 @final
 class UsageMeter:
-    """What this run of the process has counted; it only grows.
+    """Counts of this run of the process; they never decrease.
 
-    Window ``k`` begins ``k * window_s`` seconds after the start of 1970. A
-    ``window_s`` of 0 counts nothing.
+    Window ``k`` begins ``k * window_s`` seconds after the start of 1970. With
+    a ``window_s`` of 0 nothing is counted.
     """
 
     __slots__ = ('counts', 'window_s', '_now')
 
     def __init__(self, window_s: float, now: Clock) -> None:
-        """Count by the true time that ``now`` tells."""
+        """Count by the time ``now``, in seconds since 1970."""
         self.window_s = window_s
         self.counts: dict[int, collections.Counter[str]] = {}
         self._now = now
 
     def note_begun(self, workspace: str, ago_s: float = 0) -> None:
-        """Count a request that began to run some seconds ago."""
+        """Count a request that started to run ``ago_s`` seconds ago."""
         if not self.window_s:
             return
         window = int((self._now() - ago_s) // self.window_s)
         self.counts.setdefault(window, collections.Counter())[workspace] += 1
 
     def has_counts(self, window: int) -> bool:
-        """Whether anything was counted up to a window."""
+        """Whether there are counts of a window or of an earlier one."""
         return any(known <= window for known in self.counts)
 
     def discard_before(self, window: int) -> None:
-        """Drop the windows before one."""
+        """Discard the windows before ``window``."""
         for known in tuple(self.counts):
             if known < window:
                 self.counts.pop(known)
