--- a/packages/verbenahall/src/verbenahall/usage/__init__.py
+++ b/packages/verbenahall/src/verbenahall/usage/__init__.py
@@ -1,4 +1,4 @@
-"""Usage by workspace and window: counted, gathered, and reported once."""
+"""Counts requests by workspace and time window, and reports them once."""
 
 from verbenahall.usage._clock import TrueClock
 from verbenahall.usage._decisions import Windows
