--- a/packages/verbenahall/tests/usage/test_clock.py
+++ b/packages/verbenahall/tests/usage/test_clock.py
@@ -1,4 +1,4 @@
-"""The true time, on machines whose clocks are wrong."""
+"""The time of day on machines whose clocks are wrong."""
 
 from verbenahall.usage import TrueClock
 
@@ -25,16 +25,16 @@
     assert clock.now() == 1001
 
 
-def test_told_time_goes_before_the_own_one():
-    """A machine started with a clock that was 20 seconds behind."""
+def test_received_time_goes_before_the_local_one():
+    """A machine has started with a clock that was 20 seconds behind."""
     clock, boottime = make_clock(980)
     clock.record_time(1000)
     boottime.seconds += 2
     assert clock.now() == 1002
 
 
-def test_message_that_lay_unread_does_not_turn_time_back():
-    """The process stood still for five seconds with a message unread."""
+def test_message_that_waited_unread_does_not_turn_time_back():
+    """The process was paused for five seconds with a message unread."""
     clock, boottime = make_clock(1000)
     clock.record_time(1000)
     boottime.seconds += 5
