--- a/packages/verbenahall/tests/usage/test_gathering.py
+++ b/packages/verbenahall/tests/usage/test_gathering.py
@@ -1,4 +1,4 @@
-"""Counts that are told again, late, in parts, or by another writer."""
+"""Counts that arrive repeatedly, late, in parts, or malformed."""
 
 import pytest
 from returns.maybe import Nothing, Some
@@ -27,15 +27,15 @@
 )
 
 WINDOWS = Windows(5, 10)
-TOLD = UsageAnswer('front-1', 'ab12', 3, 0, 1, 100.5, {7: {'club': 2}})
+ANSWER = UsageAnswer('front-1', 'ab12', 3, 0, 1, 100.5, {7: {'club': 2}})
 
 
-def tell(number, counts, run='ab12', part=0, parts=1):
+def make_answer(number, counts, run='ab12', part=0, parts=1):
     return UsageAnswer('front-1', run, number, part, parts, 0, counts)
 
 
 def test_messages_are_read_as_they_were_written():
-    assert decode(encode_answer(TOLD)) == Some(TOLD)
+    assert decode(encode_answer(ANSWER)) == Some(ANSWER)
     assert decode(encode_poll(UsagePoll(4, 1.5))) == Some(UsagePoll(4, 1.5))
 
 
@@ -51,11 +51,11 @@
         {'more': 1},
     ],
 )
-def test_spoiled_answer_is_none(changes):
-    """Believed in part, it would be billed to somebody."""
-    table = wire.decode_table(encode_answer(TOLD)).unwrap()['usage_told']
-    spoiled = wire.encode({'usage_told': {**table, **changes}})
-    assert decode(spoiled) == Nothing
+def test_malformed_answer_is_none(changes):
+    """If a part of it were used, a workspace would be billed for it."""
+    table = wire.decode_table(encode_answer(ANSWER)).unwrap()['usage_told']
+    malformed = wire.encode({'usage_told': {**table, **changes}})
+    assert decode(malformed) == Nothing
 
 
 def test_long_answer_is_split_into_datagrams():
@@ -66,35 +66,35 @@
     parts = split_counts(counts)
     joined = GatheredCounts()
     for number, part in enumerate(parts):
-        told = tell(1, part, part=number, parts=len(parts))
-        assert len(encode_answer(told)) < 1400
-        joined.add_answer(told, 9, 0)
+        answer = make_answer(1, part, part=number, parts=len(parts))
+        assert len(encode_answer(answer)) < 1400
+        joined.add_answer(answer, 9, 0)
     assert joined.sum_window(356_564_960) == counts[356_564_960]
     assert joined.answered_at == {'front-1': 9}
 
 
 def test_lost_part_leaves_an_answer_missing():
-    """What looks whole would be reported without the lost part."""
+    """Counts would be reported without the lost part."""
     gathered = GatheredCounts()
-    gathered.add_answer(tell(1, {7: {'a': 1}}, part=0, parts=2), 5, 0)
+    gathered.add_answer(make_answer(1, {7: {'a': 1}}, part=0, parts=2), 5, 0)
     assert list(gathered.list_unanswered(['front-1'], 4)) == ['front-1']
-    gathered.add_answer(tell(2, {7: {'b': 1}}, part=1, parts=2), 6, 0)
+    gathered.add_answer(make_answer(2, {7: {'b': 1}}, part=1, parts=2), 6, 0)
     assert list(gathered.list_unanswered(['front-1'], 4)) == ['front-1']
-    gathered.add_answer(tell(2, {7: {'a': 1}}, part=0, parts=2), 7, 0)
+    gathered.add_answer(make_answer(2, {7: {'a': 1}}, part=0, parts=2), 7, 0)
     assert not list(gathered.list_unanswered(['front-1'], 4))
 
 
-def test_late_and_doubled_answers_change_nothing():
+def test_late_and_repeated_answers_change_nothing():
     gathered = GatheredCounts()
     for counts in ({7: {'a': 5}}, {7: {'a': 3}}, {7: {'a': 5}}):
-        gathered.add_answer(tell(1, counts), 5, 0)
+        gathered.add_answer(make_answer(1, counts), 5, 0)
     assert gathered.sum_window(7) == {'a': 5}
 
 
 def test_run_before_a_restart_counts_beside_the_new_one():
     gathered = GatheredCounts()
-    gathered.add_answer(tell(1, {7: {'a': 5}}, run='old'), 5, 0)
-    gathered.add_answer(tell(2, {7: {'a': 2}}, run='new'), 6, 0)
+    gathered.add_answer(make_answer(1, {7: {'a': 5}}, run='old'), 5, 0)
+    gathered.add_answer(make_answer(2, {7: {'a': 2}}, run='new'), 6, 0)
     assert gathered.sum_window(7) == {'a': 7}
     gathered.discard_before(8)
     assert not gathered.counts
@@ -106,13 +106,13 @@
 
 
 def test_window_is_decided_once():
-    """A second report of a window would bill it twice."""
+    """With a second report, a window would be billed twice."""
     with pytest.raises(ValueError, match='window 7'):
         decide(ReportLedger(7), 7, {}, {})
 
 
 @pytest.mark.parametrize('content', [b'\xff', b'{}', b'{"last":1,"open":3}'])
-def test_spoiled_ledger_is_none(content):
+def test_malformed_ledger_is_none(content):
     assert decode_ledger(content) == Nothing
 
 
@@ -129,7 +129,7 @@
     assert list(list_undecided(WINDOWS, 10, 110.5)) == [20, 21]
 
 
-def test_counts_are_written_where_nobody_asks():
-    """The holder cannot be reached, and the store can."""
+def test_counts_are_written_if_they_are_not_polled():
+    """The holder is unreachable, and the store is available."""
     assert find_unpolled(WINDOWS, 99, 103.1) == 19
     assert find_unpolled(WINDOWS, 100.5, 103.1) is None
