--- a/packages/verbenahall/src/verbenahall/scaling/_decisions.py
+++ b/packages/verbenahall/src/verbenahall/scaling/_decisions.py
@@ -1,8 +1,9 @@
-"""How many engines of each kind are wanted, data centre by data centre.
+"""Sizes of the pools of a service, by data centre and capacity kind.
 
-Spot instances are all taken back from a data centre at once, and none are to
-be had there for a while. So engines are a mix of both kinds of which enough
-are left when some data centres lose their spot instances, at the least cost.
+All spot instances of a data centre are reclaimed at once, and no new ones are
+available there for a while. So a service has a mix of both kinds: the cheapest
+one of which enough engines are left if some data centres lose their spot
+instances.
 """
 
 import collections
@@ -14,29 +15,29 @@
 from verbenahall.catalog import ScalingRules
 from verbenahall.scaling._messages import CapacityKind, Pool, Sizes
 
-#: Data centres whose spot instances may be gone at the same time, at most:
-#: one gets no new ones for a while, and the next may follow.
-_MOST_GONE: Final = 2
+#: Largest number of data centres without spot instances at the same time:
+#: while one gets no new ones, another may lose its own.
+_MAX_RECLAIMED: Final = 2
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class EngineMix:
-    """How many engines of each kind a data centre has."""
+    """Number of engines of each kind in each data centre."""
 
     on_demand: int
     spot: int | float
 
 
 def choose_mix(rules: ScalingRules, base: int) -> EngineMix:
-    """Return the cheapest mix of which ``base`` engines outlive reclaims."""
+    """Return the cheapest mix that keeps ``base`` engines after reclaims."""
     centres = max(1, len(rules.prices))
-    gone = min(_MOST_GONE, max(1, centres - 1))
+    gone = min(_MAX_RECLAIMED, max(1, centres - 1))
     most = min(rules.most, math.ceil(base / centres))
     mixes = [
-        _complete(on_demand, base - centres * on_demand, centres - gone)
+        _add_spot(on_demand, base - centres * on_demand, centres - gone)
         for on_demand in range(most + 1)
     ]
-    # Without any that fits, none is given up that is there.
+    # If no mix fits, one without spot instances leaves the service as it is.
     return min(
         (mix for mix in mixes if mix.on_demand + mix.spot <= rules.most),
         key=lambda mix: mix.on_demand + mix.spot * rules.spot_share,
@@ -44,8 +45,8 @@
     )
 
 
-def _complete(on_demand: int, missing: int, left: int) -> EngineMix:
-    """Add the spot instances of which ``missing`` are left in some centres."""
+def _add_spot(on_demand: int, missing: int, left: int) -> EngineMix:
+    """Return a mix with ``missing`` spot instances in ``left`` centres."""
     if missing <= 0:
         return EngineMix(on_demand, 0)
     spot = math.ceil(missing / left) if left else math.inf
@@ -53,7 +54,7 @@
 
 
 def list_pools(rules: ScalingRules, kind: CapacityKind) -> list[Pool]:
-    """Return the pools of one kind, the cheapest data centre first."""
+    """Return the pools of one kind, cheapest data centre first."""
     centres = sorted(rules.prices, key=rules.prices.__getitem__)
     return [Pool(centre, kind) for centre in centres]
 
@@ -64,11 +65,12 @@
     present: Sizes,
     closed: Collection[Pool],
 ) -> dict[Pool, int]:
-    """Return the wanted size of each pool that is to be ordered.
+    """Return the target size of each pool; empty if nothing is to be ordered.
 
-    ``base`` engines are to serve at any time. ``closed`` pools have no engine
-    to give at the moment. On-demand engines make up for what is missing. A
-    service that spot instances would not make cheaper is left as it is.
+    ``base`` engines must serve at any time. ``present`` holds the current
+    sizes, and ``closed`` the pools without available capacity. On-demand
+    engines replace spot instances that are missing. A service for which spot
+    instances would not be cheaper is left as it is.
     """
     mix = choose_mix(rules, base)
     if not mix.spot:
@@ -85,10 +87,10 @@
     present: Sizes,
     on_demand: Sizes,
 ) -> Sizes:
-    """Plan the spot instances, beside the engines on demand."""
+    """Return the sizes of the spot pools, given the on-demand pools."""
     sizes = {}
     for pool, wanted in on_demand.items():
-        # The bound holds for both kinds together.
+        # The limit applies to both kinds together.
         room = rules.most - max(wanted, present.get(pool, 0))
         beside = Pool(pool.data_centre, CapacityKind.SPOT)
         sizes[beside] = max(0, min(mix.spot, room))
@@ -102,10 +104,10 @@
     present: Sizes,
     closed: Collection[Pool],
 ) -> Sizes:
-    """Plan the engines on demand, more than the mix where some are missing.
+    """Return the sizes of the on-demand pools.
 
-    Those that are there come before new ones, and new ones where they cost
-    least.
+    They exceed the mix by the number of missing engines. Existing engines are
+    kept first, and new ones are added where they cost least.
     """
     pools = list_pools(rules, CapacityKind.ON_DEMAND)
     least = max(mix.on_demand, rules.least - mix.spot)
@@ -127,7 +129,7 @@
 
 
 def _spread(count: int, rooms: Sizes) -> Sizes:
-    """Fill the pools one after the other, up to their room."""
+    """Distribute ``count`` engines over pools in order, up to their room."""
     left = max(0, count)
     sizes = {}
     for pool, room in rooms.items():
@@ -137,7 +139,7 @@
 
 
 def _find_room(rules: ScalingRules, data_centre: str, present: Sizes) -> int:
-    """Return how many engines more a data centre may have."""
+    """Return how many more engines a data centre may have."""
     there = sum(
         count
         for pool, count in present.items()
