--- a/packages/verbenahall/src/verbenahall/scaling/_shell.py
+++ b/packages/verbenahall/src/verbenahall/scaling/_shell.py
@@ -1,4 +1,4 @@
-"""Orders engines while this instance holds the duty, and stands by else."""
+"""Orders engines while this instance holds the duty, else stands by."""
 
 import asyncio
 import collections
@@ -23,23 +23,23 @@
 from verbenahall.scaling._messages import CapacityKind, Pool, Sizes
 from verbenahall.scaling._state import PoolOrders
 
-#: The name under which the lease on scaling is kept.
+#: Name of the duty, and of its lease.
 DUTY: Final = 'scale'
-#: How often the pools are looked at, in seconds.
-_LOOK_S: Final = 0.4
-#: How long the lease holds, in seconds; it is renewed when it has ended.
+#: Interval in seconds at which the pools are checked.
+_CHECK_INTERVAL_S: Final = 0.4
+#: Lease on the duty, in seconds; it is acquired again once it has ended.
 LEASE_S: Final = 5.0
-#: Pause after a failed call, in seconds.
-_PAUSE_S: Final = 1.0
+#: Time before a failed call is retried, in seconds.
+_RETRY_INTERVAL_S: Final = 1.0
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Surroundings:
-    """What the scaler works with; ``name`` is the instance's.
+    """Dependencies of the scaler; ``name`` is the instance's.
 
-    ``list_rules`` returns the services that are scaled, and ``list_engines``
-    those of a service that may get work; ``is_listed`` tells whether the store
-    can be believed about them now.
+    ``list_rules`` returns the rules of the services that are scaled, and
+    ``list_engines`` the engines of a service that may get requests.
+    ``is_listed`` returns whether the store's list of engines is current.
     """
 
     name: str
@@ -55,51 +55,54 @@
 
 @final
 class Scaler:
-    """One instance's part in the duty of scaling."""
+    """Carries out the duty of scaling if this instance holds it."""
 
     __slots__ = (
         '_bases',
-        '_holds',
+        '_holds_duty',
         '_orders',
-        '_tried_at',
-        '_with',
+        '_failed_at',
+        '_dependencies',
     )
 
     def __init__(self, surroundings: Surroundings) -> None:
-        """Prepare; nothing is ordered before ``run``."""
+        """Create the scaler; nothing is ordered before ``run``."""
         self._bases = BaseSizes(surroundings.store, surroundings.now)
-        self._holds = False
+        self._holds_duty = False
         self._orders: dict[str, PoolOrders] = {}
-        self._tried_at = -float('inf')
-        self._with = surroundings
+        self._failed_at = -float('inf')
+        self._dependencies = surroundings
 
     async def run(self) -> None:
         """Order or stand by until cancelled."""
         while True:
-            await asyncio.sleep(_LOOK_S)
-            rules = self._with.list_rules()
-            if self._holds and rules:
+            await asyncio.sleep(_CHECK_INTERVAL_S)
+            rules = self._dependencies.list_rules()
+            if self._holds_duty and rules:
                 await self._scale_all(rules)
-            elif rules and await self._with.succession.step():
+            elif rules and await self._dependencies.succession.step():
                 journal.write_decision('duty_held', duty=DUTY)
-                self._holds = True
+                self._holds_duty = True
                 self._orders.clear()
 
     async def _scale_all(self, rules: Mapping[str, ScalingRules]) -> None:
-        now = self._with.now()
-        # Entries lapse while the store is away; counted as engines that are
-        # gone, they would all be ordered anew.
-        if now - self._tried_at < _PAUSE_S or not self._with.is_listed():
+        now = self._dependencies.now()
+        # Entries expire while the store is unavailable. If they counted as
+        # lost engines, all of them would be ordered again.
+        if (
+            now - self._failed_at < _RETRY_INTERVAL_S
+            or not self._dependencies.is_listed()
+        ):
             return
-        lease = self._with.lease
+        lease = self._dependencies.lease
         token = await lease.acquire()
         if token is None:
-            self._tried_at = now
+            self._failed_at = now
             if lease.grant.token and lease.grant.holder != lease.holder:
-                self._end('another instance holds the lease')
+                self._step_down('another instance holds the lease')
             return
         for service, bounds in rules.items():
-            engines = self._with.list_engines(service)
+            engines = self._dependencies.list_engines(service)
             base = await self._bases.find(service, engines)
             if base:
                 await self._scale(service, bounds, base, token)
@@ -111,25 +114,28 @@
         base: int,
         token: int,
     ) -> None:
-        now = self._with.now()
+        now = self._dependencies.now()
         orders = self._orders.setdefault(service, PoolOrders())
-        present = _count(self._with.list_engines(service))
+        present = _count(self._dependencies.list_engines(service))
         wanted = plan_sizes(rules, base, present, orders.list_closed(now))
         chosen = orders.choose(wanted, present, rules, now)
         for pool, size in chosen.items():
-            if not self._holds or self._with.lease.token() != token:
+            if (
+                not self._holds_duty
+                or self._dependencies.lease.token() != token
+            ):
                 return
-            await self._order(service, pool, size, token)
+            await self._send_order(service, pool, size, token)
 
-    async def _order(
+    async def _send_order(
         self,
         service: str,
         pool: Pool,
         size: int,
         token: int,
     ) -> None:
-        seal = Seal(self._with.name, token)
-        outcome = await self._with.calls.scale(
+        seal = Seal(self._dependencies.name, token)
+        outcome = await self._dependencies.calls.scale(
             seal,
             service,
             ScaleOrder(pool.data_centre, size, pool.kind is CapacityKind.SPOT),
@@ -143,24 +149,26 @@
             token=token,
             outcome=outcome.value,
         )
-        now = self._with.now()
+        now = self._dependencies.now()
         orders = self._orders[service]
         match outcome:
             case DutyOutcome.DONE:
                 orders.record_ordered(pool, size, now)
-            case DutyOutcome.FENCED if self._with.lease.token() != token:
-                self._with.lease.forget()
-                self._end('a higher token was seen')
+            case DutyOutcome.FENCED if (
+                self._dependencies.lease.token() != token
+            ):
+                self._dependencies.lease.forget()
+                self._step_down('a higher token was seen')
             case DutyOutcome.FENCED | DutyOutcome.REJECTED:
-                # The lease still holds, so the pool is what has no engines.
+                # The lease is still held, so the pool has no capacity.
                 orders.record_unavailable(pool, now)
             case _:
-                self._tried_at = now
+                self._failed_at = now
 
-    def _end(self, reason: str) -> None:
+    def _step_down(self, reason: str) -> None:
         journal.write_decision('duty_lost', duty=DUTY, reason=reason)
-        self._holds = False
-        self._with.succession.note_lost()
+        self._holds_duty = False
+        self._dependencies.succession.note_lost()
 
 
 def _count(engines: list[Entry]) -> Sizes:
