--- a/packages/verbenahall/src/verbenahall/scaling/_bases.py
+++ b/packages/verbenahall/src/verbenahall/scaling/_bases.py
@@ -1,4 +1,4 @@
-"""How many engines a service had before it was scaled."""
+"""Base size of a service: its number of engines before it was scaled."""
 
 from collections.abc import Sequence
 from typing import Final, final
@@ -16,35 +16,36 @@
 )
 from verbenahall.roster import Entry
 
-#: No engine must have joined for this long before their number is taken, in
-#: seconds: those that start together are listed one by one.
-_STILL_S: Final = 1.5
-#: Engines by name, and when one had joined.
-_Seen = tuple[frozenset[str], float]
+#: Time in seconds without a new engine before the engines are counted, since
+#: engines that start together are listed one after the other.
+_JOIN_SETTLE_S: Final = 1.5
+#: Names of the engines, and when the last of them joined.
+_Joins = tuple[frozenset[str], float]
 
 
 @final
 class BaseSizes:
-    """The first holder writes the numbers down, for all later ones.
+    """Base sizes by service, in the store for all holders of the duty.
 
-    A successor that counted anew would take the reserve for a part of them.
+    The first holder counts the engines. If a later holder counted again, it
+    would include the engines that scaling has added.
     """
 
-    __slots__ = ('_known', '_now', '_seen', '_store')
+    __slots__ = ('_bases', '_now', '_joins', '_store')
 
     def __init__(self, store: StoreClient, now: Clock) -> None:
-        """Start knowing no number."""
-        self._known: dict[str, int] = {}
+        """Start without base sizes."""
+        self._bases: dict[str, int] = {}
         self._now = now
-        self._seen: dict[str, _Seen] = {}
+        self._joins: dict[str, _Joins] = {}
         self._store = store
 
     async def find(self, service: str, engines: Sequence[Entry]) -> int:
-        """Return how many engines are to serve, 0 before that is known."""
-        known = self._known.get(service)
+        """Return the base size of a service, 0 while it is unknown."""
+        known = self._bases.get(service)
         if known is not None:
             return known
-        if not engines or self._is_growing(service, engines):
+        if not engines or self._has_recent_joins(service, engines):
             return 0
         match await self._store.read_newest(SCALING_TOPIC):
             case Success(newest):
@@ -54,7 +55,7 @@
         if not base:
             base = await self._write(service, len(engines), newest.end)
         if base:
-            self._known[service] = base
+            self._bases[service] = base
             journal.write_decision(
                 'scaling_base',
                 service=service,
@@ -63,21 +64,21 @@
         return base
 
     async def _write(self, service: str, engines: int, end: int) -> int:
-        """Write a number down; 0 when it is not known to be in."""
+        """Write a base size to the store; return 0 unless it is in."""
         content = wire.encode({'base': engines})
         record = encode_keyed(KeyedRecord(service, content))
         outcome = await self._store.append(SCALING_TOPIC, [record], end)
         return engines if isinstance(outcome, Appended) else 0
 
-    def _is_growing(self, service: str, engines: Sequence[Entry]) -> bool:
-        """Whether engines have joined lately, and more may follow."""
+    def _has_recent_joins(self, service: str, engines: Sequence[Entry]) -> bool:
+        """Whether engines have joined recently, so that more may follow."""
         now = self._now()
         names = frozenset(engine.name for engine in engines)
-        known, joined_at = self._seen.get(service, (frozenset(), now))
+        known, joined_at = self._joins.get(service, (frozenset(), now))
         if names - known:
             joined_at = now
-        self._seen[service] = (names, joined_at)
-        return now - joined_at < _STILL_S
+        self._joins[service] = (names, joined_at)
+        return now - joined_at < _JOIN_SETTLE_S
 
 
 def _decode(content: bytes) -> int:
