--- a/packages/verbenahall/src/verbenahall/scaling/_messages.py
+++ b/packages/verbenahall/src/verbenahall/scaling/_messages.py
@@ -1,4 +1,4 @@
-"""Pools of engines, their bounds and their prices."""
+"""Pools of engines and their sizes."""
 
 import dataclasses
 import enum
@@ -8,7 +8,7 @@
 
 @final
 class CapacityKind(enum.Enum):
-    """Whether the platform may take an engine back at any time."""
+    """Whether the platform may reclaim an engine at any time."""
 
     ON_DEMAND = 'on_demand'
     SPOT = 'spot'
@@ -22,5 +22,5 @@
     kind: CapacityKind
 
 
-#: Engines by pool.
+#: Number of engines by pool.
 Sizes = Mapping[Pool, int]
