--- a/packages/verbenahall/src/verbenahall/scaling/__init__.py
+++ b/packages/verbenahall/src/verbenahall/scaling/__init__.py
@@ -1,4 +1,4 @@
-"""How many engines there are, of which kind, in which data centre."""
+"""Scales services: orders on-demand and spot engines by data centre."""
 
 from verbenahall.scaling._messages import CapacityKind, Pool
 from verbenahall.scaling._shell import DUTY, LEASE_S, Scaler, Surroundings
