--- a/packages/verbenahall/tests/scaling/test_sizes.py
+++ b/packages/verbenahall/tests/scaling/test_sizes.py
@@ -1,4 +1,4 @@
-"""How many engines of each kind are wanted, and when they are ordered."""
+"""Target sizes of pools, and when orders are sent."""
 
 import pytest
 
@@ -37,7 +37,7 @@
         (3, 4, 0.18, EngineMix(4, 0)),
     ],
 )
-def test_cheapest_mix_of_which_enough_outlives_reclaims(
+def test_cheapest_mix_keeps_enough_engines_after_reclaims(
     centres,
     most,
     share,
@@ -83,7 +83,7 @@
 
 
 class Fleet:
-    """Orders that a platform carries out after the boot time."""
+    """Sends orders, and holds the engines that are present."""
 
     def __init__(self):
         self.now = 100
@@ -103,7 +103,7 @@
 
 
 def test_on_demand_engines_stay_while_spot_instances_boot():
-    """Given back at once, nothing would serve for the boot time."""
+    """If they were removed at once, no engine would serve while others boot."""
     fleet = Fleet()
     assert fleet.send() == spot(a=10, b=10, c=10)
     fleet.now += 4
@@ -126,7 +126,7 @@
 
 
 def test_order_that_an_older_one_has_replaced_is_sent_again():
-    """A call without an answer is carried out late, after a newer one."""
+    """An unanswered call is carried out late, after a newer one."""
     fleet = Fleet()
     fleet.send()
     fleet.now += 5
@@ -143,7 +143,7 @@
 
 
 def test_engines_on_demand_stay_for_a_while_after_a_reclaim():
-    """The next data centre may lose its spot instances any moment."""
+    """Another data centre may lose its spot instances soon."""
     fleet = Fleet()
     fleet.send()
     fleet.present = {**on_demand(a=5, b=5, c=5), **spot(b=12)}
