--- a/packages/verbenahall/src/verbenahall/claims/_decisions.py
+++ b/packages/verbenahall/src/verbenahall/claims/_decisions.py
@@ -93,10 +93,10 @@
     state.position = record.offset
     for key, offset in _read_freed(record.body):
         _apply_freed(state, key, offset)
-    own = record.body.get('holder') == state.holder
+    local = record.body.get('holder') == state.holder
     verdicts = []
-    for wanted in _read_keys(record.body):
-        verdict = _apply_key(state, wanted, record.offset, own=own)
+    for claimed in _read_keys(record.body):
+        verdict = _apply_key(state, claimed, record.offset, local=local)
         if verdict is not None:
             verdicts.append(verdict)
     return tuple(verdicts)
@@ -142,12 +142,12 @@
     key: str,
     offset: int,
     *,
-    own: bool,
+    local: bool,
 ) -> Verdict | None:
     owner = find_owner(state, key)
     if owner is None:
         _add_key(state, key, offset)
-        return _apply_first(state, key, offset, own=own)
+        return _apply_first(state, key, offset, local=local)
     if key not in state.waiting or state.freeing.get(key) == owner:
         return None
     stop_waiting(state, key)
@@ -159,12 +159,12 @@
     key: str,
     offset: int,
     *,
-    own: bool,
+    local: bool,
 ) -> Verdict | None:
     if key in state.waiting:
         stop_waiting(state, key)
-        return Won(key, offset) if own else Lost(key, offset)
-    if own:
+        return Won(key, offset) if local else Lost(key, offset)
+    if local:
         # The append had timed out and its record is in the log after all. No
         # request runs under this claim. If it were kept, every later attempt
         # with the key would be rejected.
