--- a/packages/verbenahall/src/verbenahall/rollout/_plan.py
+++ b/packages/verbenahall/src/verbenahall/rollout/_plan.py
@@ -177,11 +177,12 @@
     change: _Change,
     capacity: _Capacity,
 ) -> tuple[int, float, str]:
-    """Order changes by what they unblock for each gigabyte.
+    """Return the sort key by which changes are started.
 
-    First those that bring a model that nobody serves, then those that bring
-    a model below its floor, whose rise lets other engines go; among equals
-    the smallest first, which soonest gives an engine back.
+    Changes that add a model without any engine come first, then those that
+    add a model below its floor, as this allows other engines of the model to
+    change. Among equals the smallest load comes first, because its engine is
+    available again soonest.
     """
     held = {name for name, _ in change.view.holding.models}
     brought = [name for name, _ in change.target.models if name not in held]
