--- a/packages/verbenahall/src/verbenahall/rollout/_shell.py
+++ b/packages/verbenahall/src/verbenahall/rollout/_shell.py
@@ -30,11 +30,12 @@
 from verbenahall.rollout._views import Member, build_views
 from verbenahall.settings import EffectiveSettings
 
-_TICK_S: Final = 0.1
-#: Pause after a plan, as a multiple of the time that the plan took, because
-#: the cost of a plan grows with the data centre and the share of time spent on
-#: plans must not. The time is processor time: with wall time, a process that is
-#: frozen for 2.5 s during a plan would send no order for two minutes.
+#: Interval of the controller's steps, in seconds.
+_STEP_INTERVAL_S: Final = 0.1
+#: Pause after a plan, as a multiple of the time that the plan took. The cost of
+#: a plan grows with the data centre, but the share of time spent on plans must
+#: not. Processor time is used: with wall time, a holder that is frozen for
+#: 2.5 s during a plan would order nothing for two minutes.
 _PLAN_PAUSE_FACTOR: Final = 50
 #: Time in seconds to wait for a record whose append has an unknown outcome.
 _RECORD_WAIT_S: Final = 2.0
@@ -112,7 +113,7 @@
         try:
             while True:
                 self._run_step()
-                await asyncio.sleep(_TICK_S)
+                await asyncio.sleep(_STEP_INTERVAL_S)
         finally:
             await self._tasks.stop()
             await self._sender.close()
