--- a/packages/verbenahall/src/verbenahall/scaling/_decisions.py
+++ b/packages/verbenahall/src/verbenahall/scaling/_decisions.py
@@ -31,17 +31,17 @@
 def choose_mix(rules: ScalingRules, base: int) -> EngineMix:
     """Return the cheapest mix that keeps ``base`` engines after reclaims."""
     centres = max(1, len(rules.prices))
-    gone = min(_MAX_RECLAIMED, max(1, centres - 1))
-    most = min(rules.most, math.ceil(base / centres))
+    reclaimed = min(_MAX_RECLAIMED, max(1, centres - 1))
+    max_on_demand = min(rules.most, math.ceil(base / centres))
     mixes = [
-        _add_spot(on_demand, base - centres * on_demand, centres - gone)
-        for on_demand in range(most + 1)
+        _add_spot(on_demand, base - centres * on_demand, centres - reclaimed)
+        for on_demand in range(max_on_demand + 1)
     ]
     # If no mix fits, one without spot instances leaves the service as it is.
     return min(
         (mix for mix in mixes if mix.on_demand + mix.spot <= rules.most),
         key=lambda mix: mix.on_demand + mix.spot * rules.spot_share,
-        default=EngineMix(most, 0),
+        default=EngineMix(max_on_demand, 0),
     )
 
 
