--- a/packages/verbenahall/src/verbenahall/scaling/_shell.py
+++ b/packages/verbenahall/src/verbenahall/scaling/_shell.py
@@ -65,13 +65,13 @@
         '_dependencies',
     )
 
-    def __init__(self, surroundings: Surroundings) -> None:
+    def __init__(self, dependencies: Surroundings) -> None:
         """Create the scaler; nothing is ordered before ``run``."""
-        self._bases = BaseSizes(surroundings.store, surroundings.now)
+        self._bases = BaseSizes(dependencies.store, dependencies.now)
         self._holds_duty = False
         self._orders: dict[str, PoolOrders] = {}
         self._failed_at = -float('inf')
-        self._dependencies = surroundings
+        self._dependencies = dependencies
 
     async def run(self) -> None:
         """Order or stand by until cancelled."""
