--- a/packages/verbenahall/src/verbenahall/usage/_shell.py
+++ b/packages/verbenahall/src/verbenahall/usage/_shell.py
@@ -23,7 +23,7 @@
 _CHECK_INTERVAL_S: Final = 0.1
 #: Interval of the holder's polls, in seconds. A killed instance loses what it
 #: has counted since the last poll.
-_POLL_S: Final = 0.7
+_POLL_INTERVAL_S: Final = 0.7
 #: Lease on the duty, in seconds; it covers the calls for one window.
 LEASE_S: Final = 2.5
 #: Time before a failed call is retried, in seconds.
@@ -58,9 +58,9 @@
         '_written_window',
     )
 
-    def __init__(self, surroundings: Surroundings) -> None:
+    def __init__(self, dependencies: Surroundings) -> None:
         """Create the reporter; nothing is sent before ``run``."""
-        self._dependencies = surroundings
+        self._dependencies = dependencies
         self._holds_duty = False
         self._polled_at = -float('inf')
         #: When the last call failed.
@@ -91,7 +91,7 @@
     async def _run_duty(self, at: float) -> None:
         """Poll counts, decide the windows that are due, and send reports."""
         now = self._dependencies.now()
-        if now - self._polled_at >= _POLL_S:
+        if now - self._polled_at >= _POLL_INTERVAL_S:
             self._polled_at = now
             self._dependencies.exchange.poll()
         if now - self._failed_at < _RETRY_INTERVAL_S:
