--- a/packages/verbenahall/src/verbenahall/usage/_exchange.py
+++ b/packages/verbenahall/src/verbenahall/usage/_exchange.py
@@ -163,12 +163,12 @@
     def _send_counts(self, number: int, address: str) -> None:
         parts = split_counts(self.meter.counts)
         at = self._clock.read_local()
-        for place, counts in enumerate(parts):
+        for part, counts in enumerate(parts):
             answer = UsageAnswer(
                 self._book.name,
                 self._run,
                 number,
-                place,
+                part,
                 len(parts),
                 at,
                 counts,
