--- a/packages/verbenahall/tests/orders/test_naive.py
+++ b/packages/verbenahall/tests/orders/test_naive.py
@@ -64,11 +64,11 @@
     body = record.body
     if body['lease_s'] != 5 or body['after'] != last:
         return lease
-    own = token and body['holder'] == holder
+    by_holder = token and body['holder'] == holder
     following = {
         'claim': (record.offset, body['holder'], record.offset),
-        'renew': own and (token, holder, record.offset),
-        'release': own and (0, '', record.offset),
+        'renew': by_holder and (token, holder, record.offset),
+        'release': by_holder and (0, '', record.offset),
     }
     return following.get(body['kind']) or lease
 
