--- a/packages/verbenahall/tests/rollout/test_plan.py
+++ b/packages/verbenahall/tests/rollout/test_plan.py
@@ -79,12 +79,12 @@
 
 def count_serving(settings, engines, without=()):
     """Count the engines that serve each model, naively."""
-    away = {*settings.drains, *without}
+    unavailable = {*settings.drains, *without}
     free = [view for view in engines if view.reachable and not view.changing]
     return collections.Counter(
         model
         for view in free
-        if view.name not in away
+        if view.name not in unavailable
         for model, _ in view.holding.models
     )
 
@@ -133,10 +133,10 @@
         if view.name in wanted
         and wanted[view.name] != (view.pending or view.holding)
     }
-    told = [order.engine for order in rollout.orders]
-    told += [entry.engine for entry in rollout.waiting]
+    listed = [order.engine for order in rollout.orders]
+    listed += [entry.engine for entry in rollout.waiting]
 
-    assert sorted(told) == sorted(due)
+    assert sorted(listed) == sorted(due)
 
 
 @given(fleets())
