--- a/packages/verbenahall/src/verbenahall/claims/_shell.py
+++ b/packages/verbenahall/src/verbenahall/claims/_shell.py
@@ -157,8 +157,8 @@
     ) -> None:
         """Abandon a claim whose caller has disconnected.
 
-        If it was won in the same iteration of the event loop, it is released;
-        otherwise no request with the key could ever run.
+        If it was won in the same iteration of the event loop, it is released.
+        If it were kept, no request with the key could ever run.
         """
         if not awaited.done():
             self._reject(key)
