--- a/packages/verbenahall/src/verbenahall/claims/_state.py
+++ b/packages/verbenahall/src/verbenahall/claims/_state.py
@@ -1,4 +1,4 @@
-"""Claims folded from the log, and those that this process waits for."""
+"""Claims folded from the log, and the claims that this process awaits."""
 
 from typing import final
 
@@ -7,23 +7,25 @@
 
 @final
 class ClaimsState:
-    """Who claimed which key first.
+    """Winning claims by key, and the open claims of this process.
 
     ``young`` and ``old`` map a key to the offset of the record that won it.
-    When ``young`` is full it becomes ``old``, so what is known depends on
-    the log alone and memory stays bounded. ``wanted`` holds keys to put in
-    the next record, ``waiting`` those whose verdict is awaited, ``unused``
-    won claims that never ran and are not yet told, ``freeing`` those of
-    them that may already be told.
+    When ``young`` is full, it replaces ``old``. So memory is bounded, and
+    which keys are kept depends on the log alone.
+
+    ``unsent`` holds keys for the next record, and ``waiting`` keys whose
+    verdict is awaited. ``unused`` holds won claims that were not used and
+    whose release has not been sent. ``freeing`` holds those whose release may
+    already be in the log.
     """
 
     __slots__ = (
         'holder',
-        'generation',
+        'generation_size',
         'position',
         'young',
         'old',
-        'wanted',
+        'unsent',
         'waiting',
         'unused',
         'freeing',
@@ -32,15 +34,15 @@
     def __init__(
         self,
         holder: str,
-        generation: int = KEYS_PER_GENERATION,
+        generation_size: int = KEYS_PER_GENERATION,
     ) -> None:
-        """Start with an empty fold; ``holder`` must never be used again."""
+        """Start with an empty fold; ``holder`` must be unique to this run."""
         self.holder = holder
-        self.generation = generation
+        self.generation_size = generation_size
         self.position = 0
         self.young: dict[str, int] = {}
         self.old: dict[str, int] = {}
-        self.wanted: dict[str, None] = {}
+        self.unsent: dict[str, None] = {}
         self.waiting: set[str] = set()
         self.unused: dict[str, int] = {}
         self.freeing: dict[str, int] = {}
--- a/packages/verbenahall/src/verbenahall/orders/_state.py
+++ b/packages/verbenahall/src/verbenahall/orders/_state.py
@@ -1,19 +1,20 @@
-"""The fold of the orders stream, and what engines last said."""
+"""The fold of the orders stream, and the latest reports of engines."""
 
 from verbenahall.authority import AuthorityState, current_token
 from verbenahall.orders._messages import EngineReport, Order, decode_batch
-from verbenahall.orders._progress import UNSETTLED, find_progress
+from verbenahall.orders._progress import OUTSTANDING, find_progress
 from verbenahall.records import ORDERS_STREAM, Record
 
 
 class OrdersState:
     """The latest valid order and the latest report of each engine.
 
-    ``authority`` is folded from the same records, each record before this
-    state sees it. ``reported_at`` holds monotonic seconds. ``unsettled`` has
-    each scope's orders that are still to be seen to, so that a step costs as
-    much as there is to do and not as there are engines; ``settled_at`` is
-    when an engine's report took its order out of them.
+    ``authority`` is folded from the same records and must be given each
+    record before this state. ``reported_at`` holds monotonic seconds.
+    ``unsettled`` holds the outstanding orders of each scope, so that the cost
+    of a step depends on their number and not on the number of engines.
+    ``finished_at`` is when a report showed that an engine's order is no
+    longer outstanding.
     """
 
     __slots__ = (
@@ -22,27 +23,27 @@
         'position',
         'reported_at',
         'reports',
-        'settled_at',
+        'finished_at',
         'unsettled',
     )
 
     def __init__(self, authority: AuthorityState) -> None:
-        """Start with no order known."""
+        """Start without orders."""
         self.authority = authority
         self.orders: dict[str, Order] = {}
         self.reports: dict[str, EngineReport] = {}
         self.reported_at: dict[str, float] = {}
-        self.settled_at: dict[str, float] = {}
+        self.finished_at: dict[str, float] = {}
         self.unsettled: dict[str, dict[str, Order]] = {}
         self.position = 0
 
 
 def apply_record(state: OrdersState, record: Record) -> tuple[Order, ...]:
-    """Fold one record; return the orders that it made valid.
+    """Fold one record; return its valid orders.
 
-    A batch is valid only under the token in force at its own offset. So a
-    process that lost its scope and still appends changes nothing, without
-    any clock.
+    A batch is valid only if its token is the one in force at its offset. So
+    the appends of a process that has lost its scope have no effect, and this
+    does not depend on any clock.
     """
     if record.offset <= state.position:
         return ()
@@ -55,7 +56,7 @@
         former = state.orders.get(order.engine, order)
         state.unsettled.get(former.scope, {}).pop(order.engine, None)
         state.orders[order.engine] = order
-        sort_order(state, order)
+        update_outstanding(state, order)
     return valid
 
 
@@ -69,23 +70,23 @@
     report: EngineReport,
     now: float,
 ) -> None:
-    """Keep what an engine said of itself at ``now``."""
+    """Record the report of an engine that was read at ``now``."""
     state.reports[report.name] = report
     state.reported_at[report.name] = now
     order = state.orders.get(report.name)
     if order is None:
         return
-    was_unsettled = report.name in state.unsettled.get(order.scope, {})
-    sort_order(state, order)
-    if was_unsettled and report.name not in state.unsettled[order.scope]:
-        state.settled_at[report.name] = now
+    was_outstanding = report.name in state.unsettled.get(order.scope, {})
+    update_outstanding(state, order)
+    if was_outstanding and report.name not in state.unsettled[order.scope]:
+        state.finished_at[report.name] = now
 
 
-def sort_order(state: OrdersState, order: Order) -> None:
-    """Keep an order among the unsettled ones of its scope, or drop it."""
+def update_outstanding(state: OrdersState, order: Order) -> None:
+    """Add an order to its scope's outstanding ones, or remove it."""
     unsettled = state.unsettled.setdefault(order.scope, {})
     progress = find_progress(order, state.reports.get(order.engine))
-    if progress in UNSETTLED:
+    if progress in OUTSTANDING:
         unsettled[order.engine] = order
     else:
         unsettled.pop(order.engine, None)
--- a/packages/verbenahall/src/verbenahall/rollout/_shell.py
+++ b/packages/verbenahall/src/verbenahall/rollout/_shell.py
@@ -1,4 +1,4 @@
-"""The controller: lease, plan, record, send, for one data centre."""
+"""The controller of one data centre: plans, records and sends orders."""
 
 import asyncio
 from collections.abc import Mapping, Sequence
@@ -22,21 +22,22 @@
     take_over,
 )
 from verbenahall.records import ORDERS_STREAM
-from verbenahall.rollout._engines import EngineTalk
+from verbenahall.rollout._engines import EngineClient
 from verbenahall.rollout._messages import RolloutLimits, Waiting
 from verbenahall.rollout._plan import plan
-from verbenahall.rollout._lines import tell_placed, tell_waiting
+from verbenahall.rollout._decision_log import log_placed, log_waiting
 from verbenahall.rollout._tasks import Tasks
 from verbenahall.rollout._views import Member, build_views
 from verbenahall.settings import EffectiveSettings
 
-_TICK_S: Final = 0.1
-#: How many times as long as a plan takes nothing is planned after it. A plan's
-#: cost grows with the data centre, the time spent on plans must not. Processor
-#: time counts: after a freeze of 2.5 s in a plan, which costs nothing, a holder
-#: would order nothing for two minutes.
-_REST: Final = 50
-#: How long to wait for a record whose append had no clear answer.
+#: Interval of the controller's steps, in seconds.
+_STEP_INTERVAL_S: Final = 0.1
+#: Pause after a plan, as a multiple of the time that the plan took. The cost of
+#: a plan grows with the data centre, but the share of time spent on plans must
+#: not. Processor time is used: with wall time, a holder that is frozen for
+#: 2.5 s during a plan would order nothing for two minutes.
+_PLAN_PAUSE_FACTOR: Final = 50
+#: Time in seconds to wait for a record whose append has an unknown outcome.
 _RECORD_WAIT_S: Final = 2.0
 _RECORD: Final = 'record'
 _DEFAULT_LIMITS: Final = RolloutLimits()
@@ -50,32 +51,32 @@
         stream: str,
         body: dict[str, Any],
     ) -> Result[int, Problem]:
-        """Append one record; its offset, or why it is not known."""
+        """Append one record; return its offset, or why it is unknown."""
 
 
-class Surroundings(Protocol):
-    """What the controller reads anew at each step."""
+class Dependencies(Protocol):
+    """Data that the controller reads at each step."""
 
     def read_settings(self) -> EffectiveSettings:
         """Return the settings in force."""
 
     def list_engines(self, now: float) -> Sequence[Member]:
-        """Return the data centre's engines with their standing."""
+        """Return the data centre's engines with their status."""
 
     def read_roles(self) -> Mapping[str, Role]:
-        """Return the role planner's wish for engines of automatic pools."""
+        """Return the planned roles of engines in automatic pools."""
 
 
 class Controller:
-    """Brings the engines of one data centre to the settings in force.
+    """Changes the engines of one data centre to match the settings.
 
-    Every instance runs one. Without the lease it only follows the engines
-    that have an order outstanding, so that its routing knows of them.
+    Every instance runs one. Without the lease it only polls the engines that
+    have an outstanding order, so that its routing uses their current state.
     """
 
     def __init__(
         self,
-        surroundings: Surroundings,
+        dependencies: Dependencies,
         order_state: OrdersState,
         keeper: LeaseKeeper,
         client: Appender,
@@ -84,8 +85,8 @@
         limits: RolloutLimits = _DEFAULT_LIMITS,
         clock: Clock = monotonic,
     ) -> None:
-        """Prepare; nothing is asked or sent before ``run``."""
-        self._surroundings = surroundings
+        """Create the controller; nothing is sent before ``run``."""
+        self._dependencies = dependencies
         self._orders = order_state
         self._keeper = keeper
         self._client = client
@@ -95,7 +96,7 @@
         self._clock = clock
         self._scope = keeper.candidacy.scope
         self._tasks = Tasks()
-        self._talk = EngineTalk(
+        self._engine_client = EngineClient(
             order_state,
             dispatch,
             sender,
@@ -108,45 +109,49 @@
         self._waiting: frozenset[Waiting] = frozenset()
 
     async def run(self) -> None:
-        """Plan and send until cancelled, then end what is under way."""
+        """Plan and send until cancelled, then cancel the open tasks."""
         try:
             while True:
-                self._take_step()
-                await asyncio.sleep(_TICK_S)
+                self._run_step()
+                await asyncio.sleep(_STEP_INTERVAL_S)
         finally:
             await self._tasks.stop()
             await self._sender.close()
 
-    def _take_step(self) -> None:
+    def _run_step(self) -> None:
         now = self._clock()
-        members = self._surroundings.list_engines(now)
+        members = self._dependencies.list_engines(now)
         token = self._keeper.held(self._scope, now)
         due = outstanding(self._orders, self._scope)
         busy = {order.engine for order in due}
-        self._talk.ask_states(members, now, busy, leading=token is not None)
+        self._engine_client.poll_states(
+            members, now, busy, holds_lease=token is not None
+        )
         if token is None:
             return
         grant = self._orders.authority.find_grant(self._scope)
         take_over(self._dispatch, grant, now)
-        is_planned = self._is_settled(now)
+        is_planned = self._may_plan(now)
         if is_planned:
-            self._plan_and_rest(members, token, now)
-        # An order that is just being superseded is not sent, nor one of an
-        # earlier holder in a step without a plan: a new holder would take
-        # the engine away for its predecessor's target first and for its own
-        # right after.
+            self._plan_and_pause(members, token, now)
+        # An order that is just being replaced is not sent. In a step without
+        # a plan, neither is an order of an earlier holder: otherwise a new
+        # holder could have the engine change to its predecessor's target and
+        # to its own right after.
         kept = [
             order
             for order in due
             if order.engine not in self._recording
             and (is_planned or order.token == token)
         ]
-        self._talk.send_due(members, kept, now)
+        self._engine_client.send_due(members, kept, now)
 
-    def _is_settled(self, now: float) -> bool:
-        """Tell whether the last batch has been read back or given up.
+    def _may_plan(self, now: float) -> bool:
+        """Return whether a new plan may be made at ``now``.
 
-        Planning again before would record the same orders twice.
+        That is when the last batch has been read back or its wait has ended,
+        as an earlier plan would record the same orders twice, and when the
+        pause after the last plan is over.
         """
         if self._tasks.is_running(_RECORD):
             return False
@@ -154,7 +159,7 @@
             return False
         return now >= self._wait_until
 
-    def _plan_and_rest(
+    def _plan_and_pause(
         self,
         members: Sequence[Member],
         token: int,
@@ -162,8 +167,8 @@
     ) -> None:
         started = thread_time()
         self._plan(members, token, now)
-        rest_s = _REST * (thread_time() - started)
-        self._wait_until = max(self._wait_until, now + rest_s)
+        pause_s = _PLAN_PAUSE_FACTOR * (thread_time() - started)
+        self._wait_until = max(self._wait_until, now + pause_s)
 
     def _plan(
         self,
@@ -179,14 +184,14 @@
         )
         views = build_views(members, self._orders, self._dispatch, now)
         rollout = plan(
-            self._surroundings.read_settings(),
+            self._dependencies.read_settings(),
             self._scope,
             views,
-            self._surroundings.read_roles(),
+            self._dependencies.read_roles(),
             self._limits,
         )
         waiting = frozenset(rollout.waiting)
-        tell_waiting(waiting - self._waiting)
+        log_waiting(waiting - self._waiting)
         self._waiting = waiting
         planned = (*withdrawals, *rollout.orders)
         self._recording = frozenset(order.engine for order in planned)
@@ -202,7 +207,7 @@
         appended = await self._client.append(ORDERS_STREAM, body)
         if isinstance(appended, Success):
             self._wait_offset = appended.unwrap()
-            tell_placed(planned, self._wait_offset)
+            log_placed(planned, self._wait_offset)
         else:
-            # The record may stand or not; the follower will show it.
+            # The record may be in the log; the follower reads it in that case.
             self._wait_until = self._clock() + _RECORD_WAIT_S
--- a/packages/verbenahall/src/verbenahall/scaling/_messages.py
+++ b/packages/verbenahall/src/verbenahall/scaling/_messages.py
@@ -1,4 +1,4 @@
-"""Pools of engines, their bounds and their prices."""
+"""Pools of engines and their sizes."""
 
 import dataclasses
 import enum
@@ -7,8 +7,8 @@
 
 
 @final
-class Kind(enum.Enum):
-    """Whether the platform may take an engine back at any time."""
+class CapacityKind(enum.Enum):
+    """Whether the platform may reclaim an engine at any time."""
 
     ON_DEMAND = 'on_demand'
     SPOT = 'spot'
@@ -19,8 +19,8 @@
     """The engines of one kind in one data centre."""
 
     data_centre: str
-    kind: Kind
+    kind: CapacityKind
 
 
-#: Engines by pool.
+#: Number of engines by pool.
 Sizes = Mapping[Pool, int]
