--- a/packages/verbenahall/src/verbenahall/front/__init__.py
+++ b/packages/verbenahall/src/verbenahall/front/__init__.py
@@ -4,7 +4,7 @@
 from verbenahall.front._connections import Patience, Runner
 from verbenahall.front._endpoints import Sessions
 from verbenahall.front._engines import EngineAdapter
-from verbenahall.front._parts import Adapters, Parts
+from verbenahall.front._dependencies import Adapters, Parts
 from verbenahall.front._server import make_application, make_session
 from verbenahall.front._services import ServiceAdapter
 from verbenahall.front._shell import Front
--- a/packages/verbenahall/src/verbenahall/front/_attempts.py
+++ b/packages/verbenahall/src/verbenahall/front/_attempts.py
@@ -11,8 +11,8 @@
 from verbenahall.fleet import Endpoint, Standing
 from verbenahall.front._feedback import give_feedback, may_still_run
 from verbenahall.front._messages import Call
-from verbenahall.front._parts import Parts
-from verbenahall.front._placing import Placer
+from verbenahall.front._dependencies import Parts
+from verbenahall.front._placement import Placer
 from verbenahall.front._progress import (
     Placed,
     Progress,
--- a/packages/verbenahall/src/verbenahall/front/_feedback.py
+++ b/packages/verbenahall/src/verbenahall/front/_feedback.py
@@ -4,7 +4,7 @@
 
 from returns.result import Failure, Result, Success
 
-from verbenahall.front._parts import Parts
+from verbenahall.front._dependencies import Parts
 from verbenahall.load import note_failed
 from verbenahall.requests import Broken, NeverWritten, Outcome, Refused
 
--- a/packages/verbenahall/src/verbenahall/front/_fleet.py
+++ b/packages/verbenahall/src/verbenahall/front/_fleet.py
@@ -12,7 +12,7 @@
 from verbenahall.errors import ErrorKind, Problem
 from verbenahall.fleet import Endpoint, EndpointKind, Role
 from verbenahall.front._messages import Call, ModelCall
-from verbenahall.front._parts import Parts
+from verbenahall.front._dependencies import Parts
 from verbenahall.routing import Candidate, take_subset
 
 #: A list of candidates is used again for this long, in seconds.
--- a/packages/verbenahall/src/verbenahall/front/_flow.py
+++ b/packages/verbenahall/src/verbenahall/front/_pipeline.py
@@ -12,7 +12,7 @@
 from verbenahall.front._attempts import Attempts
 from verbenahall.front._fleet import FleetView
 from verbenahall.front._messages import Answered, Call, Head, ModelCall
-from verbenahall.front._parts import Parts
+from verbenahall.front._dependencies import Parts
 from verbenahall.front._progress import Progress
 from verbenahall.front._relay import Relay
 from verbenahall.front._senders import (
--- a/packages/verbenahall/src/verbenahall/front/_placing.py
+++ b/packages/verbenahall/src/verbenahall/front/_placement.py
@@ -8,7 +8,7 @@
 
 from verbenahall.errors import ErrorKind, Problem, Ran
 from verbenahall.front._fleet import FleetView
-from verbenahall.front._parts import Parts
+from verbenahall.front._dependencies import Parts
 from verbenahall.front._progress import (
     Placed,
     Progress,
--- a/packages/verbenahall/src/verbenahall/front/_shell.py
+++ b/packages/verbenahall/src/verbenahall/front/_shell.py
@@ -13,11 +13,11 @@
 from verbenahall.front._answers import answer_problem
 from verbenahall.front._attempts import Attempts
 from verbenahall.front._fleet import FleetView
-from verbenahall.front._flow import Flow
+from verbenahall.front._pipeline import Flow
 from verbenahall.front._parse import read_model_call, read_service_call
-from verbenahall.front._parts import Parts
-from verbenahall.front._placing import Placer
-from verbenahall.front._reading import Reader
+from verbenahall.front._dependencies import Parts
+from verbenahall.front._placement import Placer
+from verbenahall.front._reader import Reader
 from verbenahall.requests import AttemptNames
 from verbenahall.routing import RoutingState
 
--- a/packages/verbenahall/src/verbenahall/instance/_control.py
+++ b/packages/verbenahall/src/verbenahall/instance/_control.py
@@ -9,10 +9,10 @@
 from verbenahall.fleet import Endpoint, EndpointKind
 from verbenahall.instance._core import Core
 from verbenahall.instance._gauges import Gauges
-from verbenahall.instance._knowledge import FleetKnowledge
+from verbenahall.instance._discovery import FleetKnowledge
 from verbenahall.instance._pools import Pools
 from verbenahall.supervisor import Loops
-from verbenahall.instance._surroundings import Surroundings
+from verbenahall.instance._dependencies import Surroundings
 from verbenahall.load import EngineStates, read_engine_state
 from verbenahall.membership import (
     ListPoller,
--- a/packages/verbenahall/src/verbenahall/instance/_core.py
+++ b/packages/verbenahall/src/verbenahall/instance/_core.py
@@ -14,7 +14,7 @@
 from verbenahall.config import InstanceConfig
 from verbenahall.fleet import Endpoint, EndpointKind
 from verbenahall.front import Sessions, make_session
-from verbenahall.instance._experience import Experience
+from verbenahall.instance._membership_adapter import Experience
 from verbenahall.instance._folds import Folds
 from verbenahall.log import LogClient
 from verbenahall.membership import (
--- a/packages/verbenahall/src/verbenahall/instance/_pools.py
+++ b/packages/verbenahall/src/verbenahall/instance/_pools.py
@@ -6,7 +6,7 @@
 
 from verbenahall.authority import LeaseKeeper
 from verbenahall.fleet import EndpointKind, Standing
-from verbenahall.instance._surroundings import Surroundings
+from verbenahall.instance._dependencies import Surroundings
 from verbenahall.load import EngineStates
 from verbenahall.membership import MembershipState, live
 from verbenahall.roles import EngineNow
--- a/packages/verbenahall/src/verbenahall/shutdown/_shell.py
+++ b/packages/verbenahall/src/verbenahall/shutdown/_shell.py
@@ -20,7 +20,7 @@
     StopTiming,
     Tick,
 )
-from verbenahall.shutdown._open import OpenRequests
+from verbenahall.shutdown._open_requests import OpenRequests
 from verbenahall.shutdown._state import ShutdownState
 
 _TICK_S: Final = 0.05
--- a/packages/verbenahall/tests/instance/test_surroundings.py
+++ b/packages/verbenahall/tests/instance/test_dependencies.py
@@ -3,7 +3,7 @@
 import pytest
 
 from verbenahall.fleet import Endpoint, EndpointKind
-from verbenahall.instance._surroundings import Surroundings
+from verbenahall.instance._dependencies import Surroundings
 from verbenahall.membership import (
     ListEntry,
     MembershipState,
--- a/packages/verbenahall/tests/instance/test_engine_word.py
+++ b/packages/verbenahall/tests/instance/test_engine_state.py
@@ -9,7 +9,7 @@
 from verbenahall import wire
 from verbenahall.authority import AuthorityState
 from verbenahall.fleet import Endpoint, EndpointKind, Standing
-from verbenahall.instance._experience import Experience
+from verbenahall.instance._membership_adapter import Experience
 from verbenahall.load import EngineStates, LoadState, StatePoller
 from verbenahall.membership import (
     ListEntry,
--- a/packages/verbenahall/tests/instance/test_knowledge.py
+++ b/packages/verbenahall/tests/instance/test_knowledge.py
@@ -3,7 +3,7 @@
 import pytest
 
 from verbenahall.fleet import Endpoint, EndpointKind
-from verbenahall.instance._knowledge import LIST_DELAY_S, is_fleet_known
+from verbenahall.instance._discovery import LIST_DELAY_S, is_fleet_known
 from verbenahall.membership import (
     ListEntry,
     MembershipState,
