--- a/packages/verbenahall/src/verbenahall/front/_dependencies.py
+++ b/packages/verbenahall/src/verbenahall/front/_dependencies.py
@@ -1,4 +1,4 @@
-"""What the front needs from other slices."""
+"""Dependencies of the front on other slices."""
 
 import dataclasses
 import random
@@ -16,14 +16,14 @@
 
 
 class Claim(Protocol):
-    """Wins a workspace's key for one call, or says why it cannot."""
+    """Claims a workspace's idempotency key for one call."""
 
     async def __call__(self, workspace: str, key: str) -> Result[int, Problem]:
-        """Return the offset of the claim that won."""
+        """Return the offset of the claim's record, or why the claim failed."""
 
 
 class Settings(Protocol):
-    """The effective settings, as far as callers' requests need them."""
+    """The part of the effective settings that serving requests needs."""
 
     models: Mapping[str, Any]
     adapters: Mapping[str, Any]
@@ -34,50 +34,51 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Adapters:
-    """The endpoints' protocols; another protocol replaces one of them."""
+    """Clients for the protocols of engines and of plain services."""
 
     engines: EngineAdapter
     services: ServiceAdapter
 
 
 def ignore_release(workspace: str, key: str, offset: int) -> None:
-    """Keep the claim; the key then stays used."""
+    """Do nothing: the key stays claimed."""
 
 
-def ignore_arrival(
+def ignore_demand(
     model: str,
     prompt_tokens: int,
     output_tokens: int,
 ) -> None:
-    """Count no demand; for instances without automatic pools."""
+    """Do nothing, for instances without automatic pools."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Parts:
-    """The states and clients that the front is composed with.
-
-    ``live(kind, now, service)`` and ``standing(name, now)`` read the
-    membership; ``heard`` and ``missed`` (each with a name) feed it.
-    ``settings()`` is the effective settings and ``position()`` their
-    offset. ``claim(workspace, key)`` is the claims' promise that a keyed
-    call has won; ``release(workspace, key, offset)`` gives it back when it
-    surely never ran. ``arrived(model, prompt_tokens, output_tokens)`` hears
-    of each request for a known model. ``unready()`` returns why the instance
-    takes no requests, or None. ``source`` is seeded apart on each instance.
+class FrontDependencies:
+    """The states and clients that the front uses.
+
+    ``list_available(kind, now, service)`` and ``find_status(name, now)`` read
+    the membership; ``report_answer(name)`` and ``report_failure(name)`` update
+    it. ``read_settings()`` returns the effective settings and
+    ``read_position()`` their offset. ``claim(workspace, key)`` claims the key
+    of a call; ``release(workspace, key, offset)`` releases it if the call
+    certainly never ran. ``record_demand(model, prompt_tokens, output_tokens)``
+    is called for each request for a known model. ``check_ready()`` returns why
+    the instance takes no requests, or None. ``rng`` has a different seed on
+    each instance.
     """
 
-    live: Callable[[EndpointKind, float, str], Sequence[Endpoint]]
-    standing: Callable[[str, float], Standing]
-    heard: Callable[[str], None]
-    missed: Callable[[str], None]
-    settings: Callable[[], Settings]
-    position: Callable[[], int]
+    list_available: Callable[[EndpointKind, float, str], Sequence[Endpoint]]
+    find_status: Callable[[str, float], Standing]
+    report_answer: Callable[[str], None]
+    report_failure: Callable[[str], None]
+    read_settings: Callable[[], Settings]
+    read_position: Callable[[], int]
     claim: Claim
-    unready: Callable[[], Problem | None]
+    check_ready: Callable[[], Problem | None]
     load: LoadState
     states: EngineStates
     adapters: Adapters
-    source: random.Random
+    rng: random.Random
     clock: Clock = monotonic
-    arrived: Callable[[str, int, int], None] = ignore_arrival
+    record_demand: Callable[[str, int, int], None] = ignore_demand
     release: Callable[[str, str, int], None] = ignore_release
