--- a/packages/verbenahall/src/verbenahall/front/_answers.py
+++ b/packages/verbenahall/src/verbenahall/front/_answers.py
@@ -1,4 +1,4 @@
-"""The one place that turns a problem into an HTTP answer."""
+"""Converts problems into HTTP error responses."""
 
 import math
 from collections.abc import Awaitable, Callable, Mapping
@@ -12,12 +12,12 @@
 from verbenahall.errors import ErrorKind, Problem, ProblemError
 
 _JSON: Final = 'application/json'
-#: Answers a request, or raises.
+#: Returns the response to a request, or raises.
 Handler = Callable[[web.Request], Awaitable[web.StreamResponse]]
-REQUEST_ID: Final = 'X-Request-Id'
+REQUEST_ID_HEADER: Final = 'X-Request-Id'
 
-#: Errors that the HTTP library raises by itself, by status.
-_KINDS: Final[Mapping[int, ErrorKind]] = MappingProxyType(
+#: Error kinds for the exceptions that aiohttp raises itself, by status.
+_KIND_BY_STATUS: Final[Mapping[int, ErrorKind]] = MappingProxyType(
     {
         404: ErrorKind.NOT_FOUND,
         405: ErrorKind.METHOD_NOT_ALLOWED,
@@ -25,15 +25,16 @@
         431: ErrorKind.HEADERS_TOO_LARGE,
     },
 )
-#: After these the rest of the request is still on its way; the connection
-#: is closed, or its bytes would be read as the next request.
-_CLOSING: Final = frozenset(
+#: These errors are returned before the whole request body was received. The
+#: connection is closed, since the remaining bytes would otherwise be parsed
+#: as the next request.
+_CLOSING_KINDS: Final = frozenset(
     (ErrorKind.TOO_LARGE, ErrorKind.REQUEST_TIMEOUT),
 )
 
 
-def describe_problem(problem: Problem) -> dict[str, Any]:
-    """Return the error body, alike in answers and in streams."""
+def build_error_body(problem: Problem) -> dict[str, Any]:
+    """Return the error body, which is the same in responses and in streams."""
     answer = problem.answer
     return {
         'error': {
@@ -46,44 +47,47 @@
 
 
 def answer_problem(problem: Problem, request: str = '') -> web.Response:
-    """Build the answer that a caller gets for a problem."""
+    """Build the HTTP response for a problem."""
     answer = problem.answer
-    headers = {REQUEST_ID: request} if request else {}
+    headers = {REQUEST_ID_HEADER: request} if request else {}
     if answer.retry_after_s is not None:
         headers['Retry-After'] = str(max(1, math.ceil(answer.retry_after_s)))
     response = web.Response(
         status=answer.status,
-        body=wire.encode(describe_problem(problem)),
+        body=wire.encode(build_error_body(problem)),
         content_type=_JSON,
         headers=headers,
     )
-    if problem.kind in _CLOSING:
+    if problem.kind in _CLOSING_KINDS:
         response.force_close()
     return response
 
 
-async def guard(
+async def handle_errors(
     handler: Handler,
     request: web.Request,
 ) -> web.StreamResponse:
-    """Answer whatever a handler raises from the closed list of kinds."""
+    """Call a handler and convert every exception into an error response.
+
+    A ``ConnectionError`` is raised again: there is no connection to respond on.
+    """
     try:
         return await handler(request)
     except ProblemError as error:
         return answer_problem(error.problem)
     except web.HTTPException as error:
-        return _answer_library_error(error)
+        return _build_library_error(error)
     except Exception as error:
         if isinstance(error, ConnectionError):
             raise
-        logging.exception('a request failed in our own code')
+        logging.exception('unhandled exception in a request handler')
         return answer_problem(
             Problem(ErrorKind.INTERNAL, 'the instance failed'),
         )
 
 
-def _answer_library_error(error: web.HTTPException) -> web.Response:
-    kind = _KINDS.get(error.status, ErrorKind.BAD_REQUEST)
+def _build_library_error(error: web.HTTPException) -> web.Response:
+    kind = _KIND_BY_STATUS.get(error.status, ErrorKind.BAD_REQUEST)
     response = answer_problem(Problem(kind, error.reason))
     if isinstance(error, web.HTTPMethodNotAllowed):
         response.headers['Allow'] = ', '.join(sorted(error.allowed_methods))
