--- a/packages/verbenahall/src/verbenahall/front/_attempts.py
+++ b/packages/verbenahall/src/verbenahall/front/_attempts.py
@@ -1,4 +1,4 @@
-"""Runs attempts and follows what ``requests`` decides after each."""
+"""Runs the attempts of a request with the retry rules of ``requests``."""
 
 import asyncio
 from typing import final
@@ -9,12 +9,12 @@
 from verbenahall.admission import FLAG_PRIORITY
 from verbenahall.errors import Problem, Ran
 from verbenahall.fleet import Endpoint, Standing
-from verbenahall.front._feedback import give_feedback, may_still_run
+from verbenahall.front._dependencies import FrontDependencies
+from verbenahall.front._feedback import may_still_run, record_outcome
 from verbenahall.front._messages import Call
-from verbenahall.front._dependencies import Parts
 from verbenahall.front._placement import Placer
 from verbenahall.front._progress import (
-    Placed,
+    PlacedAttempt,
     Progress,
     Sender,
     Sent,
@@ -34,16 +34,16 @@
 
 
 @final
-class Attempts:
+class AttemptRunner:
     """Runs a request's attempts one after another until one succeeds."""
 
     def __init__(
         self,
-        parts: Parts,
+        dependencies: FrontDependencies,
         placer: Placer,
     ) -> None:
-        """Start with a full retry budget and nothing open."""
-        self._parts = parts
+        """Start with a full retry budget and no open attempts."""
+        self._dependencies = dependencies
         self._placer = placer
         self._budget = RetryBudget()
         self._open: dict[str, tuple[Endpoint, asyncio.Timeout]] = {}
@@ -53,24 +53,27 @@
         progress: Progress,
         sender: Sender[Sent],
     ) -> Result[Sent, Problem]:
-        """Try until an attempt succeeds or no further one is allowed."""
+        """Run attempts until one succeeds or no further attempt is allowed."""
         self._budget.earn()
-        found = await self._run(progress, sender)
-        if isinstance(found, Failure):
-            self._give_back(progress, found.failure())
-        return found
+        result = await self._run(progress, sender)
+        if isinstance(result, Failure):
+            self._release_claim(progress, result.failure())
+        return result
 
-    def abandon_silent(self) -> None:
-        """End the attempts whose endpoints have fallen silent.
+    def abandon_unresponsive(self) -> None:
+        """End the attempts whose endpoints have become unresponsive.
 
-        A stopped or cut-off endpoint keeps its connection open and says
-        nothing; the caller would wait until the deadline. Ended early, the
-        attempt can be followed by another one.
+        A paused or partitioned endpoint keeps its connection open without
+        sending anything, so the caller would wait until the deadline. Ending
+        the attempt early leaves time for a retry.
         """
-        now = self._parts.clock()
+        now = self._dependencies.clock()
         loop = asyncio.get_running_loop()
         for endpoint, limit in tuple(self._open.values()):
-            if self._parts.standing(endpoint.name, now) is Standing.SILENT:
+            if (
+                self._dependencies.find_status(endpoint.name, now)
+                is Standing.SILENT
+            ):
                 limit.reschedule(loop.time())
 
     async def _run(
@@ -82,107 +85,111 @@
             placed = await self._placer.place(progress)
             if isinstance(placed, Failure):
                 return placed
-            found = await self._try(placed.unwrap(), progress, sender)
-            if isinstance(found, Success):
-                return found
-            step = self._weigh(progress, found.failure())
+            result = await self._run_attempt(placed.unwrap(), progress, sender)
+            if isinstance(result, Success):
+                return result
+            step = self._decide_retry(progress, result.failure())
             progress.excluded |= {placed.unwrap().endpoint.name}
             if isinstance(step, GiveUp):
                 return Failure(step.problem)
             metrics.RETRIES.add(step.reason)
             await asyncio.sleep(step.delay_s)
 
-    def _give_back(self, progress: Progress, problem: Problem) -> None:
-        """Free the key of a call that the caller is told never ran.
+    def _release_claim(self, progress: Progress, problem: Problem) -> None:
+        """Release the idempotency key of a call that certainly never ran.
 
-        It would otherwise be used up, and the caller's own repetition of a
-        call that did nothing would be refused as a second one.
+        Otherwise the key would stay claimed, and the caller's own retry would
+        be rejected as a duplicate although the first call did nothing.
         """
-        if progress.claim is None or problem.answer.ran is not Ran.NO:
+        if progress.claim_offset is None or problem.answer.ran is not Ran.NO:
             return
         head = progress.call.head
-        self._parts.release(head.ticket.workspace, head.key, progress.claim)
+        self._dependencies.release(
+            head.ticket.workspace, head.key, progress.claim_offset
+        )
 
-    async def _try(
+    async def _run_attempt(
         self,
-        placed: Placed,
+        placed: PlacedAttempt,
         progress: Progress,
         sender: Sender[Sent],
     ) -> Result[Sent, Outcome]:
-        """Run one attempt within the deadline; cancel what is given up."""
-        found: Result[Sent, Outcome] = Failure(TimedOut())
+        """Run one attempt within the deadline; cancel it if it is abandoned."""
+        result: Result[Sent, Outcome] = Failure(TimedOut())
         try:
-            found = await self._send(placed, progress, sender)
+            result = await self._send(placed, progress, sender)
         finally:
-            # Also when the caller has gone and this task is cancelled: an
-            # engine that is not told would go on working for nobody.
-            if may_still_run(found):
+            # This also runs when the caller disconnects and this task is
+            # cancelled; without a cancel call the engine would keep working.
+            if may_still_run(result):
                 sender.cancel(placed)
-        give_feedback(self._parts, placed.endpoint.name, found)
-        return found
+        record_outcome(self._dependencies, placed.endpoint.name, result)
+        return result
 
     async def _send(
         self,
-        placed: Placed,
+        placed: PlacedAttempt,
         progress: Progress,
         sender: Sender[Sent],
     ) -> Result[Sent, Outcome]:
         timeout = asyncio.timeout(placed.remaining_s)
-        self._note_open(placed, progress.call, timeout)
+        self._record_open(placed, progress.call, timeout)
         try:
             async with timeout:
                 return await sender.send(placed)
         except TimeoutError:
-            return Failure(self._judge_timeout(progress))
+            return Failure(self._classify_timeout(progress))
         finally:
-            self._note_closed(placed)
+            self._record_closed(placed)
 
-    def _note_open(
+    def _record_open(
         self,
-        placed: Placed,
+        placed: PlacedAttempt,
         call: Call,
         timeout: asyncio.Timeout,
     ) -> None:
         self._open[placed.attempt] = (placed.endpoint, timeout)
         note_sent(
-            self._parts.load,
+            self._dependencies.load,
             placed.endpoint.name,
             placed.attempt,
             estimate_work(call),
-            self._parts.clock(),
+            self._dependencies.clock(),
         )
 
-    def _note_closed(self, placed: Placed) -> None:
+    def _record_closed(self, placed: PlacedAttempt) -> None:
         self._open.pop(placed.attempt)
         note_finished(
-            self._parts.load,
+            self._dependencies.load,
             placed.endpoint.name,
             placed.attempt,
-            self._parts.clock(),
+            self._dependencies.clock(),
         )
 
-    def _judge_timeout(self, progress: Progress) -> Outcome:
-        if self._parts.clock() >= progress.call.head.deadline:
+    def _classify_timeout(self, progress: Progress) -> Outcome:
+        if self._dependencies.clock() >= progress.call.head.deadline:
             return TimedOut()
-        return Broken('the endpoint has fallen silent')
+        return Broken('the endpoint is unresponsive')
 
-    def _weigh(self, progress: Progress, outcome: Outcome) -> Retry | GiveUp:
-        facts = Facts(
+    def _decide_retry(
+        self, progress: Progress, outcome: Outcome
+    ) -> Retry | GiveUp:
+        retry_context = Facts(
             repeatable=progress.call.repeatable,
             deadline=progress.call.head.deadline,
             attempts=progress.attempts,
-            delivered=progress.delivered > 0,
+            delivered=progress.delivered_tokens > 0,
             resumable=bool(self._placer.list_candidates(progress)),
-            unknown=progress.unknown,
+            unknown=progress.may_have_run,
             urgent=progress.call.head.ticket.priority == FLAG_PRIORITY,
         )
         step = decide_next(
             outcome,
-            facts,
+            retry_context,
             self._budget,
-            self._parts.source,
-            self._parts.clock(),
+            self._dependencies.rng,
+            self._dependencies.clock(),
         )
         if isinstance(outcome, Broken):
-            progress.unknown = True
+            progress.may_have_run = True
         return step
