--- a/packages/verbenahall/src/verbenahall/front/_connections.py
+++ b/packages/verbenahall/src/verbenahall/front/_connections.py
@@ -1,4 +1,4 @@
-"""Callers' connections: how many, how slow, and what malformed HTTP is told."""
+"""Caller connections: their number, timeouts, and errors in malformed HTTP."""
 
 import asyncio
 import dataclasses
@@ -16,16 +16,16 @@
 from verbenahall.front._answers import (
     Handler,
     answer_problem,
-    describe_problem,
-    guard,
+    build_error_body,
+    handle_errors,
 )
 
 _KEEPALIVE_S: Final = 75.0
-#: How long after an answer the library has a look whether the connection is
-#: idle, in seconds; how long it may be is then asked for.
-_LOOK_S: Final = 1.0
-#: How long the rest of a refused body is read, so that its sender can read
-#: the answer before the connection is reset.
+#: Delay after a response at which aiohttp checks for an idle connection, in
+#: seconds. The idle timeout itself is read at that check.
+_IDLE_CHECK_S: Final = 1.0
+#: How long the rest of a rejected body is read, in seconds, so that the caller
+#: can read the response before the connection is reset.
 _LINGER_S: Final = 1.0
 _SERVER_ERROR: Final = 500
 _CONTINUE: Final = '100-continue'
@@ -35,11 +35,11 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Patience:
-    """How long callers may take, in seconds.
+    """Read timeouts of caller connections, in seconds.
 
     ``first_request_s`` runs from the start of a connection to its first
-    request, ``head_s`` from a head's first bytes to its last, and ``idle_s``
-    from an answer to the next request.
+    request, ``head_s`` from the first to the last byte of a request head, and
+    ``idle_s`` from a response to the next request.
     """
 
     first_request_s: float
@@ -49,46 +49,46 @@
 
 @final
 class Connection(web.RequestHandler):
-    """One caller's connection; it must bring a request within its time.
+    """A caller connection with read timeouts for request heads.
 
-    A caller that opens connections and sends half a head on each would use
-    up all that the instance may hold, with no request to be seen anywhere.
-    How long it may take is asked for each time, since operators change it
-    while connections are open.
+    Without them, a caller that sends an incomplete head on each of many
+    connections would use up the connection limit without a single request.
+    The timeouts are read each time they are needed, since operators change
+    them while connections are open.
     """
 
-    __slots__ = ('_head_timer', '_read_patience')
+    __slots__ = ('_head_timer', '_read_timeouts')
 
     def __init__(
         self,
         manager: web.Server,
-        read_patience: Callable[[], Patience],
+        read_timeouts: Callable[[], Patience],
         options: _Options,
     ) -> None:
-        """Serve under a manager; ``options`` are the library's own."""
+        """Create a connection; ``options`` are passed to aiohttp."""
         loop = asyncio.get_running_loop()
         super().__init__(manager, loop=loop, **options)
-        self._read_patience = read_patience
+        self._read_timeouts = read_timeouts
         self._head_timer: asyncio.TimerHandle | None = None
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Start the time within which the first request must arrive."""
+        """Start the timeout for the first request."""
         super().connection_made(transport)
-        first_s = self._read_patience().first_request_s
-        self._loop.call_later(first_s, self._check_begun)
+        first_s = self._read_timeouts().first_request_s
+        self._loop.call_later(first_s, self._check_first_request)
 
     def data_received(self, data: bytes) -> None:
-        """Time a head that does not come at once."""
+        """Start the head timeout when a head arrives only in part."""
         super().data_received(data)
-        waits = self._waiter is not None and not self._waiter.done()
-        if not waits:
+        awaits_request = self._waiter is not None and not self._waiter.done()
+        if not awaits_request:
             self._stop_head_timer()
         elif self._head_timer is None:
-            head_s = self._read_patience().head_s
+            head_s = self._read_timeouts().head_s
             self._head_timer = self._loop.call_later(head_s, self.force_close)
 
     def connection_lost(self, exc: BaseException | None) -> None:
-        """Stop the time for a head."""
+        """Stop the head timeout."""
         self._stop_head_timer()
         super().connection_lost(exc)
 
@@ -99,16 +99,16 @@
         exc: BaseException | None = None,
         message: str | None = None,
     ) -> web.StreamResponse:
-        """Answer what the library could not read, from the closed list."""
+        """Build the response to a request that aiohttp could not parse."""
         if request.writer.output_size:
-            # Part of an answer is out; anything more would be read as its
-            # body. Closing is all that tells the caller.
-            raise ConnectionError('an answer has begun already')
-        response = answer_problem(_describe(status, exc))
+            # Part of a response was sent, and further bytes would be read as
+            # its body. Only closing the connection signals the error.
+            raise ConnectionError('the response has already started')
+        response = answer_problem(_build_problem(status, exc))
         response.force_close()
         return response
 
-    def _check_begun(self) -> None:
+    def _check_first_request(self) -> None:
         if not self._request_count:
             self.force_close()
 
@@ -118,14 +118,14 @@
             self._head_timer = None
 
     def _process_keepalive(self) -> None:
-        """Close when idle for as long as is allowed now.
+        """Close the connection once it exceeds the current idle timeout.
 
-        The library's own time is fixed when the connection opens. A caller
-        that keeps to a longer one that came into force since would have its
-        next request reset.
+        The timeout of aiohttp is fixed when the connection opens. If it was
+        raised since, a caller relying on the new value would have its next
+        request reset.
         """
         idle_since = self._next_keepalive_close_time - self._keepalive_timeout
-        until = idle_since + self._read_patience().idle_s
+        until = idle_since + self._read_timeouts().idle_s
         if self._loop.time() < until:
             self._keepalive_handle = self._loop.call_at(
                 until,
@@ -136,43 +136,44 @@
 
 
 @final
-class Refusal(asyncio.Protocol):
-    """Answers a connection beyond the bound, and closes it."""
+class ConnectionRejector(asyncio.Protocol):
+    """Sends an error response on a connection over the limit and closes it."""
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Send the whole answer at once."""
-        transport.write(_FULL)
+        """Send the complete error response and close."""
+        transport.write(_TOO_MANY_CONNECTIONS)
         transport.close()
 
 
 class Runner(web.AppRunner):
-    """Runs an application within the limits on callers' connections.
+    """Runs an application with limits on caller connections.
 
-    Handlers are cancelled when their caller goes away, which is how the
-    engine's work for nobody gets cancelled.
+    Handlers are cancelled when their caller disconnects, so that the engine's
+    work for it is cancelled too.
     """
 
     def __init__(
         self,
         app: web.Application,
         limits: LimitsConfig,
-        read_patience: Callable[[], Patience] | None = None,
+        read_timeouts: Callable[[], Patience] | None = None,
         **options: Any,
     ) -> None:
-        """Keep the limits; ``options`` go to the library's runner.
+        """Store the limits; ``options`` are passed to aiohttp's runner.
 
-        ``read_patience`` is asked where operators change it at run time.
+        ``read_timeouts`` returns the current timeouts where operators can
+        change them at run time; by default they are fixed.
         """
         super().__init__(app, handler_cancellation=True, **options)
         self._manager: web.Server | None = None
         self._limits = limits
-        within_s = limits.body_timeout_s
-        fixed = Patience(within_s, head_s=within_s, idle_s=_KEEPALIVE_S)
-        self._read_patience = read_patience or (lambda: fixed)
+        timeout_s = limits.body_timeout_s
+        fixed = Patience(timeout_s, head_s=timeout_s, idle_s=_KEEPALIVE_S)
+        self._read_timeouts = read_timeouts or (lambda: fixed)
         self._options: _Options = MappingProxyType(
             {
                 'access_log': None,
-                'keepalive_timeout': _LOOK_S,
+                'keepalive_timeout': _IDLE_CHECK_S,
                 'lingering_time': _LINGER_S,
                 'max_line_size': limits.header_bytes,
                 'max_field_size': limits.header_bytes,
@@ -181,58 +182,58 @@
 
     @property
     def server(self) -> Any:
-        """What makes a protocol for each new connection."""
-        return self._manager and self._connect
+        """The protocol factory for new connections."""
+        return self._manager and self._make_protocol
 
     async def _make_server(self) -> web.Server:
-        """Make the library's server with the guard around its application.
+        """Make aiohttp's server with error handling around the application.
 
-        Outside of it, since the library also raises before any route or
-        middleware runs.
+        It can't be a middleware, since aiohttp also raises before any route
+        or middleware runs.
         """
         manager = await super()._make_server()
         manager.request_handler = functools.partial(
-            guard,
+            handle_errors,
             functools.partial(_check_expectation, manager.request_handler),
         )
         self._manager = manager
         return manager
 
-    def _connect(self) -> asyncio.Protocol:
+    def _make_protocol(self) -> asyncio.Protocol:
         manager = self._manager
         if len(manager.connections) >= self._limits.connections:
-            return Refusal()
-        return Connection(manager, self._read_patience, self._options)
+            return ConnectionRejector()
+        return Connection(manager, self._read_timeouts, self._options)
 
 
 async def _check_expectation(
     handler: Handler,
     request: web.Request,
 ) -> web.StreamResponse:
-    """Refuse what is expected beyond the standard, before the library.
+    """Reject unknown ``Expect`` headers before aiohttp does.
 
-    Its own refusal repeats the caller's bytes, and fails where they are not
-    text.
+    The error response of aiohttp repeats the header's bytes, and building it
+    fails if they are not valid text.
     """
     expected = request.headers.get('Expect', _CONTINUE)
     if expected.lower() != _CONTINUE:
-        message = 'only 100-continue may be expected'
+        message = 'only "Expect: 100-continue" is supported'
         return answer_problem(Problem(ErrorKind.BAD_REQUEST, message))
     return await handler(request)
 
 
-def _describe(status: int, error: BaseException | None) -> Problem:
+def _build_problem(status: int, error: BaseException | None) -> Problem:
     if isinstance(error, LineTooLong):
-        message = 'a line of the head is too long'
+        message = 'a line of the request head is too long'
         return Problem(ErrorKind.HEADERS_TOO_LARGE, message)
     if status < _SERVER_ERROR:
-        return Problem(ErrorKind.BAD_REQUEST, 'the request is not HTTP')
+        return Problem(ErrorKind.BAD_REQUEST, 'the request is not valid HTTP')
     return Problem(ErrorKind.INTERNAL, 'the instance failed')
 
 
-def _render_full() -> bytes:
+def _render_too_many_connections() -> bytes:
     problem = Problem(ErrorKind.OVERLOADED, 'too many connections')
-    body = wire.encode(describe_problem(problem))
+    body = wire.encode(build_error_body(problem))
     head = (
         'HTTP/1.1 429 Too Many Requests\r\n'
         'Content-Type: application/json\r\n'
@@ -243,4 +244,4 @@
     return head.encode() + body
 
 
-_FULL: Final = _render_full()
+_TOO_MANY_CONNECTIONS: Final = _render_too_many_connections()
