--- a/packages/verbenahall/src/verbenahall/front/_endpoints.py
+++ b/packages/verbenahall/src/verbenahall/front/_endpoints.py
@@ -1,4 +1,4 @@
-"""What calls to engines and to plain services have in common."""
+"""Code shared by the clients of engines and of plain services."""
 
 import functools
 from collections.abc import Callable
@@ -9,55 +9,59 @@
 from yarl import URL
 
 from verbenahall.fleet import Endpoint
-from verbenahall.front._messages import Head
+from verbenahall.front._messages import RequestHead
 from verbenahall.load import Report, parse_report
 from verbenahall.requests import Broken, NeverWritten, Outcome, Refused
 
-#: What the HTTP client raises; ``TimeoutError`` is an ``OSError``.
+#: Exceptions of the HTTP client; ``TimeoutError`` is an ``OSError``.
 CLIENT_ERRORS: Final = (aiohttp.ClientError, OSError)
-NOT_STARTED: Final = 'X-Not-Started'
-_LOAD: Final = 'X-Load'
+_NOT_STARTED_HEADER: Final = 'X-Not-Started'
+_LOAD_HEADER: Final = 'X-Load'
 _MS_PER_S: Final = 1000
 _SERVER_ERROR: Final = 500
-_URLS_KEPT: Final = 4096
+_URL_CACHE_SIZE: Final = 4096
 
-#: Takes an endpoint's name and the report that an answer carried.
+#: Receives the load report of an answer, with the endpoint's name.
 ReportSink = Callable[[str, Report], None]
 
 
 @final
 class Sessions:
-    """A session that keeps connections, and one that never does."""
+    """A client session with a connection pool, and one without."""
 
-    __slots__ = ('kept', 'fresh')
+    __slots__ = ('pooled', 'single_use')
 
     def __init__(
         self,
-        kept: aiohttp.ClientSession,
-        fresh: aiohttp.ClientSession,
+        pooled: aiohttp.ClientSession,
+        single_use: aiohttp.ClientSession,
     ) -> None:
-        """Keep both."""
-        self.kept = kept
-        self.fresh = fresh
+        """Store both sessions."""
+        self.pooled = pooled
+        self.single_use = single_use
 
-    def pick(self, *, repeatable: bool) -> aiohttp.ClientSession:
-        """Return the session for a call that may be repeated or not."""
-        return self.kept if repeatable else self.fresh
+    def select(self, *, repeatable: bool) -> aiohttp.ClientSession:
+        """Return the session to use for a call.
 
+        A call that must not be repeated gets a new connection, see
+        ``make_session``.
+        """
+        return self.pooled if repeatable else self.single_use
 
-@functools.lru_cache(maxsize=_URLS_KEPT)
+
+@functools.lru_cache(maxsize=_URL_CACHE_SIZE)
 def build_url(address: str, target: str) -> URL:
     """Return the URL of a raw path and query at an endpoint."""
     return URL(f'http://{address}{target}', encoded=True)
 
 
 def build_headers(
-    head: Head,
+    head: RequestHead,
     attempt: str,
     content_type: str,
     remaining_s: float,
 ) -> dict[str, str]:
-    """Return the headers that every attempt carries."""
+    """Return the headers that are sent with every attempt."""
     headers = {
         'Content-Type': content_type,
         'X-Attempt-Id': attempt,
@@ -69,30 +73,30 @@
     return headers
 
 
-def take_report(
+def forward_report(
     endpoint: Endpoint,
     headers: CIMultiDictProxy[str],
-    sink: ReportSink,
+    report_sink: ReportSink,
 ) -> None:
-    """Pass on the load report that an answer carries."""
-    report = parse_report(headers.get(_LOAD, ''))
+    """Forward the load report in an answer's headers, if there is one."""
+    report = parse_report(headers.get(_LOAD_HEADER, ''))
     if report is not None:
-        sink(endpoint.name, report)
+        report_sink(endpoint.name, report)
 
 
-def judge_status(answer: aiohttp.ClientResponse) -> Outcome | None:
-    """Return how the attempt failed by its status, or None."""
-    if NOT_STARTED in answer.headers:
+def classify_status(answer: aiohttp.ClientResponse) -> Outcome | None:
+    """Return the failure that the status stands for, or None."""
+    if _NOT_STARTED_HEADER in answer.headers:
         return Refused(answer.status)
     if answer.status >= _SERVER_ERROR:
         return Broken(f'status {answer.status}', answered=True)
     return None
 
 
-def judge_error(error: Exception) -> Outcome:
-    """Return what an error of the HTTP client says about the attempt.
+def classify_error(error: Exception) -> Outcome:
+    """Return the outcome of an attempt that ended in a client error.
 
-    Only a connection that was never made proves that nothing was written.
+    Only a failure to connect proves that nothing was written.
     """
     match error:
         case aiohttp.ClientConnectorError() | aiohttp.ConnectionTimeoutError():
