--- a/packages/verbenahall/src/verbenahall/front/_engines.py
+++ b/packages/verbenahall/src/verbenahall/front/_engines.py
@@ -1,4 +1,4 @@
-"""The engines' protocol; nothing else speaks it for callers' requests."""
+"""HTTP client for the engines' protocol."""
 
 import asyncio
 from types import MappingProxyType
@@ -16,9 +16,9 @@
     Sessions,
     build_headers,
     build_url,
-    judge_error,
-    judge_status,
-    take_report,
+    classify_error,
+    classify_status,
+    forward_report,
 )
 from verbenahall.front._messages import Answered, ModelCall
 from verbenahall.requests import Broken, Outcome
@@ -31,28 +31,28 @@
 
 @final
 class StreamBrokenError(VerbenahallError):
-    """The connection failed inside a stream."""
+    """The connection failed in the middle of a stream."""
 
 
 @final
 class OpenStream:
-    """The body of a stream, read piece by piece."""
+    """The body of a stream, read in chunks."""
 
     __slots__ = ('_answer',)
 
     def __init__(self, answer: aiohttp.ClientResponse) -> None:
-        """Keep the open answer."""
+        """Store the open answer."""
         self._answer = answer
 
     async def read(self) -> bytes:
-        """Return what has arrived; empty at the end of the body."""
+        """Return the next chunk, or empty bytes at the end of the body."""
         try:
             return await self._answer.content.readany()
         except CLIENT_ERRORS as error:
             raise StreamBrokenError(type(error).__name__) from error
 
     def close(self) -> None:
-        """Give the connection up unless the body was read to its end."""
+        """Close the connection unless the body was read to its end."""
         self._answer.close()
 
 
@@ -61,10 +61,10 @@
     """Sends attempts to engines over HTTP."""
 
     def __init__(self, sessions: Sessions, reports: ReportSink) -> None:
-        """Keep the sessions, and where load reports go."""
+        """Store the sessions and the receiver of load reports."""
         self._sessions = sessions
         self._reports = reports
-        self._cancels: set[asyncio.Task[None]] = set()
+        self._cancel_tasks: set[asyncio.Task[None]] = set()
 
     async def send(
         self,
@@ -73,23 +73,23 @@
         call: ModelCall,
         remaining_s: float,
     ) -> Result[Answered, Outcome]:
-        """Send a plain request and return its whole answer."""
+        """Send a request without streaming and return the complete answer."""
         try:
             answer = await self._post(endpoint, attempt, call, remaining_s)
         except CLIENT_ERRORS as error:
-            return Failure(judge_error(error))
+            return Failure(classify_error(error))
         try:
             body = await answer.read()
         except CLIENT_ERRORS as error:
             return Failure(Broken(type(error).__name__))
         finally:
             answer.close()
-        failed = judge_status(answer)
-        if failed:
-            return Failure(failed)
-        if answer.status == _OK and not _is_own(body, attempt):
+        outcome = classify_status(answer)
+        if outcome:
+            return Failure(outcome)
+        if answer.status == _OK and not _matches_attempt(body, attempt):
             metrics.DROPPED_ANSWERS.add('plain')
-            return Failure(Broken('the answer is of another attempt'))
+            return Failure(Broken('the answer belongs to another attempt'))
         return Success(Answered(answer.status, body, answer.content_type))
 
     async def open_stream(
@@ -100,7 +100,10 @@
         remaining_s: float,
         resume_from: int = 0,
     ) -> Result[OpenStream | Answered, Outcome]:
-        """Send a streamed request; a plain answer is an error of its own."""
+        """Send a streamed request.
+
+        An answer with a status other than 200 is returned as ``Answered``.
+        """
         try:
             answer = await self._post(
                 endpoint,
@@ -110,20 +113,20 @@
                 resume_from,
             )
         except CLIENT_ERRORS as error:
-            return Failure(judge_error(error))
-        failed = judge_status(answer)
-        if failed:
+            return Failure(classify_error(error))
+        outcome = classify_status(answer)
+        if outcome:
             answer.close()
-            return Failure(failed)
+            return Failure(outcome)
         if answer.status == _OK:
             return Success(OpenStream(answer))
-        return await _read_refusal(answer)
+        return await _read_error_answer(answer)
 
     def cancel(self, endpoint: Endpoint, attempt: str) -> None:
-        """Tell the engine, in the background, to stop work on an attempt."""
+        """Cancel an attempt at the engine, in the background."""
         task = asyncio.create_task(self._cancel(endpoint, attempt))
-        self._cancels.add(task)
-        task.add_done_callback(self._cancels.discard)
+        self._cancel_tasks.add(task)
+        task.add_done_callback(self._cancel_tasks.discard)
 
     async def _post(
         self,
@@ -133,7 +136,7 @@
         remaining_s: float,
         resume_from: int = 0,
     ) -> aiohttp.ClientResponse:
-        session = self._sessions.pick(repeatable=call.repeatable)
+        session = self._sessions.select(repeatable=call.repeatable)
         body = call.body
         if resume_from:
             body = wire.encode({**call.table, 'resume_from': resume_from})
@@ -144,23 +147,23 @@
             headers=headers,
             allow_redirects=False,
         )
-        take_report(endpoint, answer.headers, self._reports)
+        forward_report(endpoint, answer.headers, self._reports)
         return answer
 
     async def _cancel(self, endpoint: Endpoint, attempt: str) -> None:
         try:
-            await self._sessions.kept.post(
+            await self._sessions.pooled.post(
                 build_url(endpoint.address, '/cancel'),
                 data=wire.encode({'attempt': attempt}),
                 headers=_CANCEL_HEADERS,
                 timeout=_CANCEL_TIMEOUT,
             )
         except CLIENT_ERRORS:
-            # The engine sees the closed connection as well.
+            # The engine also notices that the connection was closed.
             return
 
 
-async def _read_refusal(
+async def _read_error_answer(
     answer: aiohttp.ClientResponse,
 ) -> Result[OpenStream | Answered, Outcome]:
     try:
@@ -170,16 +173,16 @@
     return Success(Answered(answer.status, body, answer.content_type))
 
 
-def _is_own(body: bytes, attempt: str) -> bool:
-    """Whether a plain answer names the attempt that it answers.
+def _matches_attempt(body: bytes, attempt: str) -> bool:
+    """Whether an answer's body names the given attempt.
 
-    A kept connection may carry bytes of an answer that was given up. Taken
-    for this request's answer, a caller would read another caller's text.
+    A pooled connection may still deliver the answer of an abandoned attempt.
+    Without this check a caller could receive another caller's text.
     """
     if b'"attempt":"%b"' % attempt.encode() in body:
         return True
     match wire.decode_table(body):
-        case Success({'attempt': found}):
-            return found == attempt
+        case Success({'attempt': answered_attempt}):
+            return answered_attempt == attempt
         case _:
             return False
