--- a/packages/verbenahall/src/verbenahall/front/_feedback.py
+++ b/packages/verbenahall/src/verbenahall/front/_feedback.py
@@ -1,20 +1,20 @@
-"""What an attempt's end says about its endpoint."""
+"""Updates the state of an endpoint from the outcome of an attempt."""
 
 from typing import Any, Final
 
 from returns.result import Failure, Result, Success
 
-from verbenahall.front._dependencies import Parts
+from verbenahall.front._dependencies import FrontDependencies
 from verbenahall.load import note_failed
 from verbenahall.requests import Broken, NeverWritten, Outcome, Refused
 
-#: An engine refuses so when it does not hold the model.
+#: Status of an engine that does not have the model loaded.
 _CONFLICT: Final = 409
 
 
-def may_still_run(found: Result[Any, Outcome]) -> bool:
-    """Whether an endpoint may be at work on an attempt that is over."""
-    match found:
+def may_still_run(result: Result[Any, Outcome]) -> bool:
+    """Whether the endpoint may still be working on a finished attempt."""
+    match result:
         case Success(_) | Failure(NeverWritten() | Refused()):
             return False
         case Failure(Broken(answered=True)):
@@ -23,26 +23,26 @@
             return True
 
 
-def give_feedback(
-    parts: Parts,
+def record_outcome(
+    dependencies: FrontDependencies,
     name: str,
-    found: Result[Any, Outcome],
+    result: Result[Any, Outcome],
 ) -> None:
-    """Feed one attempt's end at an endpoint to the states that judge it."""
-    match found:
+    """Update load, membership and engine states from an attempt's outcome."""
+    match result:
         case Failure(Broken(answered=True)):
-            # One request that every engine fails at would otherwise make
-            # all of them count as dead, for everybody.
-            note_failed(parts.load, name, parts.clock())
-            parts.heard(name)
+            # The endpoint answered, so it is alive: otherwise one request
+            # that fails on every engine would mark all of them as down.
+            note_failed(dependencies.load, name, dependencies.clock())
+            dependencies.report_answer(name)
         case Failure(NeverWritten() | Broken()):
-            note_failed(parts.load, name, parts.clock())
-            parts.missed(name)
+            note_failed(dependencies.load, name, dependencies.clock())
+            dependencies.report_failure(name)
         case Failure(Refused(status)):
-            # Until the next poll the state would draw further requests
-            # that the engine cannot take.
+            # The state is outdated; until the next poll it would route
+            # further requests to an engine that cannot serve them.
             if status == _CONFLICT:
-                parts.states.forget(name)
-            parts.heard(name)
+                dependencies.states.forget(name)
+            dependencies.report_answer(name)
         case Success(_):
-            parts.heard(name)
+            dependencies.report_answer(name)
