--- a/packages/verbenahall/src/verbenahall/front/_fleet.py
+++ b/packages/verbenahall/src/verbenahall/front/_fleet.py
@@ -1,4 +1,4 @@
-"""The endpoints that could take a request, as routing wants them."""
+"""The candidate endpoints for a request, in the form that routing needs."""
 
 import itertools
 import math
@@ -11,28 +11,29 @@
 from verbenahall.config import InstanceConfig
 from verbenahall.errors import ErrorKind, Problem
 from verbenahall.fleet import Endpoint, EndpointKind, Role
+from verbenahall.front._dependencies import FrontDependencies
 from verbenahall.front._messages import Call, ModelCall
-from verbenahall.front._dependencies import Parts
 from verbenahall.routing import Candidate, take_subset
 
-#: A list of candidates is used again for this long, in seconds.
-_FRESH_S: Final = 0.02
-_FRESH_S_PER_CANDIDATE: Final = 0.0005
-_MOST_LISTS: Final = 1024
-#: Flags have one slot of their own for this many others, and two at least.
-#: The slots are many, since flags come in bursts and are short; engines serve
-#: them first, so that they hardly keep others waiting.
+#: How long a list of candidates is cached, in seconds.
+_CACHE_S: Final = 0.02
+_CACHE_S_PER_CANDIDATE: Final = 0.0005
+_MAX_CACHED_LISTS: Final = 1024
+#: Flags (priority 0) have one reserved slot per this many ordinary slots, and
+#: at least two. That is many, because flags are short and come in bursts;
+#: engines serve them first, so other requests are hardly delayed.
 _SLOTS_PER_FLAG_SLOT: Final = 2
-_FEWEST_FLAG_SLOTS: Final = 2
-#: All queues of a lane together hold this many times one queue's bound.
-_TOTAL_QUEUES: Final = 2
+_MIN_FLAG_SLOTS: Final = 2
+#: The limit for all queues of a lane together, as a multiple of the limit of
+#: one queue.
+_TOTAL_QUEUE_FACTOR: Final = 2
 
-_Wanted = tuple[str, str, str]
-_Listed = tuple[float, Sequence[Candidate]]
+Requirement = tuple[str, str, str]
+_CachedList = tuple[float, Sequence[Candidate]]
 
 
-def name_wanted(call: Call) -> _Wanted:
-    """Name what an endpoint must hold: service, model, adapter."""
+def get_requirement(call: Call) -> Requirement:
+    """Return the service, model and adapter that a call requires."""
     if isinstance(call, ModelCall):
         return '', call.model, call.adapter
     return call.service, '', ''
@@ -40,110 +41,120 @@
 
 @final
 class FleetView:
-    """Reads membership and engine states, with a short memory."""
+    """Reads membership and engine states, with a short-lived cache."""
 
-    def __init__(self, parts: Parts, config: InstanceConfig) -> None:
-        """Start with an empty memory."""
-        self._parts = parts
+    def __init__(
+        self, dependencies: FrontDependencies, config: InstanceConfig
+    ) -> None:
+        """Start with an empty cache."""
+        self._dependencies = dependencies
         self._config = config
-        self._lists: dict[_Wanted, _Listed] = {}
+        self._cache: dict[Requirement, _CachedList] = {}
 
-    def candidates(self, wanted: _Wanted) -> Sequence[Candidate]:
-        """Return this instance's subset of those that hold what is wanted.
+    def list_candidates(self, requirement: Requirement) -> Sequence[Candidate]:
+        """Return this instance's subset of the endpoints that can serve it.
 
-        Of the own data centre and of others, each up to the subset's size.
-        Routing would narrow as well, but anew for each request.
+        It has one subset of the local data centre and one of all others.
+        Routing would also select a subset, but for every request.
         """
-        now = self._parts.clock()
-        fresh_until, known = self._lists.get(wanted, (-math.inf, ()))
-        if now < fresh_until:
-            return known
-        if len(self._lists) >= _MOST_LISTS:
-            self._lists.clear()
-        service, model, adapter = wanted
-        found = (
+        now = self._dependencies.clock()
+        expires_at, cached = self._cache.get(requirement, (-math.inf, ()))
+        if now < expires_at:
+            return cached
+        if len(self._cache) >= _MAX_CACHED_LISTS:
+            self._cache.clear()
+        service, model, adapter = requirement
+        candidates = (
             self._list_services(service, now)
             if service
             else self._list_engines(model, adapter, now)
         )
-        # The more there are, the dearer the list and the longer it is used.
-        fresh_s = _FRESH_S + _FRESH_S_PER_CANDIDATE * len(found)
-        subset = self._narrow(found)
-        self._lists[wanted] = (now + fresh_s, subset)
+        # A longer list costs more to build and is cached for longer.
+        cache_s = _CACHE_S + _CACHE_S_PER_CANDIDATE * len(candidates)
+        subset = self._select_subset(candidates)
+        self._cache[requirement] = (now + cache_s, subset)
         return subset
 
     def list_names(self) -> set[str]:
-        """Return the names of all live endpoints that take requests."""
-        now = self._parts.clock()
+        """Return the names of all available engines and services."""
+        now = self._dependencies.clock()
         kinds = (EndpointKind.ENGINE, EndpointKind.SERVICE)
-        lists = [self._parts.live(kind, now, '') for kind in kinds]
-        return {found.name for found in itertools.chain.from_iterable(lists)}
-
-    def check(self, wanted: _Wanted) -> Result[None, Problem]:
-        """Say at once when nobody can take the request."""
-        if self.candidates(wanted):
+        lists = [
+            self._dependencies.list_available(kind, now, '') for kind in kinds
+        ]
+        return {
+            endpoint.name for endpoint in itertools.chain.from_iterable(lists)
+        }
+
+    def check(self, requirement: Requirement) -> Result[None, Problem]:
+        """Return the problem if no endpoint can serve the request now."""
+        if self.list_candidates(requirement):
             return Success(None)
-        unready = self._parts.unready()
+        unready = self._dependencies.check_ready()
         if unready:
-            # What is not known yet would be answered as not existing.
+            # Until the instance is ready, a model may only seem not to exist.
             return Failure(unready)
-        service, model, adapter = wanted
-        settings = self._parts.settings()
+        service, model, adapter = requirement
+        settings = self._dependencies.read_settings()
         if service:
-            return self._miss_service(service, settings.services)
+            return self._build_missing_service(service, settings.services)
         known = model in settings.models
-        if not known and not self._parts.states.knows_model(model):
+        if not known and not self._dependencies.states.knows_model(model):
             return _fail(ErrorKind.UNKNOWN_MODEL, f'no model {model!r}')
         if adapter and adapter not in settings.adapters:
             return _fail(ErrorKind.UNKNOWN_MODEL, f'no adapter {adapter!r}')
-        return _fail(ErrorKind.NO_ENDPOINT, f'no engine holds {model!r} now')
+        return _fail(
+            ErrorKind.NO_ENDPOINT, f'no live engine has model {model!r}'
+        )
 
-    def limits_of(self, lane: str) -> AdmissionLimits:
-        """Return the bounds of a lane (``model:name`` or ``service:name``)."""
+    def get_limits(self, lane: str) -> AdmissionLimits:
+        """Return the limits of a lane (``model:name`` or ``service:name``)."""
         kind, _, name = lane.partition(':')
-        wanted = (name, '', '') if kind == 'service' else ('', name, '')
-        count = max(1, len(self.candidates(wanted)))
+        requirement = (name, '', '') if kind == 'service' else ('', name, '')
+        count = max(1, len(self.list_candidates(requirement)))
         limits = self._config.limits
         slots = count * limits.in_flight_per_engine
         return AdmissionLimits(
             slots=slots,
-            flag_slots=max(_FEWEST_FLAG_SLOTS, slots // _SLOTS_PER_FLAG_SLOT),
+            flag_slots=max(_MIN_FLAG_SLOTS, slots // _SLOTS_PER_FLAG_SLOT),
             queue_per_priority=limits.queue_per_priority,
             queue_per_workspace=limits.queue_per_workspace,
-            queue_total=_TOTAL_QUEUES * limits.queue_per_priority,
+            queue_total=_TOTAL_QUEUE_FACTOR * limits.queue_per_priority,
         )
 
     def can_resume(self, name: str) -> bool:
-        """Whether an engine says that it can begin a stream later on."""
-        found = self._parts.states.by_name.get(name)
-        return found is not None and found.resumes
-
-    def version_of(self, name: str, model: str) -> str:
-        """Return the version of a model that an engine holds."""
-        found = self._parts.states.by_name.get(name)
-        return found.models.get(model, '') if found else ''
-
-    def _narrow(self, found: list[Candidate]) -> list[Candidate]:
-        near, far = [], []
-        for candidate in found:
-            own = candidate.endpoint.data_centre == self._config.data_centre
-            (near if own else far).append(candidate)
+        """Whether an engine can resume a stream at a given token."""
+        state = self._dependencies.states.by_name.get(name)
+        return state is not None and state.resumes
+
+    def get_version(self, name: str, model: str) -> str:
+        """Return the version of a model on an engine, or empty text."""
+        state = self._dependencies.states.by_name.get(name)
+        return state.models.get(model, '') if state else ''
+
+    def _select_subset(self, candidates: list[Candidate]) -> list[Candidate]:
+        local, remote = [], []
+        for candidate in candidates:
+            is_local = (
+                candidate.endpoint.data_centre == self._config.data_centre
+            )
+            (local if is_local else remote).append(candidate)
         instance = self._config.name
-        return [*take_subset(instance, near), *take_subset(instance, far)]
+        return [*take_subset(instance, local), *take_subset(instance, remote)]
 
-    def _list_live(
+    def _list_undrained(
         self,
         kind: EndpointKind,
         now: float,
         service: str,
     ) -> list[Endpoint]:
-        """Return the live endpoints that no operator drains."""
-        drains = self._parts.settings().drains
-        live = self._parts.live(kind, now, service)
-        return [found for found in live if found.name not in drains]
+        """Return the available endpoints that no operator is draining."""
+        drains = self._dependencies.read_settings().drains
+        live = self._dependencies.list_available(kind, now, service)
+        return [endpoint for endpoint in live if endpoint.name not in drains]
 
     def _list_services(self, service: str, now: float) -> list[Candidate]:
-        live = self._list_live(EndpointKind.SERVICE, now, service)
+        live = self._list_undrained(EndpointKind.SERVICE, now, service)
         return [Candidate(endpoint, Role.MIXED) for endpoint in live]
 
     def _list_engines(
@@ -152,24 +163,27 @@
         adapter: str,
         now: float,
     ) -> list[Candidate]:
-        found = []
-        for endpoint in self._list_live(EndpointKind.ENGINE, now, ''):
-            state = self._parts.states.by_name.get(endpoint.name)
-            # Another process under the same name holds other models; its
-            # predecessor's state must not draw requests to it.
+        candidates = []
+        for endpoint in self._list_undrained(EndpointKind.ENGINE, now, ''):
+            state = self._dependencies.states.by_name.get(endpoint.name)
+            # A new process under the same name may have other models, so
+            # the state of its predecessor must not be used for it.
             if state is None or state.incarnation != endpoint.incarnation:
                 continue
             if state.holds(model, adapter):
-                found.append(Candidate(endpoint, state.role))
-        return found
+                candidates.append(Candidate(endpoint, state.role))
+        return candidates
 
-    def _miss_service(
+    def _build_missing_service(
         self,
         service: str,
         known: object,
     ) -> Result[None, Problem]:
         if service in known:
-            return _fail(ErrorKind.NO_ENDPOINT, f'{service!r} is not live')
+            return _fail(
+                ErrorKind.NO_ENDPOINT,
+                f'no endpoint of service {service!r} is live',
+            )
         return _fail(ErrorKind.NOT_FOUND, f'no service {service!r}')
 
 
