--- a/packages/verbenahall/src/verbenahall/front/_messages.py
+++ b/packages/verbenahall/src/verbenahall/front/_messages.py
@@ -1,4 +1,4 @@
-"""Callers' requests once they are read and checked."""
+"""Callers' requests after parsing and validation."""
 
 import dataclasses
 from typing import Any
@@ -7,20 +7,20 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Head:
-    """What every request says by its headers.
+class RequestHead:
+    """The headers that all kinds of requests share.
 
-    ``received`` is in monotonic seconds. ``key`` is the Idempotency-Key,
-    empty for none.
+    ``received_at`` is in monotonic seconds. ``key`` is the Idempotency-Key,
+    or empty text.
     """
 
     ticket: Ticket
     key: str
-    received: float
+    received_at: float
 
     @property
     def request(self) -> str:
-        """The identity of the request."""
+        """The request ID."""
         return self.ticket.request
 
     @property
@@ -31,12 +31,14 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class ModelCall:
-    """A request to a model; ``body`` is the caller's own JSON.
+    """A request to a model.
 
-    Token counts are estimates from the text's length and ``max_tokens``.
+    ``body`` is the JSON as received and ``table`` the decoded object. The
+    token counts are estimates from the length of the text and ``max_tokens``.
+    ``prefix`` is a hash of the start of a long prompt, or empty text.
     """
 
-    head: Head
+    head: RequestHead
     path: str
     body: bytes
     table: dict[str, Any]
@@ -49,7 +51,7 @@
 
     @property
     def repeatable(self) -> bool:
-        """A call with a key is billed: it runs at most once."""
+        """Whether it may run twice; a call with a key is billed and may not."""
         return not self.head.key
 
 
@@ -57,7 +59,7 @@
 class ServiceCall:
     """A request to a plain service; ``target`` is its raw path and query."""
 
-    head: Head
+    head: RequestHead
     service: str
     method: str
     target: str
@@ -72,7 +74,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Answered:
-    """A whole answer of an endpoint."""
+    """A complete answer of an endpoint."""
 
     status: int
     body: bytes
