--- a/packages/verbenahall/src/verbenahall/front/_pipeline.py
+++ b/packages/verbenahall/src/verbenahall/front/_pipeline.py
@@ -1,4 +1,4 @@
-"""The way of a request from admission to its answer."""
+"""Handles a request from admission to its response."""
 
 from typing import final
 
@@ -8,13 +8,13 @@
 from verbenahall import metrics
 from verbenahall.admission import RateLimiter
 from verbenahall.errors import Problem
-from verbenahall.front._answers import REQUEST_ID, answer_problem
-from verbenahall.front._attempts import Attempts
+from verbenahall.front._answers import REQUEST_ID_HEADER, answer_problem
+from verbenahall.front._attempts import AttemptRunner
+from verbenahall.front._dependencies import FrontDependencies
 from verbenahall.front._fleet import FleetView
-from verbenahall.front._messages import Answered, Call, Head, ModelCall
-from verbenahall.front._dependencies import Parts
+from verbenahall.front._messages import Answered, Call, ModelCall, RequestHead
 from verbenahall.front._progress import Progress
-from verbenahall.front._relay import Relay
+from verbenahall.front._relay import StreamRelay
 from verbenahall.front._senders import (
     PlainSender,
     ServiceSender,
@@ -24,59 +24,59 @@
 
 
 @final
-class Flow:
-    """Admits a request, runs its attempts and answers the caller."""
+class RequestPipeline:
+    """Admits a request, runs its attempts and builds the response."""
 
     def __init__(
         self,
-        parts: Parts,
+        dependencies: FrontDependencies,
         fleet: FleetView,
-        gate: RateLimiter,
-        attempts: Attempts,
+        admission: RateLimiter,
+        attempts: AttemptRunner,
     ) -> None:
-        """Keep the rooms that a request passes through."""
-        self._parts = parts
+        """Store the stages of the pipeline."""
+        self._dependencies = dependencies
         self._fleet = fleet
-        self._gate = gate
+        self._admission = admission
         self._attempts = attempts
-        self._relays: set[Relay] = set()
+        self._relays: set[StreamRelay] = set()
 
-    async def take(
+    async def handle(
         self,
         lane: str,
         call: Call,
         request: web.Request,
     ) -> web.StreamResponse:
-        """Answer a request of a lane (``model:name``, ``service:name``)."""
+        """Handle a request of a lane (``model:name`` or ``service:name``)."""
         progress = Progress(call)
         ticket = call.head.ticket
-        checked = self._fleet.check(progress.wanted)
+        checked = self._fleet.check(progress.requirement)
         if isinstance(checked, Success):
-            self._tell_arrival(call)
-            checked = await self._gate.enter(lane, ticket)
+            self._record_demand(call)
+            checked = await self._admission.enter(lane, ticket)
         if isinstance(checked, Failure):
-            return self._answer_failure(call.head, checked.failure())
-        waited = self._parts.clock() - call.head.received
+            return self._build_failure(call.head, checked.failure())
+        waited = self._dependencies.clock() - call.head.received_at
         metrics.QUEUE_SECONDS.observe(waited)
         try:
             return await self._serve(progress, call, request)
         finally:
-            self._gate.leave(lane, ticket)
+            self._admission.leave(lane, ticket)
 
-    def drop_stalled(self, longest_s: float) -> None:
-        """Let go of callers that have not read for so long."""
-        now = self._parts.clock()
+    def abort_stalled(self, max_stall_s: float) -> None:
+        """Disconnect callers that have read nothing for ``max_stall_s``."""
+        now = self._dependencies.clock()
         for relay in tuple(self._relays):
-            relay.drop_if_stalled(now, longest_s)
+            relay.abort_if_stalled(now, max_stall_s)
 
-    def _tell_arrival(self, call: Call) -> None:
-        """Count the request as demand, whether or not it is shed.
+    def _record_demand(self, call: Call) -> None:
+        """Count a model request as demand, even if admission sheds it later.
 
-        Models that nobody serves are not counted: their names come from
-        callers and would fill the memory.
+        It is called only for models that are being served: callers choose the
+        names of others, which would fill the memory.
         """
         if isinstance(call, ModelCall):
-            self._parts.arrived(
+            self._dependencies.record_demand(
                 call.model,
                 call.prompt_tokens,
                 call.output_tokens,
@@ -92,11 +92,13 @@
             case ModelCall(stream=True):
                 return await self._relay(progress, call, request)
             case ModelCall():
-                sender = PlainSender(self._parts.adapters.engines, call)
+                sender = PlainSender(self._dependencies.adapters.engines, call)
             case _:
-                sender = ServiceSender(self._parts.adapters.services, call)
-        found = await self._attempts.run(progress, sender)
-        return self._answer(call.head, found)
+                sender = ServiceSender(
+                    self._dependencies.adapters.services, call
+                )
+        result = await self._attempts.run(progress, sender)
+        return self._build_response(call.head, result)
 
     async def _relay(
         self,
@@ -104,46 +106,53 @@
         call: ModelCall,
         request: web.Request,
     ) -> web.StreamResponse:
-        """Run a streamed request; the caller learns how it ended."""
+        """Run a streamed request.
+
+        A failure after the first token is sent as an error event.
+        """
         head = call.head
-        relay = Relay(request, head.request, head.received, self._parts.clock)
-        engines = self._parts.adapters.engines
+        relay = StreamRelay(
+            request, head.request, head.received_at, self._dependencies.clock
+        )
+        engines = self._dependencies.adapters.engines
         sender = StreamSender(engines, progress, call, relay, self._fleet)
         self._relays.add(relay)
         try:
-            found = await self._attempts.run(progress, sender)
+            result = await self._attempts.run(progress, sender)
         finally:
             self._relays.discard(relay)
-        if isinstance(found, Success):
+        if isinstance(result, Success):
             metrics.REQUESTS.add(str(head.ticket.priority), 'ok')
-            return found.unwrap()
-        answer = self._answer_failure(head, found.failure())
+            return result.unwrap()
+        answer = self._build_failure(head, result.failure())
         if relay.response is None:
             return answer
-        return await relay.fail(found.failure())
+        return await relay.send_error(result.failure())
 
-    def _answer(
+    def _build_response(
         self,
-        head: Head,
-        found: Result[Answered, Problem],
+        head: RequestHead,
+        result: Result[Answered, Problem],
     ) -> web.StreamResponse:
-        if isinstance(found, Failure):
-            return self._answer_failure(head, found.failure())
-        answered = found.unwrap()
+        if isinstance(result, Failure):
+            return self._build_failure(head, result.failure())
+        answered = result.unwrap()
         metrics.REQUESTS.add(str(head.ticket.priority), 'ok')
         metrics.FIRST_TOKEN_SECONDS.observe(
-            self._parts.clock() - head.received,
+            self._dependencies.clock() - head.received_at,
         )
         return web.Response(
             status=answered.status,
             body=answered.body,
             headers={
                 'Content-Type': answered.content_type,
-                REQUEST_ID: head.request,
+                REQUEST_ID_HEADER: head.request,
             },
         )
 
-    def _answer_failure(self, head: Head, problem: Problem) -> web.Response:
+    def _build_failure(
+        self, head: RequestHead, problem: Problem
+    ) -> web.Response:
         kind = problem.kind.value
         metrics.REQUESTS.add(str(head.ticket.priority), kind)
         write_decision(
