--- a/packages/verbenahall/src/verbenahall/front/_placement.py
+++ b/packages/verbenahall/src/verbenahall/front/_placement.py
@@ -1,4 +1,4 @@
-"""Places an attempt: route, claim, name."""
+"""Places an attempt: chooses its endpoint, claims its key, assigns its ID."""
 
 import asyncio
 import dataclasses
@@ -7,89 +7,89 @@
 from returns.result import Failure, Result, Success
 
 from verbenahall.errors import ErrorKind, Problem, Ran
+from verbenahall.front._dependencies import FrontDependencies
 from verbenahall.front._fleet import FleetView
-from verbenahall.front._dependencies import Parts
 from verbenahall.front._progress import (
-    Placed,
+    PlacedAttempt,
     Progress,
-    ask_routing,
-    recall_doubt,
+    adjust_problem,
+    build_routing_request,
 )
 from verbenahall.journal import write_decision
 from verbenahall.requests import AttemptNames
 from verbenahall.routing import Candidate, Choice, RoutingState, choose
 
-#: Shown as the age of a report that was never heard, in seconds.
-_NEVER_HEARD_S: Final = 1e9
+#: Logged as the age of the load report if there is none, in seconds.
+_NO_REPORT_AGE_S: Final = 1e9
 
 
 @final
 class Placer:
-    """Finds the endpoint of each attempt."""
+    """Chooses the endpoint of each attempt."""
 
     def __init__(
         self,
-        parts: Parts,
+        dependencies: FrontDependencies,
         fleet: FleetView,
         routing: RoutingState,
-        names: AttemptNames,
+        ids: AttemptNames,
     ) -> None:
-        """Keep what the choice reads."""
-        self._parts = parts
+        """Store what placement depends on."""
+        self._dependencies = dependencies
         self._fleet = fleet
         self._routing = routing
-        self._names = names
+        self._ids = ids
 
-    async def place(self, progress: Progress) -> Result[Placed, Problem]:
-        """Choose an endpoint and name the attempt, or say why not."""
+    async def place(self, progress: Progress) -> Result[PlacedAttempt, Problem]:
+        """Return a placed attempt, or the problem that prevents it."""
         chosen = self._choose(progress)
         if isinstance(chosen, Failure):
-            return chosen.alt(lambda found: recall_doubt(found, progress))
+            return chosen.alt(lambda problem: adjust_problem(problem, progress))
         claimed = await self._claim(progress)
         if isinstance(claimed, Failure):
             return claimed
-        remaining = progress.call.head.deadline - self._parts.clock()
+        remaining = progress.call.head.deadline - self._dependencies.clock()
         if remaining <= 0:
-            return Failure(recall_doubt(_describe_late(), progress))
+            return Failure(adjust_problem(_build_deadline_problem(), progress))
         progress.attempts += 1
         choice = chosen.unwrap()
-        attempt = self._names.next_name()
-        self._write_route(progress, choice, attempt)
-        return Success(Placed(choice.endpoint, attempt, remaining))
+        attempt = self._ids.next_name()
+        self._log_route(progress, choice, attempt)
+        return Success(PlacedAttempt(choice.endpoint, attempt, remaining))
 
     def list_candidates(self, progress: Progress) -> list[Candidate]:
-        """Return the endpoints that may take the next attempt."""
-        candidates = self._fleet.candidates(progress.wanted)
-        if not progress.delivered:
+        """Return the endpoints that are eligible for the next attempt."""
+        candidates = self._fleet.list_candidates(progress.requirement)
+        if not progress.delivered_tokens:
             return list(candidates)
-        # The rest of an answer may only come from the same model version,
-        # or the caller would read two halves of different answers.
+        # A partly delivered answer may only be continued by the same model
+        # version; another one would produce a different answer.
         return [
             candidate
             for candidate in candidates
-            if self._may_go_on(progress, candidate.endpoint.name)
+            if self._may_resume(progress, candidate.endpoint.name)
         ]
 
     def _choose(self, progress: Progress) -> Result[Choice, Problem]:
         candidates = self.list_candidates(progress)
-        now = self._parts.clock()
-        load = self._parts.load
-        question = ask_routing(progress)
+        now = self._dependencies.clock()
+        load = self._dependencies.load
+        question = build_routing_request(progress)
         chosen = choose(self._routing, question, candidates, load, now)
         if progress.excluded and isinstance(chosen, Failure):
-            # All have failed once; the one that did so may have recovered.
+            # Every endpoint has failed once; one of them may have recovered.
             question = dataclasses.replace(question, excluded=frozenset())
             chosen = choose(self._routing, question, candidates, load, now)
         return chosen
 
-    def _may_go_on(self, progress: Progress, name: str) -> bool:
-        _, model, _ = progress.wanted
+    def _may_resume(self, progress: Progress, name: str) -> bool:
+        _, model, _ = progress.requirement
         return (
             self._fleet.can_resume(name)
-            and self._fleet.version_of(name, model) == progress.version
+            and self._fleet.get_version(name, model) == progress.version
         )
 
-    def _write_route(
+    def _log_route(
         self,
         progress: Progress,
         choice: Choice,
@@ -104,29 +104,29 @@
             chosen=choice.endpoint.name,
             over=choice.over,
             load=round(choice.belief.load, 2),
-            age_s=min(round(choice.belief.age_s, 3), _NEVER_HEARD_S),
+            age_s=min(round(choice.belief.age_s, 3), _NO_REPORT_AGE_S),
             reason=choice.reason,
-            settings_offset=self._parts.position(),
+            settings_offset=self._dependencies.read_position(),
         )
 
     async def _claim(self, progress: Progress) -> Result[int, Problem]:
-        """Win the key before the first byte of a keyed call is written."""
-        if progress.claim is not None or not progress.needs_claim:
+        """Claim the key of a keyed call before any of it is sent."""
+        if progress.claim_offset is not None or not progress.needs_claim:
             return Success(0)
         head = progress.call.head
-        remaining = head.deadline - self._parts.clock()
+        remaining = head.deadline - self._dependencies.clock()
         try:
             async with asyncio.timeout(remaining):
-                claimed = await self._parts.claim(
+                claimed = await self._dependencies.claim(
                     head.ticket.workspace,
                     head.key,
                 )
         except TimeoutError:
-            return Failure(_describe_late())
-        progress.claim = claimed.value_or(None)
+            return Failure(_build_deadline_problem())
+        progress.claim_offset = claimed.value_or(None)
         return claimed
 
 
-def _describe_late() -> Problem:
+def _build_deadline_problem() -> Problem:
     message = 'the deadline passed before the request was sent'
     return Problem(ErrorKind.DEADLINE_EXCEEDED, message, Ran.NO)
