--- a/packages/verbenahall/src/verbenahall/front/_progress.py
+++ b/packages/verbenahall/src/verbenahall/front/_progress.py
@@ -1,4 +1,4 @@
-"""What a request has been through, and what one attempt is."""
+"""The progress of a request over its attempts."""
 
 import dataclasses
 from typing import Final, Protocol, TypeVar, final
@@ -7,24 +7,24 @@
 
 from verbenahall.errors import ErrorKind, Problem, Ran
 from verbenahall.fleet import Endpoint
-from verbenahall.front._fleet import name_wanted
+from verbenahall.front._fleet import get_requirement
 from verbenahall.front._messages import Call, ModelCall
 from verbenahall.requests import Outcome
 from verbenahall.routing import Question
 
-#: Work of a request in typical ones: a typical one has this many tokens.
+#: Output tokens of a typical request, the unit of work.
 _TYPICAL_TOKENS: Final = 512
-_LEAST_WORK: Final = 0.25
-_MOST_WORK: Final = 8.0
-#: An engine reads this many prompt tokens while it writes one.
-_PREFILL_SPEED_UP: Final = 16
+_MIN_WORK: Final = 0.25
+_MAX_WORK: Final = 8.0
+#: Prompt tokens that an engine prefills in the time it decodes one token.
+_PREFILL_TOKENS_PER_OUTPUT_TOKEN: Final = 16
 
 Sent = TypeVar('Sent', covariant=True)
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Placed:
-    """An attempt at an endpoint; ``remaining_s`` until the deadline."""
+class PlacedAttempt:
+    """An attempt with its endpoint; ``remaining_s`` is until the deadline."""
 
     endpoint: Endpoint
     attempt: str
@@ -32,51 +32,52 @@
 
 
 class Sender(Protocol[Sent]):
-    """Sends one kind of request, by the protocol of its endpoints."""
+    """Sends one kind of request in the protocol of its endpoints."""
 
-    async def send(self, placed: Placed) -> Result[Sent, Outcome]:
+    async def send(self, placed: PlacedAttempt) -> Result[Sent, Outcome]:
         """Run one attempt to its end."""
 
-    def cancel(self, placed: Placed) -> None:
-        """Stop the work of an attempt that was given up."""
+    def cancel(self, placed: PlacedAttempt) -> None:
+        """Cancel the work of an abandoned attempt."""
 
 
 @final
 class Progress:
-    """What one request has been through so far.
+    """The progress of one request over its attempts.
 
-    ``delivered`` counts the tokens that reached the caller, and ``version``
-    is the model's version that they came from. ``claim`` is the offset at
-    which its key was won, None before.
+    ``delivered_tokens`` counts the tokens sent to the caller, and ``version``
+    is the model version that produced them. ``claim_offset`` is the offset of
+    the record that claimed the request's key, or None. ``may_have_run`` says
+    that an earlier attempt ended with an unknown outcome.
     """
 
     __slots__ = (
         'call',
-        'wanted',
+        'requirement',
         'attempts',
         'excluded',
         'needs_claim',
-        'claim',
-        'unknown',
-        'delivered',
+        'claim_offset',
+        'may_have_run',
+        'delivered_tokens',
         'version',
     )
 
     def __init__(self, call: Call) -> None:
-        """Start before the first attempt."""
+        """Start without attempts."""
         self.call = call
-        self.wanted = name_wanted(call)
+        self.requirement = get_requirement(call)
         self.attempts = 0
         self.excluded: frozenset[str] = frozenset()
         self.needs_claim = bool(call.head.key) and not call.repeatable
-        self.claim: int | None = None
-        self.unknown = False
-        self.delivered = 0
+        self.claim_offset: int | None = None
+        self.may_have_run = False
+        self.delivered_tokens = 0
         self.version = ''
 
 
-def ask_routing(progress: Progress) -> Question:
-    """Return what routing is asked for the next attempt."""
+def build_routing_request(progress: Progress) -> Question:
+    """Return the input of routing for the next attempt."""
     call = progress.call
     if not isinstance(call, ModelCall):
         return Question(call.head.request, excluded=progress.excluded)
@@ -91,18 +92,25 @@
 
 
 def estimate_work(call: Call) -> float:
-    """Return a request's work in typical requests."""
+    """Return the work of a request as a multiple of a typical request."""
     if not isinstance(call, ModelCall):
         return 1
-    tokens = call.prompt_tokens / _PREFILL_SPEED_UP + call.output_tokens
-    return min(_MOST_WORK, max(_LEAST_WORK, tokens / _TYPICAL_TOKENS))
+    tokens = (
+        call.prompt_tokens / _PREFILL_TOKENS_PER_OUTPUT_TOKEN
+        + call.output_tokens
+    )
+    return min(_MAX_WORK, max(_MIN_WORK, tokens / _TYPICAL_TOKENS))
+
 
+def adjust_problem(problem: Problem, progress: Progress) -> Problem:
+    """Return the final problem, with earlier attempts taken into account.
 
-def recall_doubt(problem: Problem, progress: Progress) -> Problem:
-    """Keep an earlier attempt's doubt in the final answer."""
-    if progress.delivered:
-        message = 'no engine is left that can go on with the answer'
+    The answer is truncated if tokens were delivered, and ``ran`` is unknown if
+    an earlier attempt may have run.
+    """
+    if progress.delivered_tokens:
+        message = 'no engine is available to continue the answer'
         return Problem(ErrorKind.ANSWER_TRUNCATED, message)
-    if progress.unknown:
+    if progress.may_have_run:
         return dataclasses.replace(problem, ran=Ran.UNKNOWN)
     return problem
