--- a/packages/verbenahall/src/verbenahall/front/_reader.py
+++ b/packages/verbenahall/src/verbenahall/front/_reader.py
@@ -1,4 +1,4 @@
-"""Reads a caller's request within its bounds."""
+"""Reads requests within their limits."""
 
 import asyncio
 from typing import final
@@ -9,31 +9,31 @@
 from verbenahall.clock import Clock
 from verbenahall.config import LimitsConfig
 from verbenahall.errors import ErrorKind, Problem, ProblemError
-from verbenahall.front._messages import Head
+from verbenahall.front._messages import RequestHead
 from verbenahall.front._parse import read_head
 from verbenahall.requests import AttemptNames
 
 
 @final
-class Reader:
-    """Reads heads and bodies, and names the requests."""
+class RequestReader:
+    """Reads request heads and bodies, and assigns request IDs."""
 
     def __init__(
         self,
         limits: LimitsConfig,
-        names: AttemptNames,
+        ids: AttemptNames,
         clock: Clock,
     ) -> None:
-        """Keep the bounds."""
+        """Store the limits and the source of request IDs."""
         self._limits = limits
-        self._names = names
+        self._ids = ids
         self._clock = clock
 
-    def read_head(self, request: web.Request) -> Head:
-        """Check the headers, or raise the problem with them."""
+    def read_head(self, request: web.Request) -> RequestHead:
+        """Parse the headers; raise ``ProblemError`` if they are invalid."""
         read = read_head(
             request.headers,
-            self._names.next_name(),
+            self._ids.next_name(),
             self._limits.default_deadline_s,
             self._clock(),
         )
@@ -42,7 +42,7 @@
         return read.unwrap()
 
     async def read_body(self, request: web.Request) -> bytes:
-        """Read the body within its time; a slow sender is let go."""
+        """Read the body; raise ``ProblemError`` if it takes too long."""
         try:
             async with asyncio.timeout(self._limits.body_timeout_s):
                 return await request.read()
