--- a/packages/verbenahall/src/verbenahall/front/_relay.py
+++ b/packages/verbenahall/src/verbenahall/front/_relay.py
@@ -1,4 +1,4 @@
-"""Passes an engine's stream on to the caller, across resumed attempts."""
+"""Forwards an engine's stream to the caller, across resumed attempts."""
 
 from collections.abc import Mapping
 from types import MappingProxyType
@@ -10,7 +10,7 @@
 from verbenahall import metrics, wire
 from verbenahall.clock import Clock
 from verbenahall.errors import Problem
-from verbenahall.front._answers import REQUEST_ID, describe_problem
+from verbenahall.front._answers import REQUEST_ID_HEADER, build_error_body
 from verbenahall.front._engines import OpenStream, StreamBrokenError
 from verbenahall.requests import Broken, Outcome, StreamState, feed
 
@@ -24,13 +24,13 @@
 
 
 @final
-class Relay:
-    """The caller's side of a stream; it begins with the first token."""
+class StreamRelay:
+    """The response stream to a caller; it starts with the first token."""
 
     __slots__ = (
-        '_web',
+        '_web_request',
         '_request',
-        '_received',
+        '_received_at',
         '_clock',
         '_writing_since',
         'response',
@@ -40,80 +40,82 @@
         self,
         web_request: web.Request,
         request: str,
-        received: float,
+        received_at: float,
         clock: Clock,
     ) -> None:
-        """Keep the request; nothing is sent yet."""
-        self._web = web_request
+        """Store the request; nothing is sent yet."""
+        self._web_request = web_request
         self._request = request
-        self._received = received
+        self._received_at = received_at
         self._clock = clock
         self._writing_since: float | None = None
         self.response: web.StreamResponse | None = None
 
-    async def pump(
+    async def forward(
         self,
         stream: OpenStream,
         state: StreamState,
     ) -> Result[web.StreamResponse, Outcome]:
-        """Pass events on until the end mark, or say how the stream broke."""
-        last = self._clock()
+        """Forward events to the end marker, or return how the stream failed."""
+        last_event_at = self._clock()
         while not state.done:
             try:
-                piece = await stream.read()
+                chunk = await stream.read()
             except StreamBrokenError as error:
                 return Failure(Broken(str(error)))
-            if not piece:
-                return Failure(Broken('the stream ended without its mark'))
-            step = feed(state, piece)
+            if not chunk:
+                return Failure(Broken('the stream ended without [DONE]'))
+            step = feed(state, chunk)
             if step.passed:
-                last = self._time(last)
-                response = self.response or await self._begin()
-                self._writing_since = last
+                last_event_at = self._record_timing(last_event_at)
+                response = self.response or await self._start_response()
+                self._writing_since = last_event_at
                 await response.write(step.passed)
                 self._writing_since = None
             if state.gap:
-                return Failure(Broken('a token is missing'))
+                return Failure(
+                    Broken('a token index is missing from the stream')
+                )
         return Success(await self._finish())
 
-    async def fail(self, problem: Problem) -> web.StreamResponse:
-        """Tell a caller who has part of the answer that it ends early."""
-        response = self.response or await self._begin()
-        body = wire.encode(describe_problem(problem))
+    async def send_error(self, problem: Problem) -> web.StreamResponse:
+        """End the stream with an error event; the answer is incomplete."""
+        response = self.response or await self._start_response()
+        body = wire.encode(build_error_body(problem))
         await response.write(b'data: %b\n\n' % body)
         await response.write_eof()
         return response
 
-    def drop_if_stalled(self, now: float, longest_s: float) -> None:
-        """Close the connection of a caller that has stopped reading.
+    def abort_if_stalled(self, now: float, max_stall_s: float) -> None:
+        """Abort the connection of a caller that has stopped reading.
 
-        Its stream would hold an engine's slot until the deadline, and a few
-        such callers all slots.
+        Its stream would occupy an engine's slot until the deadline, and a few
+        such callers could occupy all slots.
         """
         since = self._writing_since
-        if since is None or now - since <= longest_s:
+        if since is None or now - since <= max_stall_s:
             return
-        transport = self._web.transport
+        transport = self._web_request.transport
         if transport is not None:
             transport.abort()
 
-    async def _begin(self) -> web.StreamResponse:
+    async def _start_response(self) -> web.StreamResponse:
         self.response = web.StreamResponse(
-            headers={**_HEADERS, REQUEST_ID: self._request},
+            headers={**_HEADERS, REQUEST_ID_HEADER: self._request},
         )
-        await self.response.prepare(self._web)
+        await self.response.prepare(self._web_request)
         return self.response
 
     async def _finish(self) -> web.StreamResponse:
-        response = self.response or await self._begin()
+        response = self.response or await self._start_response()
         await response.write(_DONE)
         await response.write_eof()
         return response
 
-    def _time(self, last: float) -> float:
+    def _record_timing(self, last_event_at: float) -> float:
         now = self._clock()
         if self.response is None:
-            metrics.FIRST_TOKEN_SECONDS.observe(now - self._received)
+            metrics.FIRST_TOKEN_SECONDS.observe(now - self._received_at)
         else:
-            metrics.TOKEN_GAP_SECONDS.observe(now - last)
+            metrics.TOKEN_GAP_SECONDS.observe(now - last_event_at)
         return now
