--- a/packages/verbenahall/src/verbenahall/front/_senders.py
+++ b/packages/verbenahall/src/verbenahall/front/_senders.py
@@ -1,4 +1,4 @@
-"""One sender for each kind of request: plain, streamed, plain service."""
+"""Senders for plain and streamed model requests and for plain services."""
 
 from typing import final
 
@@ -6,28 +6,28 @@
 from returns.result import Failure, Result
 
 from verbenahall import metrics
-from verbenahall.front._progress import Placed, Progress
 from verbenahall.front._engines import EngineAdapter, OpenStream
 from verbenahall.front._fleet import FleetView
 from verbenahall.front._messages import Answered, ModelCall, ServiceCall
-from verbenahall.front._relay import Relay
+from verbenahall.front._progress import PlacedAttempt, Progress
+from verbenahall.front._relay import StreamRelay
 from verbenahall.front._services import ServiceAdapter
 from verbenahall.requests import Broken, Outcome, StreamState
 
 
 @final
 class PlainSender:
-    """Sends a model request that is answered in one piece."""
+    """Sends a model request whose answer is not streamed."""
 
     __slots__ = ('_engines', '_call')
 
     def __init__(self, engines: EngineAdapter, call: ModelCall) -> None:
-        """Keep the request and the protocol."""
+        """Store the request and the client that sends it."""
         self._engines = engines
         self._call = call
 
-    async def send(self, placed: Placed) -> Result[Answered, Outcome]:
-        """Run one attempt to its whole answer."""
+    async def send(self, placed: PlacedAttempt) -> Result[Answered, Outcome]:
+        """Run one attempt and return the complete answer."""
         return await self._engines.send(
             placed.endpoint,
             placed.attempt,
@@ -35,8 +35,8 @@
             placed.remaining_s,
         )
 
-    def cancel(self, placed: Placed) -> None:
-        """Tell the engine to stop."""
+    def cancel(self, placed: PlacedAttempt) -> None:
+        """Cancel the attempt at the engine."""
         self._engines.cancel(placed.endpoint, placed.attempt)
 
 
@@ -47,12 +47,12 @@
     __slots__ = ('_services', '_call')
 
     def __init__(self, services: ServiceAdapter, call: ServiceCall) -> None:
-        """Keep the request and the protocol."""
+        """Store the request and the client that sends it."""
         self._services = services
         self._call = call
 
-    async def send(self, placed: Placed) -> Result[Answered, Outcome]:
-        """Run one attempt to its whole answer."""
+    async def send(self, placed: PlacedAttempt) -> Result[Answered, Outcome]:
+        """Run one attempt and return the complete answer."""
         return await self._services.send(
             placed.endpoint,
             placed.attempt,
@@ -60,13 +60,13 @@
             placed.remaining_s,
         )
 
-    def cancel(self, placed: Placed) -> None:
-        """Do nothing: a plain service learns it by the closed connection."""
+    def cancel(self, placed: PlacedAttempt) -> None:
+        """Do nothing: a plain service notices the closed connection."""
 
 
 @final
 class StreamSender:
-    """Sends a streamed request, and its rest after a break."""
+    """Sends a streamed request, and resumes it after a failed attempt."""
 
     __slots__ = ('_engines', '_progress', '_call', '_relay', '_fleet')
 
@@ -75,25 +75,29 @@
         engines: EngineAdapter,
         progress: Progress,
         call: ModelCall,
-        relay: Relay,
+        relay: StreamRelay,
         fleet: FleetView,
     ) -> None:
-        """Keep the request, its progress and the caller's side."""
+        """Store the request, its progress and the stream to the caller."""
         self._engines = engines
         self._progress = progress
         self._call = call
         self._relay = relay
         self._fleet = fleet
 
-    async def send(self, placed: Placed) -> Result[web.StreamResponse, Outcome]:
-        """Run one attempt from the token reached to the end mark."""
-        version = self._fleet.version_of(placed.endpoint.name, self._call.model)
+    async def send(
+        self, placed: PlacedAttempt
+    ) -> Result[web.StreamResponse, Outcome]:
+        """Run one attempt from the next undelivered token to the end."""
+        version = self._fleet.get_version(
+            placed.endpoint.name, self._call.model
+        )
         opened = await self._engines.open_stream(
             placed.endpoint,
             placed.attempt,
             self._call,
             placed.remaining_s,
-            self._progress.delivered,
+            self._progress.delivered_tokens,
         )
         if isinstance(opened, Failure):
             return opened
@@ -101,25 +105,25 @@
         if isinstance(stream, Answered):
             return Failure(Broken(f'status {stream.status}'))
         self._progress.version = version
-        return await self._pump(placed, stream)
+        return await self._forward(placed, stream)
 
-    def cancel(self, placed: Placed) -> None:
-        """Tell the engine to stop."""
+    def cancel(self, placed: PlacedAttempt) -> None:
+        """Cancel the attempt at the engine."""
         self._engines.cancel(placed.endpoint, placed.attempt)
 
-    async def _pump(
+    async def _forward(
         self,
-        placed: Placed,
+        placed: PlacedAttempt,
         stream: OpenStream,
     ) -> Result[web.StreamResponse, Outcome]:
-        state = StreamState(placed.attempt, self._progress.delivered)
+        state = StreamState(placed.attempt, self._progress.delivered_tokens)
         try:
-            return await self._relay.pump(stream, state)
+            return await self._relay.forward(stream, state)
         finally:
             stream.close()
-            self._note(state)
+            self._record_progress(state)
 
-    def _note(self, state: StreamState) -> None:
-        self._progress.delivered = state.index
+    def _record_progress(self, state: StreamState) -> None:
+        self._progress.delivered_tokens = state.index
         for _ in range(state.dropped):
             metrics.DROPPED_ANSWERS.add('event')
