--- a/packages/verbenahall/src/verbenahall/front/_server.py
+++ b/packages/verbenahall/src/verbenahall/front/_server.py
@@ -1,4 +1,4 @@
-"""How the application and the client sessions are made."""
+"""Creates the application and the client sessions."""
 
 from typing import Final
 
@@ -16,23 +16,23 @@
 
 
 def make_application(limits: LimitsConfig) -> web.Application:
-    """Make the application that all routes of an instance are added to."""
+    """Create the application to which an instance adds its routes."""
     return web.Application(client_max_size=limits.body_bytes)
 
 
-def make_session(*, fresh: bool = False) -> ClientSession:
-    """Make a client session towards endpoints.
+def make_session(*, single_use: bool = False) -> ClientSession:
+    """Create a client session for calls to endpoints.
 
-    With ``fresh`` each call gets a connection of its own. A kept connection
-    may be closed by the endpoint just while a request is written to it; then
-    nobody knows whether it ran, and a call that must not be repeated would
-    fail for nothing.
+    With ``single_use`` each call opens a new connection. An endpoint may close
+    a pooled connection while a request is being written to it. It is then
+    unknown whether the request ran, and a call that must not be repeated would
+    fail needlessly.
     """
-    keepalive = None if fresh else _IDLE_CONNECTION_S
+    keepalive = None if single_use else _IDLE_CONNECTION_S
     return ClientSession(
         connector=TCPConnector(
             limit=0,
-            force_close=fresh,
+            force_close=single_use,
             keepalive_timeout=keepalive,
             use_dns_cache=False,
         ),
