--- a/packages/verbenahall/src/verbenahall/front/_services.py
+++ b/packages/verbenahall/src/verbenahall/front/_services.py
@@ -1,4 +1,4 @@
-"""The plain services' protocol."""
+"""HTTP client for plain services."""
 
 from typing import final
 
@@ -12,9 +12,9 @@
     Sessions,
     build_headers,
     build_url,
-    judge_error,
-    judge_status,
-    take_report,
+    classify_error,
+    classify_status,
+    forward_report,
 )
 from verbenahall.front._messages import Answered, ServiceCall
 from verbenahall.requests import Outcome
@@ -25,7 +25,7 @@
     """Sends attempts to plain services over HTTP."""
 
     def __init__(self, sessions: Sessions, reports: ReportSink) -> None:
-        """Keep the sessions, and where load reports go."""
+        """Store the sessions and the receiver of load reports."""
         self._sessions = sessions
         self._reports = reports
 
@@ -36,8 +36,8 @@
         call: ServiceCall,
         remaining_s: float,
     ) -> Result[Answered, Outcome]:
-        """Send a request and return its whole answer."""
-        session = self._sessions.pick(repeatable=call.repeatable)
+        """Send a request and return the complete answer."""
+        session = self._sessions.select(repeatable=call.repeatable)
         headers = build_headers(
             call.head,
             attempt,
@@ -56,16 +56,16 @@
             async with request as answer:
                 return await self._read(endpoint, answer)
         except CLIENT_ERRORS as error:
-            return Failure(judge_error(error))
+            return Failure(classify_error(error))
 
     async def _read(
         self,
         endpoint: Endpoint,
         answer: aiohttp.ClientResponse,
     ) -> Result[Answered, Outcome]:
-        take_report(endpoint, answer.headers, self._reports)
+        forward_report(endpoint, answer.headers, self._reports)
         body = await answer.read()
-        failed = judge_status(answer)
-        if failed:
-            return Failure(failed)
+        outcome = classify_status(answer)
+        if outcome:
+            return Failure(outcome)
         return Success(Answered(answer.status, body, answer.content_type))
