--- a/packages/verbenahall/src/verbenahall/front/_shell.py
+++ b/packages/verbenahall/src/verbenahall/front/_shell.py
@@ -1,4 +1,4 @@
-"""The routes that callers use."""
+"""The HTTP routes for callers."""
 
 import asyncio
 import secrets
@@ -11,97 +11,106 @@
 from verbenahall.admission import RateLimiter, WorkspaceBounds
 from verbenahall.config import InstanceConfig
 from verbenahall.front._answers import answer_problem
-from verbenahall.front._attempts import Attempts
+from verbenahall.front._attempts import AttemptRunner
+from verbenahall.front._dependencies import FrontDependencies
 from verbenahall.front._fleet import FleetView
-from verbenahall.front._pipeline import Flow
 from verbenahall.front._parse import read_model_call, read_service_call
-from verbenahall.front._dependencies import Parts
+from verbenahall.front._pipeline import RequestPipeline
 from verbenahall.front._placement import Placer
-from verbenahall.front._reader import Reader
+from verbenahall.front._reader import RequestReader
 from verbenahall.requests import AttemptNames
 from verbenahall.routing import RoutingState
 
 _REFRESH_S: Final = 0.1
-_TIDY_S: Final = 10.0
+_CLEANUP_S: Final = 10.0
 _INCARNATION_BYTES: Final = 6
 
 
 @final
 class Front:
-    """Takes callers' requests and answers each of them once.
+    """Handles callers' requests.
 
-    ``config`` is the instance's own settings file, ``parts`` the states and
-    clients of other slices (see ``Parts``). ``run`` must run beside the
-    server: it refreshes limits and ends attempts at silent endpoints. The
-    application is best made by ``make_application`` and run by ``Runner``,
-    which hold the limits that lie below the routes::
+    ``config`` is the instance's settings file, ``dependencies`` the states and
+    clients of other slices (see ``FrontDependencies``). ``run`` must run
+    alongside the server: it refreshes limits and ends attempts at unresponsive
+    endpoints. Create the application with ``make_application`` and run it with
+    ``Runner``, which enforce the limits below the level of routes::
 
         app = make_application(config.limits)
-        front = Front(config, parts)
+        front = Front(config, dependencies)
         front.add_routes(app)
         runner = Runner(app, config.limits)
     """
 
-    def __init__(self, config: InstanceConfig, parts: Parts) -> None:
-        """Compose the request's way; nothing is opened yet."""
+    def __init__(
+        self, config: InstanceConfig, dependencies: FrontDependencies
+    ) -> None:
+        """Build the request pipeline; nothing is opened yet."""
         incarnation = secrets.token_hex(_INCARNATION_BYTES)
-        routing = RoutingState(config.name, config.data_centre, parts.source)
+        routing = RoutingState(
+            config.name, config.data_centre, dependencies.rng
+        )
         attempts = AttemptNames(f'{config.name}.{incarnation}')
         requests = AttemptNames(f'r-{incarnation}')
-        fleet = FleetView(parts, config)
+        fleet = FleetView(dependencies, config)
         self._fleet = fleet
         self._limits = config.limits
-        self._parts = parts
-        self._reader = Reader(config.limits, requests, parts.clock)
-        self._gate = RateLimiter(fleet.limits_of, parts.clock)
-        placer = Placer(parts, fleet, routing, attempts)
-        self._attempts = Attempts(parts, placer)
-        self._flow = Flow(parts, fleet, self._gate, self._attempts)
+        self._dependencies = dependencies
+        self._reader = RequestReader(
+            config.limits, requests, dependencies.clock
+        )
+        self._admission = RateLimiter(fleet.get_limits, dependencies.clock)
+        placer = Placer(dependencies, fleet, routing, attempts)
+        self._attempts = AttemptRunner(dependencies, placer)
+        self._pipeline = RequestPipeline(
+            dependencies, fleet, self._admission, self._attempts
+        )
 
     def add_routes(self, app: web.Application) -> None:
-        """Add the callers' routes and the two health routes."""
-        app.router.add_post('/v1/completions', self._take_model_call)
-        app.router.add_post('/v1/chat/completions', self._take_model_call)
+        """Add the routes for callers and the two health routes."""
+        app.router.add_post('/v1/completions', self._handle_model_call)
+        app.router.add_post('/v1/chat/completions', self._handle_model_call)
         app.router.add_route(
             '*',
             '/services/{name}{tail:(/.*)?}',
-            self._take_service_call,
+            self._handle_service_call,
         )
         app.router.add_get('/healthz', self._show_health)
         app.router.add_get('/readyz', self._show_ready)
 
     async def run(self) -> None:
-        """Refresh limits and end attempts at silent endpoints."""
+        """Refresh limits and end attempts at unresponsive endpoints."""
         async with asyncio.TaskGroup() as group:
-            group.create_task(self._gate.run())
+            group.create_task(self._admission.run())
             group.create_task(self._refresh())
-            group.create_task(self._tidy())
+            group.create_task(self._remove_stale_endpoints())
 
     async def _refresh(self) -> None:
         position = -1
         while True:
-            # Thousands of workspaces are read only after a change of them.
-            if position != self._parts.position():
-                position = self._parts.position()
-                self._gate.apply_workspaces(self._read_workspaces())
-            self._gate.refresh()
-            self._attempts.abandon_silent()
-            self._flow.drop_stalled(self._limits.body_timeout_s)
+            # There may be thousands of workspaces, so they are read again
+            # only when the settings have changed.
+            if position != self._dependencies.read_position():
+                position = self._dependencies.read_position()
+                self._admission.apply_workspaces(self._read_workspaces())
+            self._admission.refresh()
+            self._attempts.abandon_unresponsive()
+            self._pipeline.abort_stalled(self._limits.body_timeout_s)
             await asyncio.sleep(_REFRESH_S)
 
-    async def _tidy(self) -> None:
+    async def _remove_stale_endpoints(self) -> None:
         while True:
-            await asyncio.sleep(_TIDY_S)
-            self._parts.load.keep(self._fleet.list_names())
+            await asyncio.sleep(_CLEANUP_S)
+            self._dependencies.load.keep(self._fleet.list_names())
 
     def _read_workspaces(self) -> dict[str, WorkspaceBounds]:
-        workspaces = self._parts.settings().workspaces
+        workspaces = self._dependencies.read_settings().workspaces
         return {
-            name: WorkspaceBounds(row.share, row.queue)
-            for name, row in workspaces.items()
+            name: WorkspaceBounds(bounds.share, bounds.queue)
+            for name, bounds in workspaces.items()
         }
 
-    async def _take_model_call(
+    async def _handle_model_call(
         self,
         request: web.Request,
     ) -> web.StreamResponse:
@@ -116,23 +125,25 @@
         if isinstance(read, Failure):
             return answer_problem(read.failure(), head.request)
         call = read.unwrap()
-        return await self._flow.take(f'model:{call.model}', call, request)
+        return await self._pipeline.handle(f'model:{call.model}', call, request)
 
-    async def _take_service_call(
+    async def _handle_service_call(
         self,
         request: web.Request,
     ) -> web.StreamResponse:
         head = self._reader.read_head(request)
         body = await self._reader.read_body(request)
-        services = self._parts.settings().services
+        services = self._dependencies.read_settings().services
         call = read_service_call(head, request, body, services)
-        return await self._flow.take(f'service:{call.service}', call, request)
+        return await self._pipeline.handle(
+            f'service:{call.service}', call, request
+        )
 
     async def _show_health(self, request: web.Request) -> web.Response:
         return web.Response(body=wire.encode({'alive': True}))
 
     async def _show_ready(self, request: web.Request) -> web.Response:
-        problem = self._parts.unready()
+        problem = self._dependencies.check_ready()
         if problem:
             return answer_problem(problem)
         return web.Response(body=wire.encode({'ready': True}))
