--- a/packages/verbenahall/src/verbenahall/front/__init__.py
+++ b/packages/verbenahall/src/verbenahall/front/__init__.py
@@ -1,10 +1,10 @@
-"""The callers' HTTP interface."""
+"""HTTP interface for callers."""
 
 from verbenahall.front._answers import answer_problem
 from verbenahall.front._connections import Patience, Runner
+from verbenahall.front._dependencies import Adapters, FrontDependencies
 from verbenahall.front._endpoints import Sessions
 from verbenahall.front._engines import EngineAdapter
-from verbenahall.front._dependencies import Adapters, Parts
 from verbenahall.front._server import make_application, make_session
 from verbenahall.front._services import ServiceAdapter
 from verbenahall.front._shell import Front
@@ -13,7 +13,7 @@
     'Adapters',
     'EngineAdapter',
     'Front',
-    'Parts',
+    'FrontDependencies',
     'Patience',
     'Runner',
     'ServiceAdapter',
