--- a/packages/verbenahall/src/verbenahall/instance/__init__.py
+++ b/packages/verbenahall/src/verbenahall/instance/__init__.py
@@ -1,4 +1,4 @@
-"""One running instance: the slices composed into a process."""
+"""Composes the slices into an instance and runs it as a process."""
 
 from verbenahall.config import InstanceConfig
 from verbenahall.instance._serve import serve
