--- a/packages/verbenahall/src/verbenahall/instance/_control.py
+++ b/packages/verbenahall/src/verbenahall/instance/_control.py
@@ -8,11 +8,10 @@
 from verbenahall.authority import LeaseKeeper, LeaseTiming
 from verbenahall.fleet import Endpoint, EndpointKind
 from verbenahall.instance._core import Core
+from verbenahall.instance._dependencies import ControllerDependencies
+from verbenahall.instance._discovery import FleetDiscovery
 from verbenahall.instance._gauges import Gauges
-from verbenahall.instance._discovery import FleetKnowledge
 from verbenahall.instance._pools import Pools
-from verbenahall.supervisor import Loops
-from verbenahall.instance._dependencies import Surroundings
 from verbenahall.load import EngineStates, read_engine_state
 from verbenahall.membership import (
     ListPoller,
@@ -23,34 +22,35 @@
 from verbenahall.orders import Dispatch, OrderSender, OrderTiming
 from verbenahall.roles import RolePlanner
 from verbenahall.rollout import Controller
+from verbenahall.supervisor import Loops
 
 #: Names of the loops that a graceful stop ends before the others.
-CONTROLLER: Final = 'controller'
-KEEPER: Final = 'lease'
+CONTROLLER_LOOP: Final = 'controller'
+LEASE_LOOP: Final = 'lease'
 
 
 @final
 class Control:
-    """What an instance does besides answering callers."""
+    """The loops and states of an instance besides request handling."""
 
     def __init__(self, core: Core) -> None:
-        """Build the loops over the core's states; none runs yet."""
+        """Build the loops on the core's states; none is started yet."""
         self._core = core
         self.scope = core.config.data_centre
         self.states = EngineStates()
-        self.surroundings = Surroundings(
+        self.dependencies = ControllerDependencies(
             self.scope,
             core.folds,
             core.members,
         )
-        self._knowledge = FleetKnowledge(
+        self._discovery = FleetDiscovery(
             core.members,
-            self.surroundings,
+            self.dependencies,
             self.states,
         )
-        self.keeper = self._build_keeper()
+        self.lease_manager = self._build_lease_manager()
         self.planner = self._build_planner()
-        self.surroundings.roles = lambda: self.planner.roles
+        self.dependencies.roles = lambda: self.planner.roles
         self.peers = self._build_peers()
         self._controller = self._build_controller()
 
@@ -60,13 +60,13 @@
         timing = core.config.timing
         poller = ListPoller(
             core.config.platform.instance_list,
-            core.sessions.kept,
+            core.sessions.pooled,
             core.members,
             timing.list_poll_s,
         )
-        prober = Prober(core.sessions.kept, core.members, core.source)
+        prober = Prober(core.sessions.pooled, core.members, core.rng)
         follower = core.snapshots.follower
-        gauges = Gauges(core.folds, follower, self.keeper, self.scope)
+        gauges = Gauges(core.folds, follower, self.lease_manager, self.scope)
         return {
             'log': core.snapshots.run,
             'claims': core.claims.run,
@@ -75,18 +75,20 @@
             'peers': self.peers.run,
             'roles': self.planner.run,
             'gauges': gauges.run,
-            KEEPER: self.keeper.run,
-            CONTROLLER: self._controller.run,
+            LEASE_LOOP: self.lease_manager.run,
+            CONTROLLER_LOOP: self._controller.run,
         }
 
     def read_readiness(self) -> Readiness:
-        """Say whether the instance takes requests, and if not, why not."""
+        """Return whether the instance takes requests, and if not, why not."""
         readiness = self._core.read_readiness()
-        if readiness.ready and not self._knowledge.is_complete():
-            return Readiness(ready=False, reason='the fleet is not known yet')
+        if readiness.ready and not self._discovery.is_complete():
+            return Readiness(
+                ready=False, reason='the fleet has not been discovered yet'
+            )
         return readiness
 
-    def _build_keeper(self) -> LeaseKeeper:
+    def _build_lease_manager(self) -> LeaseKeeper:
         timing = self._core.config.timing
         return LeaseKeeper(
             self._core.folds.authority,
@@ -100,10 +102,10 @@
     def _build_planner(self) -> RolePlanner:
         pools = Pools(
             self.scope,
-            self.surroundings,
+            self.dependencies,
             self._core.members,
             self.states,
-            self.keeper,
+            self.lease_manager,
         )
         return RolePlanner(pools)
 
@@ -114,14 +116,14 @@
             timing.longest_pause_s,
         )
         sender = OrderSender(
-            lambda now: self.keeper.held(self.scope, now),
+            lambda now: self.lease_manager.held(self.scope, now),
             order_timing,
-            heard=self._take_state,
+            heard=self._record_state,
         )
         return Controller(
-            self.surroundings,
+            self.dependencies,
             self._core.folds.orders,
-            self.keeper,
+            self.lease_manager,
             self._core.client,
             sender,
             Dispatch(order_timing),
@@ -129,7 +131,7 @@
 
     def _build_peers(self) -> PeerExchange:
         core = self._core
-        own = Endpoint(
+        local_instance = Endpoint(
             core.config.name,
             EndpointKind.INSTANCE,
             core.config.listen,
@@ -137,28 +139,29 @@
             core.incarnation,
         )
         return PeerExchange(
-            core.sessions.kept,
+            core.sessions.pooled,
             core.members,
-            own,
-            self._report_to_peers,
+            local_instance,
+            self._build_peer_report,
             core.config.timing.heartbeat_s,
         )
 
-    def _report_to_peers(self) -> OwnReport:
+    def _build_peer_report(self) -> OwnReport:
         return OwnReport(
             ready=self.read_readiness().ready,
             position=self._core.folds.settings.position,
         )
 
-    def _take_state(self, table: dict[str, Any]) -> None:
-        """Let routing know what an engine under an order has just told.
+    def _record_state(self, table: dict[str, Any]) -> None:
+        """Store the state that an engine returned for an order.
 
-        Heard only by the slower polls, the end of a change would leave the
-        engine idle, and callers turned away where it is the only one.
+        Otherwise routing would see the end of a change only at the next, slower
+        poll. Until then the engine would stay idle, and if it is the only one
+        with its model, requests would be rejected.
         """
         read = read_engine_state(table)
         if not isinstance(read, Success):
             return
-        found = read.unwrap()
-        if found.name in self._core.members.members:
-            self.states.put(found)
+        state = read.unwrap()
+        if state.name in self._core.members.members:
+            self.states.put(state)
