--- a/packages/verbenahall/src/verbenahall/instance/_core.py
+++ b/packages/verbenahall/src/verbenahall/instance/_core.py
@@ -1,7 +1,7 @@
-"""What every other part of an instance stands on.
+"""The shared core of an instance.
 
-The sessions, the log with its folds, the membership, and whether the
-instance is ready.
+It consists of the client sessions, the log with its folds, the membership,
+and the readiness of the instance.
 """
 
 import random
@@ -14,8 +14,8 @@
 from verbenahall.config import InstanceConfig
 from verbenahall.fleet import Endpoint, EndpointKind
 from verbenahall.front import Sessions, make_session
-from verbenahall.instance._membership_adapter import Experience
 from verbenahall.instance._folds import Folds
+from verbenahall.instance._membership_adapter import MembershipAdapter
 from verbenahall.log import LogClient
 from verbenahall.membership import (
     MembershipRules,
@@ -26,24 +26,25 @@
 from verbenahall.snapshots import SnapshotKeeper
 
 _INCARNATION_BYTES: Final = 4
-#: The log counts as heard while its last answer is at most this old.
-_HEARD_S: Final = 10.0
+#: Maximum age of the log's last answer, in seconds, at which the instance can
+#: count as caught up.
+_MAX_CONTACT_AGE_S: Final = 10.0
 
 
 @final
 class Core:
-    """The parts that the control loops and the callers' path share."""
+    """The parts that the control loops and request handling share."""
 
     def __init__(self, config: InstanceConfig) -> None:
-        """Build every part; the loop must be running."""
+        """Build every part; the event loop must be running."""
         self.config = config
         self.incarnation = secrets.token_hex(_INCARNATION_BYTES)
         self.holder = f'{config.name}.{self.incarnation}'
-        self.source = random.Random(self.holder)
-        self.sessions = Sessions(make_session(), make_session(fresh=True))
+        self.rng = random.Random(self.holder)
+        self.sessions = Sessions(make_session(), make_session(single_use=True))
         self.client = LogClient(
             config.platform.log,
-            self.sessions.kept,
+            self.sessions.pooled,
             self.holder,
         )
         self.claims = Claims(self.client, self.holder)
@@ -51,18 +52,18 @@
         self.members = MembershipState(
             MembershipRules(silent_after_s=config.timing.silent_after_s),
         )
-        self.experience = Experience(self.members, self.folds.orders)
+        self.membership = MembershipAdapter(self.members, self.folds.orders)
         self.snapshots = SnapshotKeeper(
             self.client,
             self.folds.list_foldables(),
-            self.sessions.kept,
+            self.sessions.pooled,
             self._list_peers,
             is_peer=self._is_peer,
         )
         self.stopping = False
 
     def read_readiness(self) -> Readiness:
-        """Say whether the instance takes requests, and if not, why not."""
+        """Return whether the instance takes requests, and if not, why not."""
         if self.stopping:
             return Readiness(ready=False, reason='stopping')
         if not self.snapshots.ready:
@@ -70,32 +71,32 @@
         return Readiness(ready=True)
 
     def is_caught_up(self) -> bool:
-        """Whether the follower has read to the log's end just now."""
+        """Whether the follower has recently read up to the end of the log."""
         follower = self.snapshots.follower
         age_s = clock.monotonic() - follower.last_contact
-        heard = follower.head >= 0 and age_s < _HEARD_S
-        return heard and follower.position >= follower.head
+        is_recent = follower.head >= 0 and age_s < _MAX_CONTACT_AGE_S
+        return is_recent and follower.position >= follower.head
 
     async def close(self) -> None:
         """Close the client sessions."""
-        await self.sessions.kept.close()
-        await self.sessions.fresh.close()
+        await self.sessions.pooled.close()
+        await self.sessions.single_use.close()
 
     def _list_peers(self) -> list[str]:
-        """Return the other instances' addresses, the data centre's first."""
+        """Return the other instances' addresses, local data centre first."""
         now = clock.monotonic()
-        found = live(self.members, EndpointKind.INSTANCE, now)
-        others = [peer for peer in found if peer.name != self.config.name]
-        others.sort(key=self._is_far)
+        instances = live(self.members, EndpointKind.INSTANCE, now)
+        others = [peer for peer in instances if peer.name != self.config.name]
+        others.sort(key=self._is_in_other_data_centre)
         return [peer.address for peer in others]
 
     def _is_peer(self, host: str) -> bool:
-        """Whether a host is that of an instance on the platform's list."""
+        """Whether the platform's list has an instance with this host."""
         return any(
             endpoint.kind is EndpointKind.INSTANCE
             and endpoint.address.rpartition(':')[0] == host
             for endpoint in all_endpoints(self.members)
         )
 
-    def _is_far(self, peer: Endpoint) -> bool:
+    def _is_in_other_data_centre(self, peer: Endpoint) -> bool:
         return peer.data_centre != self.config.data_centre
