--- a/packages/verbenahall/src/verbenahall/instance/_dependencies.py
+++ b/packages/verbenahall/src/verbenahall/instance/_dependencies.py
@@ -1,4 +1,4 @@
-"""What the controller of a data centre reads anew at each step."""
+"""The inputs that the controller of a data centre reads at each step."""
 
 from collections.abc import Callable, Mapping, Sequence
 from typing import Final, final
@@ -15,19 +15,19 @@
 from verbenahall.routing import rank_by_rendezvous
 from verbenahall.settings import EffectiveSettings, effective
 
-#: Engines of other data centres that are kept in sight.
-_SPILL_ENGINES: Final = 8
+#: Number of polled engines of other data centres.
+_SPILLOVER_ENGINES: Final = 8
 
 
 @final
-class Surroundings:
-    """Settings in force, the data centre's engines, and wished roles."""
+class ControllerDependencies:
+    """Effective settings, the data centre's engines, and planned roles."""
 
     __slots__ = (
-        '_far',
         '_folds',
+        '_local',
         '_members',
-        '_own',
+        '_remote',
         '_revision',
         'data_centre',
         'roles',
@@ -39,58 +39,58 @@
         folds: Folds,
         members: MembershipState,
     ) -> None:
-        """Read from these states; ``roles`` reads the role planner's wish."""
+        """Store the states; ``roles`` returns the role planner's roles."""
         self.data_centre = data_centre
         self._folds = folds
         self._members = members
         self._revision = -1
-        self._own: list[Endpoint] = []
-        self._far: list[Endpoint] = []
+        self._local: list[Endpoint] = []
+        self._remote: list[Endpoint] = []
         self.roles: Callable[[], Mapping[str, Role]] = dict
 
     def read_settings(self) -> EffectiveSettings:
-        """Return the settings in force."""
+        """Return the effective settings."""
         return effective(self._folds.settings)
 
     def list_engines(self, now: float) -> Sequence[tuple[Endpoint, Standing]]:
-        """Return the data centre's engines with their standing."""
+        """Return the data centre's engines with their status."""
         return [
             (engine, standing_of(self._members, engine.name, now))
-            for engine in self.own_engines()
+            for engine in self.list_local_engines()
         ]
 
-    def own_engines(self) -> Sequence[Endpoint]:
-        """Return the data centre's engines, whatever their standing."""
-        self._sort_engines()
-        return self._own
+    def list_local_engines(self) -> Sequence[Endpoint]:
+        """Return the data centre's engines, whatever their status."""
+        self._refresh_engines()
+        return self._local
 
-    def watched_engines(self) -> Sequence[Endpoint]:
-        """Return the own engines, and a few of other data centres.
+    def list_polled_engines(self) -> Sequence[Endpoint]:
+        """Return the local engines, and a few of other data centres.
 
-        Requests spill over to these when the own ones are all gone. Which
-        ones differs by data centre, so that not all spill to the same.
+        Requests spill over to the latter when all local engines are down. Each
+        data centre selects different ones, which spreads the spillover.
         """
-        self._sort_engines()
-        return [*self._own, *self._far]
+        self._refresh_engines()
+        return [*self._local, *self._remote]
 
-    def is_far(self, name: str) -> bool:
-        """Whether an endpoint stands in another data centre."""
+    def is_in_other_data_centre(self, name: str) -> bool:
+        """Whether an endpoint is in another data centre."""
         endpoint = find(self._members, name)
-        return endpoint is not None and self._is_elsewhere(endpoint)
+        return endpoint is not None and self._is_remote(endpoint)
 
-    def standing(self, name: str) -> Standing:
-        """Return an endpoint's standing at this moment."""
+    def find_status(self, name: str) -> Standing:
+        """Return an endpoint's current status."""
         return standing_of(self._members, name, clock.monotonic())
 
     def read_roles(self) -> Mapping[str, Role]:
-        """Return the role planner's wish for engines of automatic pools."""
+        """Return the planned roles for engines of automatic pools."""
         return self.roles()
 
-    def _sort_engines(self) -> None:
-        """Pick out the engines anew when members have come or gone.
+    def _refresh_engines(self) -> None:
+        """Update the lists of engines if the membership has changed.
 
-        Several loops ask for them many times a second, and a list of all
-        endpoints is long.
+        They are cached, since several loops read them many times a second and
+        the list of all endpoints is long.
         """
         if self._revision == self._members.revision:
             return
@@ -100,10 +100,14 @@
             for endpoint in all_endpoints(self._members)
             if endpoint.kind is EndpointKind.ENGINE
         ]
-        self._own = [one for one in engines if not self._is_elsewhere(one)]
-        far = {one.name: one for one in engines if self._is_elsewhere(one)}
-        ranked = rank_by_rendezvous(self.data_centre, far)
-        self._far = [far[name] for name in ranked[:_SPILL_ENGINES]]
+        self._local = [
+            engine for engine in engines if not self._is_remote(engine)
+        ]
+        remote = {
+            engine.name: engine for engine in engines if self._is_remote(engine)
+        }
+        ranked = rank_by_rendezvous(self.data_centre, remote)
+        self._remote = [remote[name] for name in ranked[:_SPILLOVER_ENGINES]]
 
-    def _is_elsewhere(self, endpoint: Endpoint) -> bool:
+    def _is_remote(self, endpoint: Endpoint) -> bool:
         return endpoint.data_centre != self.data_centre
