--- a/packages/verbenahall/src/verbenahall/instance/_discovery.py
+++ b/packages/verbenahall/src/verbenahall/instance/_discovery.py
@@ -1,8 +1,7 @@
-"""Whether a starting instance knows enough of the fleet to take requests.
+"""Whether a starting instance has discovered enough of the fleet.
 
-An instance that takes requests before it knows the fleet answers that no
-engine holds the model and that the service does not exist, while the fleet
-is there and the other instances use it.
+An instance that takes requests before that would answer that no engine has the
+model, or that a service does not exist, although the other instances use them.
 """
 
 from collections.abc import Container, Iterable
@@ -10,7 +9,7 @@
 
 from verbenahall import clock
 from verbenahall.fleet import EndpointKind, Standing
-from verbenahall.instance._dependencies import Surroundings
+from verbenahall.instance._dependencies import ControllerDependencies
 from verbenahall.load import EngineStates
 from verbenahall.membership import (
     MembershipState,
@@ -19,25 +18,26 @@
 )
 from verbenahall.settings import EffectiveSettings
 
-#: Waiting for all of a large data centre would take minutes.
-_ENOUGH_ENGINES: Final = 16
-#: The list shows a registration up to this many seconds later; what it has
-#: not shown by then is taken for gone.
+#: Number of engines whose state is enough; waiting for every engine of a large
+#: data centre would take minutes.
+_SUFFICIENT_ENGINES: Final = 16
+#: Maximum delay between a registration and its appearance on the list, in
+#: seconds. Endpoints that are not listed by then count as removed.
 LIST_DELAY_S: Final = 3.0
 
 
-def is_fleet_known(
+def is_fleet_discovered(
     members: MembershipState,
     settings: EffectiveSettings,
     data_centre: str,
-    heard: Container[str],
+    reporting: Container[str],
     now: float,
 ) -> bool:
-    """Whether the list and enough of the engines in it have been heard.
+    """Whether the list was read and enough of its engines have reported.
 
-    ``heard`` holds the engines that have told their state. What the settings
-    name and the list does not show is waited for, for ``LIST_DELAY_S`` from
-    the first list on: the list may be older than the endpoint.
+    ``reporting`` holds the names of the engines whose state is known. Endpoints
+    that the settings name but the list does not show are awaited for up to
+    ``LIST_DELAY_S`` after the first list, which may be older than they are.
     """
     if members.first_listed_at is None:
         return False
@@ -47,19 +47,19 @@
         if endpoint.kind is EndpointKind.ENGINE
         and endpoint.data_centre == data_centre
     ]
-    live = _pick_live(members, engines, now)
-    heard_count = sum(name in heard for name in live)
-    if heard_count < min(len(live), _ENOUGH_ENGINES):
+    live = _filter_live(members, engines, now)
+    reporting_count = sum(name in reporting for name in live)
+    if reporting_count < min(len(live), _SUFFICIENT_ENGINES):
         return False
     if now - members.first_listed_at >= LIST_DELAY_S:
         return True
-    if engines and not heard_count:
-        # Every engine missed its first poll, as happens while all start.
+    if engines and not reporting_count:
+        # No engine answered its first poll; this happens while all start.
         return False
-    return _shows_all(members, settings, data_centre)
+    return _lists_all(members, settings, data_centre)
 
 
-def _pick_live(
+def _filter_live(
     members: MembershipState,
     names: Iterable[str],
     now: float,
@@ -71,12 +71,12 @@
     ]
 
 
-def _shows_all(
+def _lists_all(
     members: MembershipState,
     settings: EffectiveSettings,
     data_centre: str,
 ) -> bool:
-    """Whether the list shows all engines and services the settings name."""
+    """Whether the list shows all engines and services in the settings."""
     engines = {
         name
         for pool in settings.pools.values()
@@ -86,39 +86,40 @@
     services = set(settings.services)
     if not engines and not services:
         return False
-    shown = {endpoint.service for endpoint in all_endpoints(members)}
-    return engines <= members.members.keys() and services <= shown
+    listed_services = {endpoint.service for endpoint in all_endpoints(members)}
+    return engines <= members.members.keys() and services <= listed_services
 
 
 @final
-class FleetKnowledge:
-    """Remembers that the fleet was known once.
+class FleetDiscovery:
+    """Tracks whether the fleet was discovered.
 
-    Once known, the fleet stays known: a new engine makes nobody unready.
+    Once discovered, it stays so: a new engine must not make a running instance
+    unready.
     """
 
-    __slots__ = ('_known', '_members', '_states', '_surroundings')
+    __slots__ = ('_dependencies', '_discovered', '_members', '_states')
 
     def __init__(
         self,
         members: MembershipState,
-        surroundings: Surroundings,
+        dependencies: ControllerDependencies,
         states: EngineStates,
     ) -> None:
         """Read from these states."""
-        self._known = False
+        self._discovered = False
         self._members = members
-        self._surroundings = surroundings
+        self._dependencies = dependencies
         self._states = states
 
     def is_complete(self) -> bool:
-        """Whether the fleet is, or once was, known."""
-        if not self._known:
-            self._known = is_fleet_known(
+        """Whether the fleet has been discovered, now or earlier."""
+        if not self._discovered:
+            self._discovered = is_fleet_discovered(
                 self._members,
-                self._surroundings.read_settings(),
-                self._surroundings.data_centre,
+                self._dependencies.read_settings(),
+                self._dependencies.data_centre,
                 self._states.by_name,
                 clock.monotonic(),
             )
-        return self._known
+        return self._discovered
