--- a/packages/verbenahall/src/verbenahall/instance/_foldables.py
+++ b/packages/verbenahall/src/verbenahall/instance/_foldables.py
@@ -1,4 +1,4 @@
-"""The folds of authority, orders and claims as sections of snapshots."""
+"""Sections of snapshots for the folds of authority, orders and claims."""
 
 from typing import Any, Final, final
 
@@ -9,13 +9,13 @@
 _POSITION: Final = 'position'
 _GRANTS: Final = 'grants'
 _ORDERS: Final = 'orders'
-_SEEN: Final = 'seen'
-_KEPT_IDENTITIES: Final = 4096
+_IDENTITIES: Final = 'seen'
+_MAX_IDENTITIES: Final = 4096
 
 
 @final
 class AuthorityFold:
-    """Grants; goes before the orders, which count under them."""
+    """The grants; applied before the orders, whose validity depends on them."""
 
     __slots__ = ('_state',)
 
@@ -26,7 +26,7 @@
         self._state = state
 
     def apply_record(self, record: Record) -> None:
-        """Apply one record, read now."""
+        """Apply one record, read at the current time."""
         authority.apply_record(self._state, record, clock.monotonic())
 
     def dump(self) -> dict[str, Any]:
@@ -37,7 +37,7 @@
         }
 
     def load(self, section: dict[str, Any]) -> None:
-        """Take grants over; their leases count from now."""
+        """Load grants; their leases start at the current time."""
         authority.restore_state(
             self._state,
             section[_GRANTS],
@@ -50,43 +50,43 @@
 class OrdersFold:
     """The latest valid order of each engine.
 
-    An append whose answer was lost may be tried again while the first try
-    still lies in a socket of the log, and land a second time after newer
-    orders. It would then put an engine's older target back, under a token
-    that still holds; so a second copy is dropped by its identity. As many
-    identities are kept as batches are recorded in hours.
+    An append whose answer was lost is retried while the first attempt may
+    still wait in a socket of the log. The log then stores a second copy, maybe
+    after newer orders, and that copy would restore an older target under a
+    fencing token that is still valid. Copies are therefore dropped by their
+    identity. The identities of several hours of batches are stored.
     """
 
-    __slots__ = ('_seen', '_state')
+    __slots__ = ('_identities', '_state')
 
     name: Final = 'orders'
 
     def __init__(self, state: orders.OrdersState) -> None:
         """Fold into ``state``."""
         self._state = state
-        self._seen: dict[str, None] = {}
+        self._identities: dict[str, None] = {}
 
     def apply_record(self, record: Record) -> None:
-        """Apply one record unless it is a second copy."""
+        """Apply one record unless it is a copy of an earlier one."""
         if record.stream == ORDERS_STREAM:
-            if record.identity in self._seen:
+            if record.identity in self._identities:
                 return
-            self._seen[record.identity] = None
-            if len(self._seen) > _KEPT_IDENTITIES:
-                self._seen.pop(next(iter(self._seen)))
+            self._identities[record.identity] = None
+            if len(self._identities) > _MAX_IDENTITIES:
+                self._identities.pop(next(iter(self._identities)))
         orders.apply_record(self._state, record)
 
     def dump(self) -> dict[str, Any]:
-        """Return the orders and the identities seen."""
+        """Return the orders and the stored identities."""
         return {
             _POSITION: self._state.position,
-            _SEEN: list(self._seen),
+            _IDENTITIES: list(self._identities),
             _ORDERS: orders.export_state(self._state),
         }
 
     def load(self, section: dict[str, Any]) -> None:
-        """Take orders over."""
-        self._seen = dict.fromkeys(section[_SEEN])
+        """Load orders and identities."""
+        self._identities = dict.fromkeys(section[_IDENTITIES])
         orders.restore_state(
             self._state,
             section[_ORDERS],
@@ -96,7 +96,7 @@
 
 @final
 class ClaimsFold:
-    """Keys of calls that ran at most once."""
+    """The keys of calls that run at most once."""
 
     __slots__ = ('_claims',)
 
@@ -111,9 +111,9 @@
         self._claims.apply_record(record)
 
     def dump(self) -> dict[str, Any]:
-        """Return the kept keys."""
+        """Return the stored keys."""
         return self._claims.dump()
 
     def load(self, section: dict[str, Any]) -> None:
-        """Take keys over; claims that wait are refused."""
+        """Load keys; waiting claims are rejected."""
         self._claims.load(section)
