--- a/packages/verbenahall/src/verbenahall/instance/_folds.py
+++ b/packages/verbenahall/src/verbenahall/instance/_folds.py
@@ -1,4 +1,4 @@
-"""The folds of one instance, each fed with every record in order."""
+"""The folds of an instance; each applies every record in order."""
 
 from typing import final
 
@@ -16,7 +16,7 @@
 
 @final
 class Folds:
-    """What this instance has computed from the log's records."""
+    """The states that this instance computes from the log's records."""
 
     __slots__ = ('authority', 'claims', 'orders', 'settings')
 
@@ -30,8 +30,8 @@
     def list_foldables(self) -> tuple[Foldable, ...]:
         """Return the folds as sections of snapshots, authority before orders.
 
-        Whether an order counts depends on the lease at its own offset, so
-        the authority must have seen the same prefix of the log.
+        Whether an order is valid depends on the lease at the order's offset,
+        so the authority must have applied the same prefix of the log.
         """
         return (
             SettingsFold(self.settings),
