--- a/packages/verbenahall/src/verbenahall/instance/_gauges.py
+++ b/packages/verbenahall/src/verbenahall/instance/_gauges.py
@@ -1,4 +1,4 @@
-"""Keeps the gauges that no event sets up to date."""
+"""Updates the gauges that are not set by events."""
 
 import asyncio
 from typing import Final, final
@@ -13,25 +13,25 @@
 
 @final
 class Gauges:
-    """Reads settings, the log's age and the lease once a period."""
+    """Reads settings, the log's age and the lease periodically."""
 
-    __slots__ = ('_folds', '_follower', '_keeper', '_scope')
+    __slots__ = ('_folds', '_follower', '_lease_manager', '_scope')
 
     def __init__(
         self,
         folds: Folds,
         follower: LogFollower,
-        keeper: LeaseKeeper,
+        lease_manager: LeaseKeeper,
         scope: str,
     ) -> None:
-        """Read from these parts; ``scope`` is the lease's."""
+        """Store the sources; ``scope`` is the scope of the lease."""
         self._folds = folds
         self._follower = follower
-        self._keeper = keeper
+        self._lease_manager = lease_manager
         self._scope = scope
 
     async def run(self) -> None:
-        """Set the gauges until cancelled."""
+        """Update the gauges until cancelled."""
         while True:
             self.set_all()
             await asyncio.sleep(_PERIOD_S)
@@ -39,7 +39,7 @@
     def set_all(self) -> None:
         """Set every gauge once."""
         now = clock.monotonic()
-        token = self._keeper.held(self._scope, now)
+        token = self._lease_manager.held(self._scope, now)
         metrics.SETTINGS_POSITION.set({}, self._folds.settings.position)
         metrics.SETTINGS_LAG_SECONDS.set({}, now - self._follower.last_contact)
         metrics.LEASE_HELD.set({'scope': self._scope}, int(token is not None))
