--- a/packages/verbenahall/src/verbenahall/instance/_membership_adapter.py
+++ b/packages/verbenahall/src/verbenahall/instance/_membership_adapter.py
@@ -1,4 +1,4 @@
-"""Joins what requests meet at endpoints to the membership."""
+"""Connects request handling and polling to the membership."""
 
 from collections.abc import Sequence
 from typing import final
@@ -19,63 +19,63 @@
 
 
 @final
-class Experience:
-    """Reads the membership for the callers' path and feeds it back."""
+class MembershipAdapter:
+    """Reads the membership, and reports what endpoints answer to it."""
 
     __slots__ = ('_members', '_orders')
 
     def __init__(self, members: MembershipState, orders: OrdersState) -> None:
-        """Join these two states."""
+        """Store both states."""
         self._members = members
         self._orders = orders
 
-    def live(
+    def list_available(
         self,
         kind: EndpointKind,
         now: float,
         service: str,
     ) -> Sequence[Endpoint]:
-        """Return the endpoints that may get new work.
+        """Return the live endpoints that may get new work.
 
-        An engine with an order outstanding gets none: its change waits until
-        nothing is in flight, and new work would put it off for ever.
+        An engine with an outstanding order gets none: its change waits until
+        no request is in flight, and new work would delay it for ever.
         """
-        found = live(self._members, kind, now, service)
+        endpoints = live(self._members, kind, now, service)
         if kind is not EndpointKind.ENGINE:
-            return found
+            return endpoints
         return [
             endpoint
-            for endpoint in found
+            for endpoint in endpoints
             if not is_changing(self._orders, endpoint.name)
         ]
 
-    def standing(self, name: str, now: float) -> Standing:
-        """Return an endpoint's standing."""
+    def find_status(self, name: str, now: float) -> Standing:
+        """Return an endpoint's status."""
         return standing_of(self._members, name, now)
 
-    def heard(self, name: str) -> None:
-        """Note an answer."""
+    def report_answer(self, name: str) -> None:
+        """Report that an endpoint answered."""
         observe_answer(self._members, name, clock.monotonic())
 
-    def missed(self, name: str) -> None:
-        """Note a failure."""
+    def report_failure(self, name: str) -> None:
+        """Report that a request to an endpoint failed."""
         observe_failure(self._members, name, clock.monotonic())
 
-    def leaving(self, name: str) -> None:
-        """Note the endpoint's own word that it leaves."""
+    def report_leaving(self, name: str) -> None:
+        """Report that an endpoint announced its own removal."""
         observe_leaving(self._members, name, clock.monotonic())
 
-    def told(self, found: EngineState) -> None:
-        """Note an engine's own word on its life and on whether it leaves.
+    def report_state(self, state: EngineState) -> None:
+        """Report an engine's incarnation and whether it is leaving.
 
-        The list lags behind a replacement, or names no life at all; requests
-        go only to the life that membership knows, so without the engine's
-        word nobody would use it.
+        After a replacement, the list may be outdated or name no incarnation.
+        Requests go only to the incarnation in the membership, so without this
+        report a new engine would get no requests.
         """
         observe_word(
             self._members,
-            found.name,
-            found.incarnation,
-            leaving=found.leaving,
+            state.name,
+            state.incarnation,
+            leaving=state.leaving,
             now=clock.monotonic(),
         )
