--- a/packages/verbenahall/src/verbenahall/instance/_pools.py
+++ b/packages/verbenahall/src/verbenahall/instance/_pools.py
@@ -1,4 +1,4 @@
-"""What the role planner of a data centre reads anew at each step."""
+"""The inputs that the role planner of a data centre reads at each step."""
 
 import dataclasses
 from collections.abc import Iterator
@@ -6,13 +6,13 @@
 
 from verbenahall.authority import LeaseKeeper
 from verbenahall.fleet import EndpointKind, Standing
-from verbenahall.instance._dependencies import Surroundings
+from verbenahall.instance._dependencies import ControllerDependencies
 from verbenahall.load import EngineStates
 from verbenahall.membership import MembershipState, live
 from verbenahall.roles import EngineNow
 from verbenahall.settings import PoolSettings
 
-_EVEN: Final = 1.0
+_UNIT_WEIGHT: Final = 1.0
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -29,50 +29,50 @@
 
 @final
 class Pools:
-    """Reads the settings in force and the engines' own word."""
+    """Reads pools from the effective settings and the engines' states."""
 
     __slots__ = (
         '_data_centre',
-        '_keeper',
+        '_dependencies',
+        '_lease_manager',
         '_members',
         '_states',
-        '_surroundings',
     )
 
     def __init__(
         self,
         data_centre: str,
-        surroundings: Surroundings,
+        dependencies: ControllerDependencies,
         members: MembershipState,
         states: EngineStates,
-        keeper: LeaseKeeper,
+        lease_manager: LeaseKeeper,
     ) -> None:
-        """Read from these parts."""
+        """Store the sources."""
         self._data_centre = data_centre
-        self._surroundings = surroundings
+        self._dependencies = dependencies
         self._members = members
         self._states = states
-        self._keeper = keeper
+        self._lease_manager = lease_manager
 
     def is_leading(self, now: float) -> bool:
         """Whether this process holds the data centre's lease."""
-        return self._keeper.held(self._data_centre, now) is not None
+        return self._lease_manager.held(self._data_centre, now) is not None
 
     def find_share(self, now: float) -> float:
-        """Return this instance's share of the data centre's callers.
+        """Return this instance's share of the data centre's requests.
 
-        The balancer spreads callers evenly over live instances.
+        The balancer distributes callers evenly over live instances.
         """
         instances = [
             endpoint
             for endpoint in live(self._members, EndpointKind.INSTANCE, now)
             if endpoint.data_centre == self._data_centre
         ]
-        return _EVEN / max(1, len(instances))
+        return _UNIT_WEIGHT / max(1, len(instances))
 
     def list_pools(self) -> list[PlannedPool]:
         """Return the data centre's automatic pools."""
-        pools = self._surroundings.read_settings().pools.values()
+        pools = self._dependencies.read_settings().pools.values()
         return [
             self._describe(pool)
             for pool in pools
@@ -80,7 +80,7 @@
         ]
 
     def _describe(self, pool: PoolSettings) -> PlannedPool:
-        settings = self._surroundings.read_settings()
+        settings = self._dependencies.read_settings()
         weights = settings.planner.get(pool.team)
         floors = (
             settings.models[model].floor
@@ -91,16 +91,16 @@
             name=pool.name,
             models=pool.models,
             engines=tuple(self._list_engines(pool)),
-            goodput_weight=weights.goodput_weight if weights else _EVEN,
-            change_weight=weights.change_weight if weights else _EVEN,
+            goodput_weight=weights.goodput_weight if weights else _UNIT_WEIGHT,
+            change_weight=weights.change_weight if weights else _UNIT_WEIGHT,
             floor=max(floors, default=1),
         )
 
     def _list_engines(self, pool: PoolSettings) -> Iterator[EngineNow]:
-        drains = self._surroundings.read_settings().drains
+        drains = self._dependencies.read_settings().drains
         for name in pool.engines:
             state = self._states.by_name.get(name)
             if state is None or name in drains:
                 continue
-            if self._surroundings.standing(name) is Standing.LIVE:
+            if self._dependencies.find_status(name) is Standing.LIVE:
                 yield EngineNow(name, state.role, state.report.running)
