--- a/packages/verbenahall/src/verbenahall/instance/_serve.py
+++ b/packages/verbenahall/src/verbenahall/instance/_serve.py
@@ -1,4 +1,4 @@
-"""Runs one instance as a process: its loops, its listener, its stop."""
+"""Runs an instance as a process: loops, listener and graceful stop."""
 
 import asyncio
 import functools
@@ -11,28 +11,28 @@
 
 from verbenahall.config import InstanceConfig
 from verbenahall.front import Runner
-from verbenahall.supervisor import Supervisor
-from verbenahall.instance._control import CONTROLLER, KEEPER
+from verbenahall.instance._control import CONTROLLER_LOOP, LEASE_LOOP
 from verbenahall.instance._wiring import Instance
 from verbenahall.process import listen, run_service
 from verbenahall.shutdown import GracefulStop, StopTiming
+from verbenahall.supervisor import Supervisor
 
-_SPARE_S: Final = 10.0
+_EXIT_MARGIN_S: Final = 10.0
 
 
 @final
 class InstanceService(aiomisc.Service):
-    """The instance as a service of aiomisc's entrypoint."""
+    """The instance as an aiomisc service."""
 
     def __init__(self, config: InstanceConfig) -> None:
-        """Prepare; parts are built on the loop that runs them."""
+        """Store the settings; the instance is built on its event loop."""
         super().__init__()
         self._config = config
         self._supervisor = Supervisor()
         self._ended = asyncio.Event()
 
     async def start(self) -> None:
-        """Listen, then run until the graceful stop has gone through."""
+        """Listen, then run until the graceful stop is complete."""
         instance = Instance(self._config)
         stop = GracefulStop(StopTiming(grace_s=self._config.timing.grace_s))
         runner = await self._open(instance, stop)
@@ -73,12 +73,12 @@
     config: InstanceConfig,
 ) -> web.TCPSite:
     site = await listen(runner, config.listen)
-    _tell_address(runner, config)
+    _print_address(runner, config)
     return site
 
 
-def _tell_address(runner: web.AppRunner, config: InstanceConfig) -> None:
-    """Print where the instance listens, which port 0 leaves open."""
+def _print_address(runner: web.AppRunner, config: InstanceConfig) -> None:
+    """Print the listening address; with port 0 the system chooses the port."""
     host, port = runner.addresses[0]
     logging.info(
         'instance %s of deployment %s listens on %s:%d',
@@ -92,17 +92,17 @@
 
 
 async def _hand_over(instance: Instance, supervisor: Supervisor) -> None:
-    """Release the lease, after the last order that it covers.
+    """Release the lease after the last order under it.
 
-    A release tells the successor that no order of this holder is on its way,
-    so the controller must have ended before.
+    The release signals to the successor that no order of this holder is in
+    flight, so the controller must have ended before.
     """
-    await supervisor.stop(CONTROLLER)
-    await supervisor.stop(KEEPER)
-    await instance.control.keeper.release()
+    await supervisor.stop(CONTROLLER_LOOP)
+    await supervisor.stop(LEASE_LOOP)
+    await instance.control.lease_manager.release()
 
 
 def serve(config: InstanceConfig) -> None:
-    """Run an instance until it is stopped; returns when the last is done."""
+    """Run an instance until it has stopped."""
     service = InstanceService(config)
-    run_service(service, config.timing.grace_s + _SPARE_S)
+    run_service(service, config.timing.grace_s + _EXIT_MARGIN_S)
