--- a/packages/verbenahall/src/verbenahall/instance/_wiring.py
+++ b/packages/verbenahall/src/verbenahall/instance/_wiring.py
@@ -1,4 +1,4 @@
-"""Composes one instance: core, control loops, the callers' path, routes."""
+"""Composes an instance: core, control loops, request handling, routes."""
 
 import functools
 from typing import final
@@ -13,27 +13,27 @@
     Adapters,
     EngineAdapter,
     Front,
-    Parts,
+    FrontDependencies,
     ServiceAdapter,
     make_application,
 )
 from verbenahall.instance._control import Control
 from verbenahall.instance._core import Core
-from verbenahall.supervisor import Loops
 from verbenahall.load import LoadState, Report, StatePoller, observe_report
 from verbenahall.orders import is_changing
+from verbenahall.supervisor import Loops
 
 
 @final
 class Instance:
-    """All parts of one instance, built but not running."""
+    """All parts of one instance; ``loops`` returns what must run."""
 
     def __init__(self, config: InstanceConfig) -> None:
-        """Build every part; the loop must be running."""
+        """Build every part; the event loop must be running."""
         self.core = Core(config)
         self.control = Control(self.core)
         self._load = LoadState()
-        self._front = Front(config, self._list_parts())
+        self._front = Front(config, self._build_dependencies())
         self.app = self._build_application()
 
     def loops(self) -> Loops:
@@ -45,46 +45,46 @@
         }
 
     async def announce_stop(self) -> None:
-        """Take no new requests from now on."""
+        """Become not ready, and announce to peers that the instance leaves."""
         self.core.stopping = True
         await self.control.peers.announce_leaving()
 
     def _build_state_poller(self) -> StatePoller:
-        experience = self.core.experience
+        membership = self.core.membership
         return StatePoller(
-            self.core.sessions.kept,
-            self.control.surroundings.watched_engines,
+            self.core.sessions.pooled,
+            self.control.dependencies.list_polled_engines,
             self.control.states,
             self._load,
             self.core.config.timing.load_poll_s,
-            heard=experience.heard,
-            missed=experience.missed,
-            told=experience.told,
+            heard=membership.report_answer,
+            missed=membership.report_failure,
+            told=membership.report_state,
             urgent=functools.partial(is_changing, self.core.folds.orders),
-            far=self.control.surroundings.is_far,
+            far=self.control.dependencies.is_in_other_data_centre,
         )
 
-    def _list_parts(self) -> Parts:
+    def _build_dependencies(self) -> FrontDependencies:
         core = self.core
-        experience = core.experience
-        return Parts(
-            live=experience.live,
-            standing=experience.standing,
-            heard=experience.heard,
-            missed=experience.missed,
-            settings=self.control.surroundings.read_settings,
-            position=lambda: core.folds.settings.position,
+        membership = core.membership
+        return FrontDependencies(
+            list_available=membership.list_available,
+            find_status=membership.find_status,
+            report_answer=membership.report_answer,
+            report_failure=membership.report_failure,
+            read_settings=self.control.dependencies.read_settings,
+            read_position=lambda: core.folds.settings.position,
             claim=core.claims.claim,
             release=core.claims.release,
-            arrived=self.control.planner.note_arrival,
-            unready=self._find_unready,
+            record_demand=self.control.planner.note_arrival,
+            check_ready=self._check_ready,
             load=self._load,
             states=self.control.states,
             adapters=Adapters(
-                EngineAdapter(core.sessions, self._take_report),
-                ServiceAdapter(core.sessions, self._take_report),
+                EngineAdapter(core.sessions, self._record_load_report),
+                ServiceAdapter(core.sessions, self._record_load_report),
             ),
-            source=core.source,
+            rng=core.rng,
         )
 
     def _build_application(self) -> web.Application:
@@ -104,11 +104,11 @@
         metrics.add_routes(app)
         return app
 
-    def _find_unready(self) -> Problem | None:
+    def _check_ready(self) -> Problem | None:
         readiness = self.control.read_readiness()
         if readiness.ready:
             return None
         return Problem(ErrorKind.NOT_READY, readiness.reason)
 
-    def _take_report(self, name: str, report: Report) -> None:
+    def _record_load_report(self, name: str, report: Report) -> None:
         observe_report(self._load, name, report, clock.monotonic())
