--- a/packages/verbenahall/src/verbenahall/shutdown/__init__.py
+++ b/packages/verbenahall/src/verbenahall/shutdown/__init__.py
@@ -1,4 +1,4 @@
-"""Phases of a graceful stop."""
+"""The phases of a graceful stop."""
 
 from verbenahall.shutdown._decisions import decide
 from verbenahall.shutdown._messages import (
@@ -6,7 +6,7 @@
     Effect,
     HandedOver,
     Phase,
-    StopAsked,
+    StopRequested,
     StopTiming,
     Tick,
 )
@@ -20,7 +20,7 @@
     'HandedOver',
     'Phase',
     'ShutdownState',
-    'StopAsked',
+    'StopRequested',
     'StopHooks',
     'StopTiming',
     'Tick',
