--- a/packages/verbenahall/src/verbenahall/shutdown/_decisions.py
+++ b/packages/verbenahall/src/verbenahall/shutdown/_decisions.py
@@ -1,4 +1,4 @@
-"""The phases as a table: what ends each one, and what follows."""
+"""The table of phases: what ends each one, and which one follows."""
 
 import dataclasses
 from collections.abc import Callable, Mapping
@@ -10,77 +10,83 @@
     HandedOver,
     Message,
     Phase,
-    StopAsked,
+    StopRequested,
     Tick,
 )
 from verbenahall.shutdown._state import ShutdownState
 
-_Ends = Callable[[ShutdownState, Message, float], bool]
+_EndCondition = Callable[[ShutdownState, Message, float], bool]
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class _Row:
-    """When a phase ends, the next phase, and the effects of entering it."""
+    """A phase's end condition, its next phase, and that phase's effects."""
 
-    ends: _Ends
-    following: Phase
+    has_ended: _EndCondition
+    next_phase: Phase
     effects: tuple[Effect, ...]
 
 
-def _asked(state: ShutdownState, message: Message, now: float) -> bool:
-    return isinstance(message, StopAsked)
+def _stop_requested(state: ShutdownState, message: Message, now: float) -> bool:
+    return isinstance(message, StopRequested)
 
 
-def _noticed(state: ShutdownState, message: Message, now: float) -> bool:
+def _notice_ended(state: ShutdownState, message: Message, now: float) -> bool:
     notice_s = min(state.timing.notice_s, state.timing.grace_s / 2)
     return now - state.entered_at >= notice_s
 
 
-def _lingered(state: ShutdownState, message: Message, now: float) -> bool:
-    return now - state.entered_at >= state.timing.linger_s or _is_late(
+def _linger_ended(state: ShutdownState, message: Message, now: float) -> bool:
+    return now - state.entered_at >= state.timing.linger_s or _is_grace_over(
         state,
         now,
     )
 
 
-def _finished(state: ShutdownState, message: Message, now: float) -> bool:
-    if _is_late(state, now):
+def _requests_finished(
+    state: ShutdownState, message: Message, now: float
+) -> bool:
+    if _is_grace_over(state, now):
         return True
     return isinstance(message, Tick) and not message.in_flight
 
 
-def _handed_over(state: ShutdownState, message: Message, now: float) -> bool:
+def _hand_over_ended(
+    state: ShutdownState, message: Message, now: float
+) -> bool:
     if isinstance(message, HandedOver):
         return True
     return now - state.entered_at >= state.timing.hand_over_s
 
 
-def _is_late(state: ShutdownState, now: float) -> bool:
-    asked_at = state.asked_at
-    return asked_at is not None and now - asked_at >= state.timing.grace_s
+def _is_grace_over(state: ShutdownState, now: float) -> bool:
+    requested_at = state.requested_at
+    return (
+        requested_at is not None and now - requested_at >= state.timing.grace_s
+    )
 
 
-#: A stop that is asked for twice has no row to act on: nothing is cut
-#: because the platform repeats itself.
+#: A second stop request has no effect, since no later phase ends on it: a
+#: repeated signal of the platform must not cut off requests.
 _TABLE: Final[Mapping[Phase, _Row]] = MappingProxyType(
     {
         Phase.SERVING: _Row(
-            _asked,
+            _stop_requested,
             Phase.NOT_READY,
             (Effect.ANNOUNCE_LEAVING,),
         ),
         Phase.NOT_READY: _Row(
-            _noticed,
+            _notice_ended,
             Phase.REFUSING,
             (Effect.CLOSE_LISTENERS,),
         ),
-        Phase.REFUSING: _Row(_lingered, Phase.FINISHING, ()),
+        Phase.REFUSING: _Row(_linger_ended, Phase.FINISHING, ()),
         Phase.FINISHING: _Row(
-            _finished,
+            _requests_finished,
             Phase.HANDING_OVER,
             (Effect.CUT_REMAINING, Effect.HAND_OVER),
         ),
-        Phase.HANDING_OVER: _Row(_handed_over, Phase.GONE, ()),
+        Phase.HANDING_OVER: _Row(_hand_over_ended, Phase.GONE, ()),
     },
 )
 
@@ -90,12 +96,12 @@
     message: Message,
     now: float,
 ) -> tuple[Effect, ...]:
-    """Move to the next phase if this one has ended; return its effects."""
+    """Enter the next phase if this one has ended; return its effects."""
     row = _TABLE.get(state.phase)
-    if row is None or not row.ends(state, message, now):
+    if row is None or not row.has_ended(state, message, now):
         return ()
     if state.phase is Phase.SERVING:
-        state.asked_at = now
-    state.phase = row.following
+        state.requested_at = now
+    state.phase = row.next_phase
     state.entered_at = now
     return row.effects
