--- a/packages/verbenahall/src/verbenahall/shutdown/_messages.py
+++ b/packages/verbenahall/src/verbenahall/shutdown/_messages.py
@@ -1,4 +1,4 @@
-"""Phases of a graceful stop and what drives them."""
+"""The phases of a graceful stop and the messages that drive them."""
 
 import dataclasses
 import enum
@@ -7,7 +7,7 @@
 
 @final
 class Phase(enum.Enum):
-    """Where the process stands between serving and gone."""
+    """A phase of the process between serving and exit."""
 
     SERVING = 'serving'
     NOT_READY = 'not_ready'
@@ -19,7 +19,7 @@
 
 @final
 class Effect(enum.Enum):
-    """What the shell does on entering a phase."""
+    """An action of the shell on entering a phase."""
 
     ANNOUNCE_LEAVING = 'announce_leaving'
     CLOSE_LISTENERS = 'close_listeners'
@@ -28,33 +28,34 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class StopAsked:
-    """The platform or an operator asked the process to stop."""
+class StopRequested:
+    """The platform or an operator requested the stop."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Tick:
-    """Time went by; ``in_flight`` requests are still open."""
+    """A periodic check; ``in_flight`` requests are still open."""
 
     in_flight: int
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class HandedOver:
-    """Leases are released and peers are told."""
+    """The hand-over hooks are done: leases are released."""
 
 
-Message = StopAsked | Tick | HandedOver
+Message = StopRequested | Tick | HandedOver
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class StopTiming:
     """Bounds of the phases in seconds.
 
-    ``notice_s`` lets the balancer see that the instance is not ready before
-    the listener closes. ``linger_s`` keeps idle connections open after
-    that, so that a caller's next request on one is answered and told to
-    close, not reset. ``grace_s`` bounds everything before the hand-over.
+    ``notice_s`` is the time for the balancer to notice that the instance is
+    not ready, before the listener closes. ``linger_s`` keeps idle connections
+    open after that: a caller's next request on one is answered with
+    ``Connection: close`` instead of a reset. ``grace_s`` limits all phases
+    before the hand-over, and ``hand_over_s`` the hand-over itself.
     """
 
     grace_s: float = 30.0
