--- a/packages/verbenahall/src/verbenahall/shutdown/_open_requests.py
+++ b/packages/verbenahall/src/verbenahall/shutdown/_open_requests.py
@@ -1,4 +1,4 @@
-"""The requests that are open now."""
+"""Tracks the open requests of an application."""
 
 import asyncio
 from collections.abc import Awaitable, Callable
@@ -12,12 +12,12 @@
 
 @final
 class OpenRequests:
-    """Counts an application's requests and cuts them if it must."""
+    """Counts the open requests of an application, and can cancel them."""
 
     __slots__ = ('_tasks',)
 
     def __init__(self) -> None:
-        """Start with none."""
+        """Start without open requests."""
         self._tasks: set[asyncio.Task[object]] = set()
 
     @web.middleware
@@ -26,7 +26,7 @@
         request: web.Request,
         handler: Handler,
     ) -> web.StreamResponse:
-        """Count a request while it is answered; a middleware."""
+        """Middleware that counts a request while it is handled."""
         task = asyncio.current_task()
         if task is None:
             return await handler(request)
@@ -37,12 +37,15 @@
             self._tasks.discard(task)
 
     def count_open(self) -> int:
-        """Return how many requests are being answered."""
+        """Return the number of open requests."""
         return len(self._tasks)
 
-    def cut(self) -> None:
-        """Cancel what is still open when the grace period is over."""
+    def cancel_all(self) -> None:
+        """Cancel the requests that are open at the end of the grace period."""
         if self._tasks:
-            logging.warning('%d requests are cut', len(self._tasks))
+            logging.warning(
+                'cancelling %d requests at the end of the grace period',
+                len(self._tasks),
+            )
         for task in tuple(self._tasks):
             task.cancel()
