--- a/packages/verbenahall/src/verbenahall/shutdown/_shell.py
+++ b/packages/verbenahall/src/verbenahall/shutdown/_shell.py
@@ -1,4 +1,4 @@
-"""Shell of the graceful stop: signals, counting and the phases' effects."""
+"""Shell of the graceful stop: signals, open requests and effects."""
 
 import asyncio
 import signal
@@ -16,14 +16,14 @@
     HandedOver,
     Message,
     Phase,
-    StopAsked,
+    StopRequested,
     StopTiming,
     Tick,
 )
 from verbenahall.shutdown._open_requests import OpenRequests
 from verbenahall.shutdown._state import ShutdownState
 
-_TICK_S: Final = 0.05
+_CHECK_INTERVAL_S: Final = 0.05
 _SIGNALS: Final = (signal.SIGTERM, signal.SIGINT)
 
 Hook = Callable[[], Awaitable[None]]
@@ -31,17 +31,17 @@
 
 @final
 class StopHooks:
-    """What an instance does in the phases; each list is called together.
+    """Lists of hooks for the phases; the hooks of a list run concurrently.
 
-    ``announce`` is called when the stop begins, to tell peers; ``close``
-    closes the listeners; ``hand_over`` releases leases after the last
+    ``announce`` hooks notify peers when the stop begins, ``close`` hooks close
+    the listeners, and ``hand_over`` hooks release leases after the last
     request.
     """
 
     __slots__ = ('announce', 'close', 'hand_over')
 
     def __init__(self) -> None:
-        """Start with empty lists."""
+        """Start without hooks."""
         self.announce: list[Hook] = []
         self.close: list[Hook] = []
         self.hand_over: list[Hook] = []
@@ -49,9 +49,9 @@
 
 @final
 class GracefulStop:
-    """Takes an instance from serving to gone without cutting a request.
+    """Stops an instance without cutting off open requests.
 
-    The instance puts it on its application, gives hooks, and awaits
+    The instance adds it to its application, appends its hooks, and awaits
     ``run()``, which returns when the process may exit::
 
         stop = GracefulStop(StopTiming(grace_s=30))
@@ -67,22 +67,22 @@
         timing: StopTiming = DEFAULT_TIMING,
         now: clock.Clock = clock.monotonic,
     ) -> None:
-        """Start serving."""
+        """Start in the serving phase."""
         self.state = ShutdownState(timing)
         self.hooks = StopHooks()
         self._requests = OpenRequests()
-        self._now = now
-        self._asked = asyncio.Event()
-        self._handing_over: asyncio.Task[None] | None = None
+        self._clock = now
+        self._requested = asyncio.Event()
+        self._hand_over_task: asyncio.Task[None] | None = None
 
     @property
     def stopping(self) -> bool:
-        """Whether the instance is not ready because it stops."""
+        """Whether the stop was requested; the instance is then not ready."""
         return self.state.stopping
 
     @property
     def finishing(self) -> bool:
-        """Whether nothing new is taken on any more."""
+        """Whether new requests must be rejected."""
         return self.state.finishing
 
     def add_to(self, app: web.Application) -> None:
@@ -90,73 +90,73 @@
         app.middlewares.append(self._requests.count)
         app.on_response_prepare.append(self._close_connection)
 
-    def ask(self) -> None:
-        """Ask for the stop; asking again changes nothing."""
-        logging.info('stop asked for in phase %s', self.state.phase.value)
-        self._asked.set()
+    def request_stop(self) -> None:
+        """Request the stop; further calls have no effect."""
+        logging.info('stop requested in phase %s', self.state.phase.value)
+        self._requested.set()
 
     async def run(self) -> None:
-        """Wait for a signal, go through the phases, return when gone."""
+        """Wait for a stop request, then run all phases and return."""
         loop = asyncio.get_running_loop()
         for number in _SIGNALS:
-            loop.add_signal_handler(number, self.ask)
-        await self._asked.wait()
+            loop.add_signal_handler(number, self.request_stop)
+        await self._requested.wait()
         await self._stop()
 
     async def _stop(self) -> None:
-        await self._step(StopAsked())
+        await self._handle(StopRequested())
         while self.state.phase is not Phase.GONE:
-            await asyncio.sleep(_TICK_S)
-            await self._step(self._find_message())
+            await asyncio.sleep(_CHECK_INTERVAL_S)
+            await self._handle(self._find_message())
 
     def _find_message(self) -> Message:
-        task = self._handing_over
+        task = self._hand_over_task
         if task is not None and task.done():
             return HandedOver()
         return Tick(self._requests.count_open())
 
-    async def _step(self, message: Message) -> None:
+    async def _handle(self, message: Message) -> None:
         before = self.state.phase
-        effects = decide(self.state, message, self._now())
+        effects = decide(self.state, message, self._clock())
         if self.state.phase is not before:
             journal.write_decision(
                 'shutdown',
                 phase=self.state.phase.value,
                 in_flight=self._requests.count_open(),
             )
-        await self._perform(effects)
+        await self._run_effects(effects)
 
-    async def _perform(self, effects: Sequence[Effect]) -> None:
+    async def _run_effects(self, effects: Sequence[Effect]) -> None:
         if Effect.ANNOUNCE_LEAVING in effects:
-            await self._call(self.hooks.announce)
+            await self._run_hooks(self.hooks.announce)
         if Effect.CLOSE_LISTENERS in effects:
-            await self._call(self.hooks.close)
+            await self._run_hooks(self.hooks.close)
         if Effect.CUT_REMAINING in effects:
-            self._requests.cut()
+            self._requests.cancel_all()
         if Effect.HAND_OVER in effects:
-            handing_over = self._call(self.hooks.hand_over)
-            self._handing_over = asyncio.create_task(handing_over)
+            handing_over = self._run_hooks(self.hooks.hand_over)
+            self._hand_over_task = asyncio.create_task(handing_over)
 
-    async def _call(self, hooks: Sequence[Hook]) -> None:
-        """Call hooks together; one that fails or hangs holds up no other."""
+    async def _run_hooks(self, hooks: Sequence[Hook]) -> None:
+        """Run hooks concurrently; one that fails or hangs delays no other."""
         timeout_s = self.state.timing.hand_over_s
         calls = [asyncio.wait_for(hook(), timeout_s) for hook in hooks]
         for outcome in await asyncio.gather(*calls, return_exceptions=True):
             if isinstance(outcome, BaseException):
-                logging.warning('a hook of the stop failed: %r', outcome)
+                logging.warning('a stop hook failed: %r', outcome)
 
     async def _close_connection(
         self,
         request: web.Request,
         response: web.StreamResponse,
     ) -> None:
-        """Answer with ``Connection: close`` once the stop has begun.
+        """Set ``Connection: close`` on responses once the stop has begun.
 
-        A caller that keeps its connection would send its next request just
-        when the process closes it, and see a reset.
+        Otherwise a caller may reuse its connection while the process closes
+        it, and get a connection reset.
         """
         if self.stopping:
-            # The headers are laid out before this hook, so force_close
-            # alone would close without telling the caller.
+            # aiohttp sets its headers before this hook, so force_close alone
+            # would close the connection without the header.
             response.headers[hdrs.CONNECTION] = 'close'
             response.force_close()
