--- a/packages/verbenahall/src/verbenahall/shutdown/_state.py
+++ b/packages/verbenahall/src/verbenahall/shutdown/_state.py
@@ -1,4 +1,4 @@
-"""Where a graceful stop stands."""
+"""The state of a graceful stop."""
 
 from typing import Final, final
 
@@ -11,27 +11,28 @@
 
 @final
 class ShutdownState:
-    """The phase, since when, and when the stop was asked for."""
+    """The phase, the time it was entered, and when the stop was requested."""
 
-    __slots__ = ('timing', 'phase', 'entered_at', 'asked_at')
+    __slots__ = ('timing', 'phase', 'entered_at', 'requested_at')
 
     def __init__(self, timing: StopTiming = DEFAULT_TIMING) -> None:
-        """Start serving."""
+        """Start in the serving phase."""
         self.timing = timing
         self.phase = Phase.SERVING
         self.entered_at = float('-inf')
-        self.asked_at: float | None = None
+        self.requested_at: float | None = None
 
     @property
     def stopping(self) -> bool:
-        """Whether a stop was asked for."""
+        """Whether a stop was requested."""
         return self.phase is not Phase.SERVING
 
     @property
     def finishing(self) -> bool:
-        """Whether only what is open already is still to be answered.
+        """Whether new requests must be rejected.
 
-        This begins when the listener closes: a stream that is taken from an
-        idle connection a second later was cut by the end of the grace period.
+        It is true from the closing of the listener on: a stream accepted on an
+        idle connection a second later was cut off at the end of the grace
+        period.
         """
         return self.phase in _FINISHING
