--- a/packages/verbenahall/src/verbenahall/admin/_credentials.py
+++ b/packages/verbenahall/src/verbenahall/admin/_credentials.py
@@ -1,4 +1,4 @@
-"""Who asks, and what of the settings tree they may read."""
+"""Authentication, and the part of the settings that a team may read."""
 
 import dataclasses
 import hashlib
@@ -13,32 +13,32 @@
 
 _SCHEME: Final = 'Bearer '
 #: A credential with this path reads the whole tree.
-_EVERYTHING: Final = '/'
+_ROOT: Final = '/'
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Reader:
-    """A team's credential; ``subtree`` is a path's beginning."""
+class Principal:
+    """An authenticated team; it may read the paths below ``subtree``."""
 
     team: str
     subtree: str
 
     def may_read(self, path: str) -> bool:
         """Whether a path is inside the subtree."""
-        if self.subtree == _EVERYTHING:
+        if self.subtree == _ROOT:
             return True
         return path == self.subtree or path.startswith(f'{self.subtree}/')
 
 
-def find_reader(
+def find_principal(
     authorization: str,
     credentials: Iterable[CredentialConfig],
-) -> Result[Reader, Problem]:
-    """Return whose bearer token an ``Authorization`` header holds.
+) -> Result[Principal, Problem]:
+    """Return the team of the bearer token in an ``Authorization`` header.
 
-    Every credential is compared, each in constant time: the answer's time
-    would otherwise tell a guesser how much of a token is right, or which
-    credential it belongs to.
+    The token is compared with every credential, each in constant time.
+    Otherwise the response time would show an attacker how much of a token is
+    right, or which credential it belongs to.
     """
     token = authorization.removeprefix(_SCHEME)
     digest = hashlib.sha256(token.encode(errors='replace')).hexdigest()
@@ -49,7 +49,7 @@
     ]
     if found and authorization.startswith(_SCHEME):
         first = found[0]
-        return Success(Reader(first.team, first.path or first.team))
+        return Success(Principal(first.team, first.path or first.team))
     return Failure(
-        Problem(ErrorKind.UNAUTHORIZED, 'a valid bearer token is needed'),
+        Problem(ErrorKind.UNAUTHORIZED, 'a valid bearer token is required'),
     )
