--- a/packages/verbenahall/src/verbenahall/admin/_messages.py
+++ b/packages/verbenahall/src/verbenahall/admin/_messages.py
@@ -12,18 +12,18 @@
     reason: str = ''
 
 
-#: Says how ready the instance is at this moment.
+#: Returns the current readiness of the instance.
 ReadinessSource = Callable[[], Readiness]
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Status:
-    """One instance as it sees itself.
+    """The status of one instance.
 
-    ``settings_position`` is the offset of the last settings record that was
-    applied, ``log_position`` the offset up to which every record was;
-    ``log_head`` is -1 and ``settings_age_s`` (seconds since the log last
-    answered) is ``None`` before its first answer.
+    ``settings_position`` is the offset of the last applied settings record,
+    and ``log_position`` the offset up to which all records were applied.
+    ``settings_age_s`` is the time since the last answer of the log. Before the
+    first answer it is ``None``, and ``log_head`` is -1.
     """
 
     name: str
