--- a/packages/verbenahall/src/verbenahall/admin/_shell.py
+++ b/packages/verbenahall/src/verbenahall/admin/_shell.py
@@ -1,6 +1,7 @@
-"""The administration API over HTTP; problems are raised as ``ProblemError``.
+"""The administration API over HTTP.
 
-The front that serves the routes turns them into answers, as for callers.
+Problems are raised as ``ProblemError``. The runner of the front converts them
+into error responses, as it does for callers.
 """
 
 import math
@@ -10,10 +11,10 @@
 from returns.result import Failure, Result
 
 from verbenahall import clock, wire
-from verbenahall.admin._credentials import Reader, find_reader
+from verbenahall.admin._credentials import Principal, find_principal
 from verbenahall.admin._messages import ReadinessSource, Status
 from verbenahall.admin._views import (
-    find_lines,
+    collect_decisions,
     view_decisions,
     view_history,
     view_settings,
@@ -24,11 +25,11 @@
 from verbenahall.settings import SettingsState
 
 _JSON: Final = 'application/json'
-_EXPLAINED: Final = ('request', 'engine')
+_EXPLAIN_FIELDS: Final = ('request', 'engine')
 
 
 class AdminApi:
-    """Answers ``/admin/v1``; reads only, since settings are published."""
+    """Serves ``/admin/v1``, read-only: settings are changed via the log."""
 
     __slots__ = (
         '_config',
@@ -54,7 +55,7 @@
         self._readiness = readiness
 
     def add_routes(self, app: web.Application) -> None:
-        """Serve the API's routes."""
+        """Add the routes of the API."""
         views = {
             'status': self._show_status,
             'settings': self._show_settings,
@@ -65,7 +66,7 @@
             app.router.add_get(f'/admin/v1/{name}', view)
 
     def read_status(self) -> Status:
-        """Return the instance's status at this moment."""
+        """Return the instance's current status."""
         name, data_centre, incarnation = self._identity
         readiness = self._readiness()
         age_s = clock.monotonic() - self._follower.last_contact
@@ -81,48 +82,48 @@
             settings_age_s=round(age_s, 3) if math.isfinite(age_s) else None,
         )
 
-    def _authenticate(self, request: web.Request) -> Reader:
+    def _authenticate(self, request: web.Request) -> Principal:
         authorization = request.headers.get('Authorization', '')
-        return _require(
-            find_reader(authorization, self._config.credentials),
+        return _unwrap(
+            find_principal(authorization, self._config.credentials),
         )
 
     async def _show_status(self, request: web.Request) -> web.Response:
         self._authenticate(request)
-        return _answer(self.read_status())
+        return _build_response(self.read_status())
 
     async def _show_settings(self, request: web.Request) -> web.Response:
-        reader = self._authenticate(request)
-        return _answer(view_settings(self._settings, reader))
+        principal = self._authenticate(request)
+        return _build_response(view_settings(self._settings, principal))
 
     async def _show_history(self, request: web.Request) -> web.Response:
-        reader = self._authenticate(request)
-        path = request.query.get('path', reader.team)
-        if not reader.may_read(path):
-            complaint = f'team {reader.team} may not read {path!r}'
-            raise ProblemError(Problem(ErrorKind.FORBIDDEN, complaint))
-        return _answer(view_history(self._settings, reader, path))
+        principal = self._authenticate(request)
+        path = request.query.get('path', principal.team)
+        if not principal.may_read(path):
+            message = f'team {principal.team} may not read {path!r}'
+            raise ProblemError(Problem(ErrorKind.FORBIDDEN, message))
+        return _build_response(view_history(self._settings, principal, path))
 
     async def _explain(self, request: web.Request) -> web.Response:
-        reader = self._authenticate(request)
-        wanted = [
+        principal = self._authenticate(request)
+        criteria = [
             (field, request.query[field])
-            for field in _EXPLAINED
+            for field in _EXPLAIN_FIELDS
             if field in request.query
         ]
-        if not wanted:
-            complaint = 'give request=... or engine=...'
-            raise ProblemError(Problem(ErrorKind.BAD_REQUEST, complaint))
-        lines = find_lines(self._settings, *wanted[0])
-        seen = view_decisions(self._settings, reader, lines)
-        return _answer({'decisions': seen})
+        if not criteria:
+            message = 'the parameter "request" or "engine" is required'
+            raise ProblemError(Problem(ErrorKind.BAD_REQUEST, message))
+        decisions = collect_decisions(self._settings, *criteria[0])
+        seen = view_decisions(self._settings, principal, decisions)
+        return _build_response({'decisions': seen})
 
 
-def _require(outcome: Result[Reader, Problem]) -> Reader:
+def _unwrap(outcome: Result[Principal, Problem]) -> Principal:
     if isinstance(outcome, Failure):
         raise ProblemError(outcome.failure())
     return outcome.unwrap()
 
 
-def _answer(view: Any) -> web.Response:
+def _build_response(view: Any) -> web.Response:
     return web.Response(body=wire.encode(view), content_type=_JSON)
