--- a/packages/verbenahall/tests/front/conftest.py
+++ b/packages/verbenahall/tests/front/conftest.py
@@ -1,4 +1,4 @@
-"""A fleet of small fake endpoints and a front before them, on loopback."""
+"""Fake endpoints and a front that routes to them, on loopback."""
 
 import asyncio
 import contextlib
@@ -43,20 +43,20 @@
 )
 
 
-def _run_well(number):
+def _no_fault(number):
     return ''
 
 
 class FakeEndpoint:
-    """An engine, or a service, whose next faults are given by a function.
+    """A fake engine or service with injected faults.
 
-    ``fault(number)`` names the fault of the request counted so; ``started``
-    is the endpoint's own record of the attempts that it began.
+    ``fault(number)`` returns the fault for the request of that number, or
+    empty text; ``started`` lists the attempts that the endpoint started.
     """
 
     def __init__(self, name, fault=None):
         self.name = name
-        self.fault = fault or _run_well
+        self.fault = fault or _no_fault
         self.started = []
         self.keys = []
         self.cancelled = []
@@ -64,7 +64,7 @@
         self.tokens = 5
         self.work_s = 0
         self.running = 0
-        self.standing = Standing.LIVE
+        self.status = Standing.LIVE
         self.address = ''
         self.data_centre = 'here'
 
@@ -97,15 +97,19 @@
             return web.Response(status=500)
         headers = {'X-Load': f'{self.running},0,0.9'}
         if not request.path.startswith('/v1'):
-            told = {'path': request.raw_path, 'by': self.name}
-            return web.json_response(told, headers=headers)
+            answered = {'path': request.raw_path, 'by': self.name}
+            return web.json_response(answered, headers=headers)
         table = json.loads(body)
         if table.get('stream'):
             return await self.stream(request, table, attempt, fault)
         if fault == 'stray':
             attempt = 'another'
-        told = {'attempt': attempt, 'echo': table['prompt'], 'by': self.name}
-        return web.json_response(told, headers=headers)
+        answered = {
+            'attempt': attempt,
+            'echo': table['prompt'],
+            'by': self.name,
+        }
+        return web.json_response(answered, headers=headers)
 
     async def stream(self, request, table, attempt, fault):
         response = web.StreamResponse()
@@ -135,27 +139,27 @@
 
 
 @dataclasses.dataclass
-class Told:
-    """What the front has told other slices, and why it is not ready."""
+class Recorder:
+    """Records the front's calls to other slices, and holds its readiness."""
 
     claims: list = dataclasses.field(default_factory=list)
     released: list = dataclasses.field(default_factory=list)
-    missed: list = dataclasses.field(default_factory=list)
+    failures: list = dataclasses.field(default_factory=list)
     unready: Problem | None = None
 
 
 @dataclasses.dataclass
-class Stage:
-    """A front under test: its address, its parts and the fakes behind it."""
+class FrontHarness:
+    """A running front with its address, its dependencies and its endpoints."""
 
     url: str
-    parts: front.Parts
+    dependencies: front.FrontDependencies
     fakes: list
     client: ClientSession
-    told: Told
+    recorder: Recorder
 
     async def send_raw(self, sent):
-        """Send bytes as they are; return all that comes back."""
+        """Send raw bytes on a new connection; return all bytes received."""
         host, _, port = self.url.removeprefix('http://').partition(':')
         reader, writer = await asyncio.open_connection(host, int(port))
         writer.write(sent)
@@ -195,7 +199,7 @@
     return await serve(runner, stack)
 
 
-def build_parts(endpoints, fakes, kind, sessions, told, resumes):
+def build_dependencies(endpoints, fakes, kind, sessions, recorder, resumes):
     states = EngineStates()
     loads = LoadState()
     by_name = {fake.name: fake for fake in fakes}
@@ -214,12 +218,12 @@
             ),
         )
 
-    def take_report(name, report):
+    def store_report(name, report):
         observe_report(loads, name, report, clock.monotonic())
 
     async def claim(workspace, key):
-        told.claims.append((workspace, key))
-        return Success(len(told.claims))
+        recorder.claims.append((workspace, key))
+        return Success(len(recorder.claims))
 
     settings = SimpleNamespace(
         models={'m': None},
@@ -228,38 +232,39 @@
         drains={},
         services={},
     )
-    return front.Parts(
-        live=lambda wanted, now, service: [
-            found
-            for found in endpoints
-            if wanted is kind and by_name[found.name].standing is Standing.LIVE
+    return front.FrontDependencies(
+        list_available=lambda requested, now, service: [
+            endpoint
+            for endpoint in endpoints
+            if requested is kind
+            and by_name[endpoint.name].status is Standing.LIVE
         ],
-        standing=lambda found, now: by_name[found].standing,
-        heard=lambda name: None,
-        missed=told.missed.append,
-        settings=lambda: settings,
-        position=lambda: 7,
+        find_status=lambda endpoint_name, now: by_name[endpoint_name].status,
+        report_answer=lambda name: None,
+        report_failure=recorder.failures.append,
+        read_settings=lambda: settings,
+        read_position=lambda: 7,
         claim=claim,
-        release=lambda *released: told.released.append(released),
-        unready=lambda: told.unready,
+        release=lambda *released: recorder.released.append(released),
+        check_ready=lambda: recorder.unready,
         load=loads,
         states=states,
         adapters=front.Adapters(
-            front.EngineAdapter(sessions, take_report),
-            front.ServiceAdapter(sessions, take_report),
+            front.EngineAdapter(sessions, store_report),
+            front.ServiceAdapter(sessions, store_report),
         ),
-        source=random.Random(1),
+        rng=random.Random(1),
     )
 
 
 @contextlib.asynccontextmanager
-async def build_stage(
+async def start_front(
     fakes,
     kind=EndpointKind.ENGINE,
     resumes=True,
     **limits,
 ):
-    """Start fakes and a front; stop all at the end."""
+    """Run fake endpoints and a front; stop them on exit."""
     async with contextlib.AsyncExitStack() as stack:
         service = 'pages' if kind is EndpointKind.SERVICE else ''
         endpoints = [
@@ -273,12 +278,16 @@
             )
             for fake in fakes
         ]
-        kept = await stack.enter_async_context(front.make_session())
-        fresh = await stack.enter_async_context(front.make_session(fresh=True))
-        told = Told()
-        sessions = Sessions(kept, fresh)
-        parts = build_parts(endpoints, fakes, kind, sessions, told, resumes)
-        bounds = dataclasses.replace(LIMITS, **limits)
+        pooled = await stack.enter_async_context(front.make_session())
+        single_use = await stack.enter_async_context(
+            front.make_session(single_use=True)
+        )
+        recorder = Recorder()
+        sessions = Sessions(pooled, single_use)
+        dependencies = build_dependencies(
+            endpoints, fakes, kind, sessions, recorder, resumes
+        )
+        limits_config = dataclasses.replace(LIMITS, **limits)
         config = InstanceConfig(
             name='i1',
             data_centre='here',
@@ -286,28 +295,30 @@
             listen='127.0.0.1:0',
             platform=PlatformConfig('127.0.0.1:1', '127.0.0.1:1'),
             admin=AdminConfig(),
-            limits=bounds,
+            limits=limits_config,
             timing=TimingConfig(*range(1, 10)),
         )
-        app = front.make_application(bounds)
-        made = front.Front(config, parts)
-        made.add_routes(app)
-        runner = front.Runner(app, bounds, shutdown_timeout=0.1)
+        app = front.make_application(limits_config)
+        server = front.Front(config, dependencies)
+        server.add_routes(app)
+        runner = front.Runner(app, limits_config, shutdown_timeout=0.1)
         address = await serve(runner, stack)
-        background = asyncio.create_task(made.run())
+        background = asyncio.create_task(server.run())
         client = await stack.enter_async_context(
             ClientSession(connector=TCPConnector(limit=0)),
         )
         try:
-            yield Stage(f'http://{address}', parts, fakes, client, told)
+            yield FrontHarness(
+                f'http://{address}', dependencies, fakes, client, recorder
+            )
         finally:
             background.cancel()
 
 
 @pytest.fixture
-def stage():
-    """Return the builder of stages."""
-    return build_stage
+def run_front():
+    """Return the context manager that runs a front."""
+    return start_front
 
 
 @pytest.fixture
@@ -317,7 +328,7 @@
 
 
 async def wait_for(condition, bound_s=20):
-    """Wait until a condition holds; fail when it never does."""
+    """Wait until a condition holds; fail after ``bound_s`` seconds."""
     async with asyncio.timeout(bound_s):
         while not condition():
             await asyncio.sleep(0.01)
@@ -329,16 +340,16 @@
     return wait_for
 
 
-async def open_module_stage():
-    """Start a stage that outlives one test; return it and its closing."""
+async def start_module_front():
+    """Start a front for several tests; return it and a function to stop it."""
     stack = contextlib.AsyncExitStack()
     opened = await stack.enter_async_context(
-        build_stage([FakeEndpoint('a')], default_deadline_s=2),
+        start_front([FakeEndpoint('a')], default_deadline_s=2),
     )
     return opened, stack.aclose
 
 
 @pytest.fixture(scope='module')
-def module_stage():
-    """Return what opens a stage for a whole module."""
-    return open_module_stage
+def module_front():
+    """Return the function that starts a front for a whole module."""
+    return start_module_front
