--- a/packages/verbenahall/tests/front/test_attempts.py
+++ b/packages/verbenahall/tests/front/test_attempts.py
@@ -1,4 +1,4 @@
-"""Attempts against the endpoints' own record of what they started."""
+"""Attempts, compared with the endpoints' records of what they started."""
 
 import asyncio
 import collections
@@ -18,74 +18,74 @@
 
 
 def pick_fault(seed):
-    source = random.Random(seed)
-    faults = [source.choice(FAULTS) for _ in range(4000)]
+    rng = random.Random(seed)
+    faults = [rng.choice(FAULTS) for _ in range(4000)]
     return faults.__getitem__
 
 
-def test_not_run_is_true_over_two_thousand_writes(stage, fake):
-    """Endpoints refuse, reset before and after starting, answer errors and
-    hang until the deadline. A caller that reads ran "no" must find no start
-    of its request in any endpoint's record, and no write starts twice.
+def test_not_run_is_true_over_two_thousand_writes(run_front, fake):
+    """Endpoints refuse requests, reset connections before and after starting,
+    return errors, and hang until the deadline. If a caller is told that its
+    request did not run, no endpoint may have started it; no write starts twice.
     """
 
-    async def write(on, number):
-        async with on.client.post(
-            f'{on.url}/services/pages/write/{number}',
+    async def write(harness, number):
+        async with harness.client.post(
+            f'{harness.url}/services/pages/write/{number}',
             data=b'x',
             headers={
                 'Idempotency-Key': f'k{number}',
                 'X-Deadline-Ms': '700',
             },
         ) as answer:
-            told = await answer.json()
+            body = await answer.json()
             if answer.status == 200:
                 return 'yes'
-            return told['error']['ran']
+            return body['error']['ran']
 
     async def run():
         fakes = [fake(name, pick_fault(name)) for name in 'abcd']
-        async with stage(fakes, EndpointKind.SERVICE) as on:
-            gate = asyncio.Semaphore(64)
+        async with run_front(fakes, EndpointKind.SERVICE) as harness:
+            semaphore = asyncio.Semaphore(64)
 
             async def write_one(number):
-                async with gate:
-                    return await write(on, number)
+                async with semaphore:
+                    return await write(harness, number)
 
-            told = await asyncio.gather(*map(write_one, range(2000)))
+            outcomes = await asyncio.gather(*map(write_one, range(2000)))
         starts = collections.Counter(
             key for endpoint in fakes for key in endpoint.keys
         )
-        return told, starts
+        return outcomes, starts
 
-    told, starts = asyncio.run(run())
-    lies = [
+    outcomes, starts = asyncio.run(run())
+    wrong = [
         number
-        for number, ran in enumerate(told)
+        for number, ran in enumerate(outcomes)
         if ran == 'no' and starts[f'k{number}']
     ]
-    assert not lies
+    assert not wrong
     assert max(starts.values()) == 1
-    assert collections.Counter(told)['no'] > 50
-    assert collections.Counter(told)['yes'] > 500
+    assert collections.Counter(outcomes)['no'] > 50
+    assert collections.Counter(outcomes)['yes'] > 500
 
 
 @pytest.mark.parametrize('fault', ('error', 'reset_after', 'stray', 'hang'))
-def test_plain_request_goes_to_another_engine(stage, fake, fault):
-    """One engine fails every request after it began, answers for another
-    attempt, or hangs and is found silent. Completions without a key may run
-    twice, so callers get their own answers from the other engine.
+def test_plain_request_goes_to_another_engine(run_front, fake, fault):
+    """One engine fails every request after starting it, answers for another
+    attempt, or hangs until it counts as unresponsive. Requests without a key
+    may run twice, so callers get their own answers from the other engine.
     """
 
     async def run():
         bad = fake('bad', lambda number: fault)
-        async with stage([bad, fake('good')]) as on:
-            calls = [on.post(prompt=f'p{number}') for number in range(10)]
+        async with run_front([bad, fake('good')]) as harness:
+            calls = [harness.post(prompt=f'p{number}') for number in range(10)]
             tasks = [asyncio.create_task(call) for call in calls]
             while not bad.started:
                 await asyncio.sleep(0.01)
             if fault == 'hang':
-                bad.standing = Standing.SILENT
+                bad.status = Standing.SILENT
             answers = await asyncio.gather(*tasks)
         assert bad.started
         return answers
@@ -100,47 +100,51 @@
     ('fault', 'released'),
     (('refuse', [('default', 'k', 1)]), ('error', [])),
 )
-def test_key_is_free_again_only_if_nothing_ran(stage, fake, fault, released):
-    """A billed call is refused everywhere and its caller told that nothing
-    ran, so it may come again under its key. One that may have run keeps it.
+def test_key_is_free_again_only_if_nothing_ran(
+    run_front, fake, fault, released
+):
+    """A keyed call that every engine refused never ran, so its key is released
+    for the caller's retry. The key of a call that may have run stays claimed.
     """
 
     async def run():
         engine = fake('a', lambda number: fault)
-        async with stage([engine]) as on:
-            status, _, body = await on.post(headers={'Idempotency-Key': 'k'})
+        async with run_front([engine]) as harness:
+            status, _, body = await harness.post(
+                headers={'Idempotency-Key': 'k'}
+            )
             assert status in {429, 504}, body
-            # What never began, or ended by itself, needs no second request.
+            # An attempt that never started, or has ended, needs no cancel.
             await asyncio.sleep(0.1)
             assert not engine.cancelled
-            return on.told.released
+            return harness.recorder.released
 
     assert asyncio.run(run()) == released
 
 
-def test_request_that_fails_everywhere_kills_no_engine(stage, fake):
-    """One request makes every engine that takes it answer an error. Counted
-    as death of the engines, it would take the whole fleet away.
+def test_request_that_fails_everywhere_kills_no_engine(run_front, fake):
+    """Every engine answers one request with an error. If that counted as a
+    failure of the engine, a single request could mark all engines as down.
     """
 
     async def run():
         fakes = [fake(name, lambda number: 'error') for name in 'ab']
-        async with stage(fakes) as on:
-            assert (await on.post())[0] == 502
-            return on.told.missed
+        async with run_front(fakes) as harness:
+            assert (await harness.post())[0] == 502
+            return harness.recorder.failures
 
     assert not asyncio.run(run())
 
 
-def test_instance_that_knows_nothing_yet_says_so(stage, fake):
-    """An instance has just started and the balancer is early. What it does
-    not know yet must not be answered as a model that does not exist.
+def test_unready_instance_answers_not_ready(run_front, fake):
+    """The balancer sends a request to an instance that has just started. A
+    model that it has not seen yet must not be reported as nonexistent.
     """
 
     async def run():
-        async with stage([fake('a')]) as on:
-            on.told.unready = Problem(ErrorKind.NOT_READY, 'starting')
-            return await on.post(model='other')
+        async with run_front([fake('a')]) as harness:
+            harness.recorder.unready = Problem(ErrorKind.NOT_READY, 'starting')
+            return await harness.post(model='other')
 
     status, headers, body = asyncio.run(run())
     assert status == 503
@@ -148,37 +152,37 @@
     assert json.loads(body)['error']['kind'] == 'not_ready'
 
 
-def test_drained_engine_gets_no_new_work(stage, fake):
-    """An operator drains an engine that the list still shows as live. It
-    must get nothing new within seconds, or it could never be taken away.
+def test_drained_engine_gets_no_new_work(run_front, fake):
+    """An operator drains an engine that the list still shows as live. It must
+    get no new requests from then on, or it could never be removed.
     """
 
     async def run():
         drained = fake('a')
-        async with stage([drained, fake('b')]) as on:
-            on.parts.settings().drains['a'] = 'replaced'
+        async with run_front([drained, fake('b')]) as harness:
+            harness.dependencies.read_settings().drains['a'] = 'replaced'
             await asyncio.sleep(0.1)
             for _ in range(20):
-                assert (await on.post())[0] == 200
+                assert (await harness.post())[0] == 200
         assert not drained.seen
 
     asyncio.run(run())
 
 
-def test_requests_spill_over_when_the_own_engines_are_gone(stage, fake):
-    """All engines of a data centre are lost while another one has some. Its
-    callers are answered from there, and from their own again afterwards.
+def test_requests_spill_over_when_local_engines_fail(run_front, fake):
+    """All engines of the local data centre fail. Requests are served by
+    another data centre until the local engines are back.
     """
 
     async def run():
         near, far = fake('near'), fake('far')
         far.data_centre = 'there'
-        async with stage([near, far]) as on:
+        async with run_front([near, far]) as harness:
             seen = []
-            for standing in (Standing.LIVE, Standing.SILENT, Standing.LIVE):
-                near.standing = standing
+            for status in (Standing.LIVE, Standing.SILENT, Standing.LIVE):
+                near.status = status
                 await asyncio.sleep(0.1)
-                _, _, body = await on.post()
+                _, _, body = await harness.post()
                 seen.append(json.loads(body)['by'])
         return seen
 
@@ -186,18 +190,23 @@
 
 
 @pytest.mark.parametrize('fault', ('error', 'reset_after', 'hang'))
-def test_billed_request_runs_once_and_says_unknown(stage, fake, fault):
-    """An engine begins a billed summary and fails. Whether it ran is not
-    known, so it is not sent again and the caller is told just that.
+def test_billed_request_runs_once_and_says_unknown(run_front, fake, fault):
+    """An engine starts a billed request and fails. It is unknown whether the
+    request ran, so it is not retried and the caller gets ran "unknown".
     """
 
     async def run():
         fakes = [fake(name, lambda number: fault) for name in 'ab']
-        async with stage(fakes) as on:
+        async with run_front(fakes) as harness:
             headers = {'Idempotency-Key': 'k', 'X-Deadline-Ms': '500'}
-            status, _, body = await on.post(headers=headers)
-            starts = [start for found in fakes for start in found.started]
-            return status, json.loads(body)['error'], starts, on.told.claims
+            status, _, body = await harness.post(headers=headers)
+            starts = [start for engine in fakes for start in engine.started]
+            return (
+                status,
+                json.loads(body)['error'],
+                starts,
+                harness.recorder.claims,
+            )
 
     status, error, starts, claims = asyncio.run(run())
     assert status == 504
