--- a/packages/verbenahall/tests/front/test_callers.py
+++ b/packages/verbenahall/tests/front/test_callers.py
@@ -1,4 +1,4 @@
-"""What callers may send, and what they are told."""
+"""Requests from callers, valid and invalid, and the responses to them."""
 
 import asyncio
 import json
@@ -7,12 +7,12 @@
 
 
 @pytest.mark.parametrize('prompt', ('hello', 'long archive ' * 300))
-def test_plain_answer_and_its_identity(stage, fake, prompt):
-    """A plain request is answered by the engine's own body."""
+def test_plain_answer_and_its_identity(run_front, fake, prompt):
+    """A plain request gets the engine's response body and a request ID."""
 
     async def run():
-        async with stage([fake('a')]) as on:
-            return await on.post(prompt=prompt)
+        async with run_front([fake('a')]) as harness:
+            return await harness.post(prompt=prompt)
 
     status, headers, body = asyncio.run(run())
     assert status == 200
@@ -68,8 +68,8 @@
     ('method', 'path', 'body', 'headers', 'status', 'kind'),
     BAD,
 )
-def test_bad_request_is_answered_from_the_table(
-    stage,
+def test_bad_request_gets_its_error_kind(
+    run_front,
     fake,
     method,
     path,
@@ -78,24 +78,28 @@
     status,
     kind,
 ):
-    """A caller sends something malformed, too large, or to no such place. It
-    reads the kind of its error and that nothing ran, and no engine is asked.
+    """A caller sends a request that is malformed, too large or to an unknown
+    path. It gets the error kind and ran "no", and no engine gets a request.
     """
 
     async def run():
         engine = fake('a')
-        async with stage([engine]) as on:
-            async with on.client.request(
+        async with run_front([engine]) as harness:
+            async with harness.client.request(
                 method,
-                on.url + path,
+                harness.url + path,
                 data=body,
                 headers=headers,
             ) as answer:
                 assert not engine.seen
                 return answer.status, (await answer.json())['error']
 
-    found, error = asyncio.run(run())
-    assert (found, error['kind'], error['ran']) == (status, kind, 'no')
+    answered_status, error = asyncio.run(run())
+    assert (answered_status, error['kind'], error['ran']) == (
+        status,
+        kind,
+        'no',
+    )
 
 
 POST = b'POST /v1/completions HTTP/1.1\r\nHost: x\r\n%b'
@@ -109,16 +113,19 @@
 
 
 @pytest.mark.parametrize(('sent', 'status', 'kind'), RAW)
-def test_malformed_http_is_answered_and_closed(stage, fake, sent, status, kind):
-    """A caller sends half a body and stops, or a head that is too long or no
-    HTTP at all. It would hold a connection for ever or make the next request
-    out of the rest; it is told what is wrong, and the connection ends.
+def test_malformed_http_is_answered_and_closed(
+    run_front, fake, sent, status, kind
+):
+    """A caller sends an incomplete body, a head that is too long, or bytes
+    that are not HTTP. Without a timeout it would hold a connection for ever,
+    and leftover bytes would be parsed as the next request. It gets an error
+    response, and the connection is closed.
     """
 
     async def run():
         engine = fake('a')
-        async with stage([engine]) as on:
-            answer = await on.send_raw(POST % sent)
+        async with run_front([engine]) as harness:
+            answer = await harness.send_raw(POST % sent)
         assert not engine.seen
         return answer
 
@@ -128,35 +135,36 @@
     assert kind.encode() in answer
 
 
-def test_head_that_never_ends_is_let_go(stage, fake):
-    """A caller opens a connection and sends a head line by line for ever.
-    Hundreds of them would use up all connections; they are closed unseen.
+def test_incomplete_head_times_out(run_front, fake):
+    """A caller never completes its request head. Hundreds of such callers
+    would use up the connection limit, so the connection is closed without a
+    response.
     """
 
     async def run():
-        async with stage([fake('a')], body_timeout_s=0.2) as on:
-            return await on.send_raw(POST % b'X-More: ')
+        async with run_front([fake('a')], body_timeout_s=0.2) as harness:
+            return await harness.send_raw(POST % b'X-More: ')
 
     assert asyncio.run(run()) == b''
 
 
-def test_connections_are_bounded(stage, fake):
-    """Callers open more connections than the instance may hold. Those beyond
-    are told so at once, and there is room again when others have gone.
+def test_connections_are_bounded(run_front, fake):
+    """Callers open more connections than the limit. The excess ones get an
+    error at once, and new ones are accepted after others have closed.
     """
 
     async def run():
-        async with stage([fake('a')], connections=2) as on:
+        async with run_front([fake('a')], connections=2) as harness:
             for _ in range(2):
-                assert (await on.post())[0] == 200
-            host, _, port = on.url.removeprefix('http://').partition(':')
+                assert (await harness.post())[0] == 200
+            host, _, port = harness.url.removeprefix('http://').partition(':')
             held = [
                 await asyncio.open_connection(host, int(port)) for _ in range(2)
             ]
-            refused = await on.send_raw(b'')
+            refused = await harness.send_raw(b'')
             for _, writer in held:
                 writer.close()
-            while (await on.send_raw(HEALTH)).startswith(b'HTTP/1.1 429'):
+            while (await harness.send_raw(HEALTH)).startswith(b'HTTP/1.1 429'):
                 await asyncio.sleep(0.01)
             return refused
 
