--- a/packages/verbenahall/tests/front/test_fuzz.py
+++ b/packages/verbenahall/tests/front/test_fuzz.py
@@ -1,4 +1,4 @@
-"""Anything a caller may send, against a running front."""
+"""Arbitrary requests against a running front."""
 
 import asyncio
 import json
@@ -8,7 +8,7 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-KINDS = st.recursive(
+VALUES = st.recursive(
     st.none() | st.booleans() | st.integers() | st.floats() | st.text(),
     lambda inner: (
         st.lists(inner, max_size=4)
@@ -19,11 +19,11 @@
 FIELDS = ('model', 'prompt', 'messages', 'max_tokens', 'stream', 'adapter')
 BODIES = st.one_of(
     st.binary(max_size=200),
-    KINDS.map(lambda found: json.dumps(found).encode()),
+    VALUES.map(lambda body: json.dumps(body).encode()),
     st.fixed_dictionaries(
         {},
-        optional={name: KINDS | st.just('m') for name in FIELDS},
-    ).map(lambda found: json.dumps(found).encode()),
+        optional={name: VALUES | st.just('m') for name in FIELDS},
+    ).map(lambda body: json.dumps(body).encode()),
 )
 HEADERS = st.dictionaries(
     st.sampled_from(
@@ -59,13 +59,13 @@
 
 @pytest.fixture(scope='module')
 def address(request):
-    """Run one front in a thread of its own; yield its host and port."""
-    build = request.getfixturevalue('module_stage')
+    """Run one front in its own thread; yield its harness and event loop."""
+    build = request.getfixturevalue('module_front')
     loop = asyncio.new_event_loop()
     thread = threading.Thread(target=loop.run_forever)
     thread.start()
-    stage, close = asyncio.run_coroutine_threadsafe(build(), loop).result(20)
-    yield stage, loop
+    harness, close = asyncio.run_coroutine_threadsafe(build(), loop).result(20)
+    yield harness, loop
     asyncio.run_coroutine_threadsafe(close(), loop).result(20)
     loop.call_soon_threadsafe(loop.stop)
     thread.join()
@@ -82,22 +82,22 @@
 @settings(max_examples=300)
 @given(METHODS, TARGETS, HEADERS, BODIES)
 def test_anything_is_answered_in_kind(address, method, target, headers, body):
-    """A caller, broken or hostile, sends any bytes as method, path, headers
-    and body. It is answered within its deadline, never by an internal error,
-    and an error always has its kind and whether anything ran.
+    """A broken or hostile caller sends arbitrary bytes as method, path, headers
+    and body. It gets a response within its deadline, never an internal error,
+    and an error response always has its kind and ran "no".
     """
-    stage, loop = address
+    harness, loop = address
     sent = join_head(method, target, headers, body)
     answer = asyncio.run_coroutine_threadsafe(
-        stage.send_raw(sent),
+        harness.send_raw(sent),
         loop,
     ).result(30)
     assert answer, sent
     answer = answer.removeprefix(b'HTTP/1.1 100 Continue\r\n\r\n')
     status = int(answer.split()[1])
-    told = answer.partition(b'\r\n\r\n')[2]
+    received_body = answer.partition(b'\r\n\r\n')[2]
     assert status in range(200, 500) or status == 503, answer
     if status >= 400 and method != b'HEAD':
-        error = json.loads(told)['error']
+        error = json.loads(received_body)['error']
         assert error['kind']
         assert error['ran'] == 'no'
