--- a/packages/verbenahall/tests/front/test_processes.py
+++ b/packages/verbenahall/tests/front/test_processes.py
@@ -1,4 +1,4 @@
-"""Engines as processes of their own, with signals and switched faults."""
+"""Engines in separate processes, with signals and injected faults."""
 
 import asyncio
 import collections
@@ -28,11 +28,11 @@
 
 
 class EngineProcess:
-    """A stand-in engine, and the standing that membership would give it."""
+    """A stand-in engine, with the status that membership would report."""
 
     def __init__(self, name):
         self.name = name
-        self.standing = Standing.LIVE
+        self.status = Standing.LIVE
         arguments = ('--port', '0', '--name', name, '--model', 'm=1')
         self.running = process.start(
             'verbenahall_standins.engine',
@@ -44,7 +44,7 @@
 
 @pytest.fixture
 def engines():
-    """Start four engines; stop them whatever happens."""
+    """Start four engines; stop them on exit."""
     with contextlib.ExitStack() as stack:
         started = []
         for name in 'abcd':
@@ -54,35 +54,35 @@
         yield started
 
 
-async def disturb(on, engines, done):
-    """Switch faults in turn; pause one engine, kill another."""
+async def inject_faults(harness, engines, done):
+    """Inject faults one after another; pause one engine and kill another."""
     for number, fault in enumerate(FAULTS * 2):
         engine = engines[number % 3]
         body = {'count': 15, 'path': '/v1', **fault}
         url = f'http://{engine.address}/faults'
-        await on.client.post(url, json=body)
+        await harness.client.post(url, json=body)
         await asyncio.sleep(0.1)
         if number == 4:
             engines[3].running.process.kill()
             await asyncio.sleep(0.2)
-            engines[3].standing = Standing.SILENT
+            engines[3].status = Standing.SILENT
         if number == 8:
             engines[2].running.pause()
             await asyncio.sleep(0.3)
-            engines[2].standing = Standing.SILENT
+            engines[2].status = Standing.SILENT
             await asyncio.sleep(0.3)
             engines[2].running.resume()
-            engines[2].standing = Standing.LIVE
+            engines[2].status = Standing.LIVE
         if done():
             break
 
 
-async def ask(on, number):
-    """Send a plain, a streamed or a billed request; return what was told."""
+async def send(harness, number):
+    """Send a plain, streamed or billed request; return the response."""
     headers = {'X-Deadline-Ms': '3000'}
     if number % 3 == 2:
         headers['Idempotency-Key'] = f'k{number}'
-    return await on.post(
+    return await harness.post(
         headers=headers,
         prompt=f'p{number}',
         stream=number % 3 == 1,
@@ -90,18 +90,18 @@
     )
 
 
-async def read_starts(on, engines):
-    """Return the attempts that the living engines say they started."""
+async def read_starts(harness, engines):
+    """Return the attempts that the remaining engines recorded as started."""
     starts = []
     for engine in engines[:3]:
         url = f'http://{engine.address}/record'
-        async with on.client.get(url) as answer:
+        async with harness.client.get(url) as answer:
             starts += (await answer.json())['started']
     return starts
 
 
-def judge(number, status, body):
-    """Return what a caller read: whole, ended, or the word for ran."""
+def classify_answer(number, status, body):
+    """Return ``whole``, ``ended``, or the value of ``ran`` in an error."""
     whole = text.write_answer(f'p{number}', TOKENS, 'm')
     if status != 200:
         return json.loads(body)['error']['ran']
@@ -110,54 +110,55 @@
         return 'whole'
     events = [event[6:] for event in body.decode().split('\n\n') if event]
     tables = [json.loads(event) for event in events[:-1]]
-    told = ''.join(table['choices'][0]['text'] for table in tables)
+    received = ''.join(table['choices'][0]['text'] for table in tables)
     if events[-1] == '[DONE]':
-        assert told == whole
+        assert received == whole
         return 'whole'
     assert json.loads(events[-1])['error']['kind']
-    assert whole.startswith(told)
+    assert whole.startswith(received)
     return 'ended'
 
 
 @pytest.mark.process
-def test_answers_are_whole_and_not_run_is_true(stage, engines, monkeypatch):
-    """Engines refuse, reset, truncate, repeat themselves, hang, are stopped
-    and killed under load. A caller that reads a 200 has the whole text of its
-    own request or an error event, one that reads "not run" finds no start in
-    the engines' own record, and nothing billed starts twice.
+def test_answers_are_whole_and_not_run_is_true(run_front, engines, monkeypatch):
+    """Under load, engines refuse requests, reset connections, truncate or
+    duplicate events, hang, are paused and killed. A response with status 200
+    has the complete text of its own request or ends with an error event. A
+    request that is reported as not run was not started by any engine, and no
+    billed request starts twice.
     """
     monkeypatch.setattr(journal, 'recent', collections.deque())
 
     async def run():
-        async with stage(engines) as on:
-            gate = asyncio.Semaphore(24)
-            told = {}
+        async with run_front(engines) as harness:
+            semaphore = asyncio.Semaphore(24)
+            answers = {}
 
-            async def ask_one(number):
-                async with gate:
-                    told[number] = await ask(on, number)
+            async def send_one(number):
+                async with semaphore:
+                    answers[number] = await send(harness, number)
 
             await asyncio.gather(
-                disturb(on, engines, lambda: len(told) == COUNT),
-                *(ask_one(number) for number in range(COUNT)),
+                inject_faults(harness, engines, lambda: len(answers) == COUNT),
+                *(send_one(number) for number in range(COUNT)),
             )
             for engine in engines[:3]:
                 body = {'name': 'clear'}
-                await on.client.post(
+                await harness.client.post(
                     f'http://{engine.address}/faults',
                     json=body,
                 )
-            return told, await read_starts(on, engines)
+            return answers, await read_starts(harness, engines)
 
-    told, starts = asyncio.run(run())
+    answers, starts = asyncio.run(run())
     attempts = collections.defaultdict(set)
     for line in journal.recent:
         if line['event'] == 'route':
             attempts[line['request']].add(line['attempt'])
     started = {run['attempt'] for run in starts}
     outcomes = collections.Counter()
-    for number, (status, headers, body) in told.items():
-        outcome = judge(number, status, body)
+    for number, (status, headers, body) in answers.items():
+        outcome = classify_answer(number, status, body)
         outcomes[outcome] += 1
         if outcome == 'no':
             assert not attempts[headers['X-Request-Id']] & started
