--- a/packages/verbenahall/tests/front/test_streams.py
+++ b/packages/verbenahall/tests/front/test_streams.py
@@ -1,4 +1,4 @@
-"""Streams: whole, or ended by an error event, never silently short."""
+"""Streams are complete or end with an error event."""
 
 import asyncio
 import json
@@ -22,10 +22,10 @@
 
 
 @pytest.mark.parametrize('fault', FAULTY_FIRST)
-def test_stream_is_whole_where_engines_resume(stage, fake, fault):
-    """An engine dies inside an event, ends without the mark, leaves a token
-    out, sends tokens twice, or refuses. The caller notices nothing: the text
-    is whole, since another engine goes on at the token reached.
+def test_stream_is_whole_where_engines_resume(run_front, fake, fault):
+    """An engine fails within an event, ends the stream without its end marker,
+    skips or repeats tokens, or refuses the request. The caller still gets the
+    complete text, since another engine resumes at the next token.
     """
 
     async def run():
@@ -34,9 +34,10 @@
             fake('b', lambda number: fault if number == 0 else ''),
         ]
         fakes[1].fault = lambda number: ''
-        async with stage(fakes) as on:
+        async with run_front(fakes) as harness:
             bodies = [
-                (await on.post(stream=True, prompt='x'))[2] for _ in range(8)
+                (await harness.post(stream=True, prompt='x'))[2]
+                for _ in range(8)
             ]
         assert fakes[0].seen
         return bodies
@@ -49,15 +50,15 @@
 
 
 @pytest.mark.parametrize('fault', ('die', 'truncate', 'gap'))
-def test_short_stream_ends_with_an_error_event(stage, fake, fault):
-    """The only engine dies in mid-stream and cannot resume. The caller has a
-    part of the answer and reads an error event that says so.
+def test_short_stream_ends_with_an_error_event(run_front, fake, fault):
+    """The only engine fails in the middle of a stream and cannot resume. The
+    caller has a part of the answer and gets an error event.
     """
 
     async def run():
         fakes = [fake('a', lambda number: fault)]
-        async with stage(fakes, resumes=False) as on:
-            return await on.post(stream=True)
+        async with run_front(fakes, resumes=False) as harness:
+            return await harness.post(stream=True)
 
     status, _, body = asyncio.run(run())
     events = read_events(body)
@@ -68,38 +69,38 @@
     assert error['ran'] == 'yes'
 
 
-def test_caller_gone_cancels_the_engines_work(stage, fake, until):
-    """A caller closes the connection in mid-stream. Nobody would read the
-    rest, so the engine is told to stop and its slot is free again.
+def test_caller_gone_cancels_the_engines_work(run_front, fake, until):
+    """A caller closes the connection in the middle of a stream. The attempt is
+    cancelled at the engine, and its slot becomes free.
     """
 
     async def run():
         engine = fake('a', lambda number: 'stall' if number == 0 else '')
-        async with stage([engine]) as on:
+        async with run_front([engine]) as harness:
             body = {'model': 'm', 'prompt': 'p', 'stream': True}
-            answer = await on.client.post(
-                f'{on.url}/v1/completions',
+            answer = await harness.client.post(
+                f'{harness.url}/v1/completions',
                 json=body,
             )
             await answer.content.readany()
             answer.close()
             await until(lambda: engine.cancelled)
             assert engine.cancelled == engine.started
-            assert not on.parts.load.of('a').own
+            assert not harness.dependencies.load.of('a').own
 
     asyncio.run(run())
 
 
-def test_caller_that_stops_reading_is_let_go(stage, fake, until):
-    """A caller asks for a long stream and never reads it. It would hold the
-    engine's slot until its deadline, and a few such callers would hold all.
+def test_caller_that_stops_reading_is_let_go(run_front, fake, until):
+    """A caller requests a long stream and never reads it. It would occupy the
+    engine's slot until its deadline, and a few such callers all slots.
     """
 
     async def run():
         engine = fake('a')
         engine.tokens = 20_000
-        async with stage([engine], body_timeout_s=0.3) as on:
-            host, _, port = on.url.removeprefix('http://').partition(':')
+        async with run_front([engine], body_timeout_s=0.3) as harness:
+            host, _, port = harness.url.removeprefix('http://').partition(':')
             _, writer = await asyncio.open_connection(host, int(port), limit=1)
             body = json.dumps(
                 {'model': 'm', 'prompt': 'x' * 2000, 'stream': True},
@@ -108,7 +109,7 @@
             size = f'Content-Length: {len(body)}\r\n\r\n'
             writer.write(f'{head}{size}{body}'.encode())
             await until(lambda: engine.cancelled)
-            await until(lambda: not on.parts.load.of('a').own)
+            await until(lambda: not harness.dependencies.load.of('a').own)
             writer.close()
 
     asyncio.run(run())
