--- a/packages/verbenahall/tests/instance/test_dependencies.py
+++ b/packages/verbenahall/tests/instance/test_dependencies.py
@@ -1,9 +1,9 @@
-"""The engines that the control loops see."""
+"""The engines that the control loops use."""
 
 import pytest
 
 from verbenahall.fleet import Endpoint, EndpointKind
-from verbenahall.instance._dependencies import Surroundings
+from verbenahall.instance._dependencies import ControllerDependencies
 from verbenahall.membership import (
     ListEntry,
     MembershipState,
@@ -25,41 +25,47 @@
 
 
 def replace_by_list(state):
-    """The list shows another life of the engine."""
+    """The list shows a new incarnation of the engine."""
     apply_list(state, [make_entry('e', incarnation='2')], 1)
 
 
-def replace_by_word(state):
-    """The engine itself tells of another life."""
+def replace_by_state(state):
+    """The engine's state shows a new incarnation."""
     observe_word(state, 'e', '2', leaving=False, now=1)
 
 
-@pytest.mark.parametrize('replace', [replace_by_list, replace_by_word])
-def test_replaced_engine_is_seen_at_once(replace):
+@pytest.mark.parametrize('replace', [replace_by_list, replace_by_state])
+def test_replaced_engine_is_listed_at_once(replace):
     """An engine is replaced under its name between two steps.
 
-    Kept too long, the old entry would send orders to a process that is gone.
+    An outdated entry would send orders to a process that no longer exists.
     """
     members = MembershipState()
-    surroundings = Surroundings('ain', None, members)
+    dependencies = ControllerDependencies('ain', None, members)
     apply_list(members, [make_entry('e')], 0)
-    assert [one.incarnation for one in surroundings.own_engines()] == ['1']
+    assert [
+        engine.incarnation for engine in dependencies.list_local_engines()
+    ] == ['1']
 
     replace(members)
 
-    assert [one.incarnation for one in surroundings.own_engines()] == ['2']
+    assert [
+        engine.incarnation for engine in dependencies.list_local_engines()
+    ] == ['2']
 
 
-def test_few_engines_of_other_data_centres_are_watched():
-    """Requests spill over when the own engines are all gone."""
+def test_few_engines_of_other_data_centres_are_polled():
+    """Requests spill over to them when all local engines are down."""
     members = MembershipState()
-    far = [
+    remote = [
         make_entry('far'.ljust(3 + number, 'x'), 'sidi') for number in range(20)
     ]
-    apply_list(members, [make_entry('e'), *far], 0)
-    surroundings = Surroundings('ain', None, members)
+    apply_list(members, [make_entry('e'), *remote], 0)
+    dependencies = ControllerDependencies('ain', None, members)
 
-    watched = surroundings.watched_engines()
+    polled = dependencies.list_polled_engines()
 
-    assert [one.name for one in watched if one.data_centre == 'ain'] == ['e']
-    assert len(watched) == 9
+    assert [
+        engine.name for engine in polled if engine.data_centre == 'ain'
+    ] == ['e']
+    assert len(polled) == 9
