--- a/packages/verbenahall/tests/instance/test_engine_state.py
+++ b/packages/verbenahall/tests/instance/test_engine_state.py
@@ -1,4 +1,4 @@
-"""An engine's own word against a list that lags or names no life of it."""
+"""Engine states that are newer than the list of endpoints."""
 
 import asyncio
 from types import MappingProxyType
@@ -9,7 +9,7 @@
 from verbenahall import wire
 from verbenahall.authority import AuthorityState
 from verbenahall.fleet import Endpoint, EndpointKind, Standing
-from verbenahall.instance._membership_adapter import Experience
+from verbenahall.instance._membership_adapter import MembershipAdapter
 from verbenahall.load import EngineStates, LoadState, StatePoller
 from verbenahall.membership import (
     ListEntry,
@@ -39,18 +39,18 @@
 )
 
 
-async def poll_once(listed, told):
-    """Poll one engine; return membership after its answer."""
+async def poll_once(listed, overrides):
+    """Poll one engine; return the membership after its answer."""
 
     async def answer(request):
-        return web.Response(body=wire.encode({**STATE, **told}))
+        return web.Response(body=wire.encode({**STATE, **overrides}))
 
     runner = web.ServerRunner(web.Server(answer))
     await runner.setup()
     await web.TCPSite(runner, '127.0.0.1', 0).start()
     host, port = runner.addresses[0]
     members = MembershipState()
-    experience = Experience(members, OrdersState(AuthorityState()))
+    adapter = MembershipAdapter(members, OrdersState(AuthorityState()))
     engine = Endpoint('e', EndpointKind.ENGINE, f'{host}:{port}', 'ain', listed)
     apply_list(members, [ListEntry(engine)], 0)
     async with ClientSession() as session:
@@ -60,9 +60,9 @@
             EngineStates(),
             LoadState(),
             1,
-            heard=experience.heard,
-            missed=experience.missed,
-            told=experience.told,
+            heard=adapter.report_answer,
+            missed=adapter.report_failure,
+            told=adapter.report_state,
         )
         await poller.poll()
     await runner.cleanup()
@@ -70,11 +70,11 @@
 
 
 @pytest.mark.parametrize('listed', ['', 'old', 'new'])
-def test_engine_is_known_by_its_own_word(listed):
-    """An engine was replaced under its name, and the list does not tell yet.
+def test_incarnation_is_taken_from_the_engine_s_state(listed):
+    """An engine was replaced under its name, and the list is outdated.
 
-    Requests go to a known life only: with the list's word alone callers are
-    told that no engine holds the model, though it stands idle.
+    Requests go only to the incarnation in the membership. With the list alone,
+    callers would get "no engine" although the new engine is idle.
     """
     members = asyncio.run(poll_once(listed, {}))
 
@@ -82,18 +82,18 @@
     assert standing_of(members, 'e', 1) is Standing.LIVE
 
 
-def test_leaving_is_taken_from_the_engine_itself():
-    """An engine says that it leaves before the list shows it."""
+def test_leaving_is_taken_from_the_engine_s_state():
+    """An engine reports that it is leaving before the list shows it."""
     members = asyncio.run(poll_once('new', {'leaving': True}))
 
     assert standing_of(members, 'e', 1) is Standing.LEAVING
 
 
-def test_quiet_log_counts_as_heard_from_the_start():
-    """An instance starts on a log to which nobody appends.
+def test_idle_log_counts_as_contacted_at_once():
+    """An instance starts while no records are appended to the log.
 
-    Unheard for a whole long poll, the instance claims no lease, and engines
-    wait for their orders.
+    If the log counted as contacted only after the first long poll, the
+    instance would claim no lease, and engines would wait for their orders.
     """
     keeper = SnapshotKeeper(MemoryLog(), [], None, list)
 
