--- a/packages/verbenahall/tests/instance/test_foldables.py
+++ b/packages/verbenahall/tests/instance/test_foldables.py
@@ -1,4 +1,4 @@
-"""Sections of snapshots: what a fold says survives a dump and a load."""
+"""Sections of snapshots: folds are unchanged by a dump and a load."""
 
 import json
 
@@ -75,7 +75,7 @@
 
 
 def apply(folds, bodies, start):
-    """Apply bodies as the records from offset ``start`` on."""
+    """Apply bodies as records, starting at offset ``start``."""
     for offset, (stream, body) in enumerate(bodies, start):
         for fold in folds:
             fold.apply_record(Record(offset, stream, f'i{offset}', body))
@@ -83,10 +83,10 @@
 
 @given(st.lists(records, max_size=12), st.integers(0, 12))
 def test_fold_from_a_snapshot_goes_on_as_the_whole(bodies, cut):
-    """An instance is replaced after records have expired.
+    """An instance starts from a snapshot after older records have expired.
 
-    Lost grants would let two instances hold a scope, lost orders would be
-    given twice, and lost claims would let a call run again.
+    If grants were lost, two instances could hold a scope; lost orders would be
+    given twice; and lost claims would allow a call to run again.
     """
     claim = {
         'kind': 'claim',
@@ -108,10 +108,10 @@
 
 
 def test_late_second_copy_of_orders_changes_nothing():
-    """The log was paused with an append in its socket; a retry went through.
+    """The log was paused with an append in its socket, and a retry succeeded.
 
-    Woken, the log appends the first try too, after a newer order. The engine
-    would be sent back to the model that it was just taken off.
+    After the pause the log also stores the first attempt, after a newer order.
+    Applied again, it would set the engine back to its previous model.
     """
     folds = make_folds()
     claim = ('claim', 'authority', {'after': 0, 'lease_s': 5, 'kind': 'claim'})
@@ -125,8 +125,8 @@
         start=1,
     ):
         whole = {'scope': 'lampeter', 'holder': 'entry-1', **body}
-        for each in folds:
-            each.apply_record(Record(offset, stream, identity, whole))
+        for fold in folds:
+            fold.apply_record(Record(offset, stream, identity, whole))
 
     assert folds[1].dump()['orders']['e1']['target']['models'] == {
         'drafter': '2'
@@ -134,7 +134,7 @@
 
 
 def build_batch(version):
-    """Return a batch that gives engine e1 a version of the model."""
+    """Return a batch that orders a version of the model on engine e1."""
     target = {'role': 'mixed', 'models': {'drafter': version}, 'adapters': []}
     order = {'engine': 'e1', 'incarnation': 'i', 'target': target}
     return {'token': 1, 'orders': [order]}
