--- a/packages/verbenahall/tests/shutdown/test_phases.py
+++ b/packages/verbenahall/tests/shutdown/test_phases.py
@@ -1,4 +1,4 @@
-"""Phases of a graceful stop, and requests that are open meanwhile."""
+"""Phases of a graceful stop, and the requests that are open during it."""
 
 import asyncio
 
@@ -11,7 +11,7 @@
     HandedOver,
     Phase,
     ShutdownState,
-    StopAsked,
+    StopRequested,
     StopTiming,
     Tick,
     decide,
@@ -22,12 +22,12 @@
 
 
 def test_phases_in_order():
-    """The platform stops an instance that has two open requests."""
+    """The platform stops an instance with two open requests."""
     state = ShutdownState(StopTiming(30, 2, 1, 2))
     steps = [
         (0, Tick(2), Phase.SERVING, ()),
-        (1, StopAsked(), Phase.NOT_READY, (Effect.ANNOUNCE_LEAVING,)),
-        (2, StopAsked(), Phase.NOT_READY, ()),
+        (1, StopRequested(), Phase.NOT_READY, (Effect.ANNOUNCE_LEAVING,)),
+        (2, StopRequested(), Phase.NOT_READY, ()),
         (3, Tick(2), Phase.REFUSING, (Effect.CLOSE_LISTENERS,)),
         (4, Tick(2), Phase.FINISHING, ()),
         (9, Tick(1), Phase.FINISHING, ()),
@@ -49,11 +49,11 @@
 def test_grace_bounds_the_stop(grace_s):
     """A caller never reads its stream to the end.
 
-    Without a bound the platform's kill would come first, with the leases
-    still held.
+    Without a time limit the platform would kill the process before it has
+    released its leases.
     """
     state = ShutdownState(StopTiming(grace_s, 2, 1, 2))
-    decide(state, StopAsked(), 0)
+    decide(state, StopRequested(), 0)
     now = 0
     while state.phase is not Phase.GONE:
         now += 0.05
@@ -96,10 +96,10 @@
 
 
 def test_open_streams_finish_uncut():
-    """An instance is stopped, twice, while 200 streams are open.
+    """An instance gets two stop requests while 200 streams are open.
 
-    Each caller must get its stream to the end, and a caller that keeps its
-    connection an answer that tells it to close, never a reset.
+    Every stream must be complete. A request on an open connection must get a
+    response with ``Connection: close``, never a reset.
     """
 
     async def main():
@@ -118,8 +118,8 @@
                 *(session.get(f'{url}/stream') for _ in range(STREAMS)),
             )
             assert (await session.get(f'{url}/plain')).status == 200
-            stop.ask()
-            stop.ask()
+            stop.request_stop()
+            stop.request_stop()
             await wait_for_phase(stop, Phase.REFUSING)
             late = await session.get(f'{url}/plain')
             assert late.headers['Connection'] == 'close'
@@ -134,13 +134,13 @@
     asyncio.run(main())
 
 
-def test_hanging_hook_does_not_hold_up_the_stop():
-    """The log is down when an instance that holds a lease is stopped."""
+def test_hanging_hook_does_not_delay_the_stop():
+    """The log is unavailable when an instance with a lease is stopped."""
 
     async def main():
         stop = GracefulStop(StopTiming(1, 0, 0, 0.2))
         stop.hooks.hand_over.append(asyncio.Event().wait)
-        stop.ask()
+        stop.request_stop()
         await asyncio.wait_for(stop.run(), 10)
         assert stop.state.phase is Phase.GONE
 
