--- a/packages/verbenahall/tests/admin/test_admin.py
+++ b/packages/verbenahall/tests/admin/test_admin.py
@@ -1,4 +1,4 @@
-"""The administration API: who may read what."""
+"""Access to the administration API."""
 
 import asyncio
 import contextlib
@@ -25,7 +25,7 @@
 
 
 def digest(token):
-    """Return what the settings keep of a token."""
+    """Return a token's digest, as stored in the settings."""
     return hashlib.sha256(token.encode()).hexdigest()
 
 
@@ -36,8 +36,8 @@
 )
 
 
-def fold_settings():
-    """Return a state with a workspace of each team and one refusal."""
+def build_settings():
+    """Return settings with a workspace of each team and one refusal."""
     state = SettingsState()
     rows = [
         ('desk', 'desk/workspaces/club', 0, {'queue': 5}),
@@ -52,7 +52,7 @@
     return state
 
 
-#: The limits of a settings file that gives none.
+#: The default limits of a settings file.
 LIMITS = LimitsConfig(
     **check_table(
         {},
@@ -63,13 +63,13 @@
 
 
 @contextlib.asynccontextmanager
-async def serving():
-    """Yield the address of an API over the folded settings."""
+async def run_api():
+    """Run an API on the settings; yield its address."""
     app = web.Application()
     AdminApi(
         ('entry-1', 'lampeter', 'f00'),
         AdminConfig(CREDENTIALS),
-        fold_settings(),
+        build_settings(),
         LogFollower(None, ()),
         lambda: Readiness(ready=False, reason='no settings yet'),
     ).add_routes(app)
@@ -82,16 +82,16 @@
 
 
 async def get(view, header):
-    """Return the status and the body of one answer."""
+    """Return the status and body of one response."""
     headers = {'Authorization': header} if header else {}
-    async with serving() as address, ClientSession() as session:
+    async with run_api() as address, ClientSession() as session:
         url = f'{address}/admin/v1/{view}'
         async with session.get(url, headers=headers) as answer:
             return answer.status, await answer.json()
 
 
-def ask(view, token=DESK):
-    """Ask as the token's owner."""
+def get_as(view, token=DESK):
+    """Get a view with a team's token."""
     return asyncio.run(get(view, f'Bearer {token}'))
 
 
@@ -101,7 +101,7 @@
 )
 @pytest.mark.parametrize('view', ['status', 'settings', 'history', 'explain'])
 def test_no_view_without_a_valid_token(view, header):
-    """Somebody who reaches the port asks without a team's token."""
+    """A client reaches the port but has no valid token."""
     status, body = asyncio.run(get(view, header))
 
     assert status == 401
@@ -110,9 +110,9 @@
 
 
 def test_every_token_is_compared(monkeypatch):
-    """A guesser measures how long a refusal takes.
+    """An attacker measures how long a rejection takes.
 
-    The first credential that matched or failed early would show in it.
+    If the comparison stopped early, the time would depend on the credential.
     """
     compared = []
     monkeypatch.setattr(
@@ -120,7 +120,7 @@
         lambda kept, given: compared.append(kept) or kept == given,
     )
 
-    assert ask('status', DESK)[0] == 200
+    assert get_as('status', DESK)[0] == 200
     assert len(compared) == len(CREDENTIALS)
 
 
@@ -132,9 +132,9 @@
         (PLATFORM, {'club', 'grid'}),
     ],
 )
-def test_settings_show_the_subtree_only(token, names):
-    """A team's credential asks for all settings."""
-    _, body = ask('settings', token)
+def test_settings_show_only_the_subtree(token, names):
+    """A team's credential requests all settings."""
+    _, body = get_as('settings', token)
 
     assert set(body['workspaces']) == names
 
@@ -150,13 +150,13 @@
     ],
 )
 def test_history_outside_the_subtree_is_refused(path, status):
-    """A team's credential asks for another team's history."""
-    assert ask(f'history?path={path}')[0] == status
+    """A team's credential requests another team's history."""
+    assert get_as(f'history?path={path}')[0] == status
 
 
-def test_history_tells_who_what_and_why_refused():
-    """An operator looks for what became of a change."""
-    _, body = ask('history?path=desk/workspaces/club')
+def test_history_shows_team_and_refusal():
+    """The history shows who published a change and why it was refused."""
+    _, body = get_as('history?path=desk/workspaces/club')
     seen = [
         (row['offset'], row['team'], row['refusal'] and row['refusal']['kind'])
         for row in body['verdicts']
@@ -170,9 +170,9 @@
     assert (body['offset'], body['value']) == (1, {'queue': 5})
 
 
-def test_status_tells_position_and_reason():
-    """An instance that is not ready says why."""
-    _, body = ask('status')
+def test_status_shows_position_and_reason():
+    """An instance that is not ready returns the reason."""
+    _, body = get_as('status')
 
     assert body['settings_position'] == 4
     assert (body['ready'], body['reason']) == (False, 'no settings yet')
@@ -184,9 +184,9 @@
     [(DESK, 1), (ATLAS, 0), (PLATFORM, 1)],
 )
 def test_decisions_on_other_teams_are_not_shown(token, count):
-    """A team asks why another team's request went where it did."""
+    """A team requests the decisions on another team's request."""
     journal.write_decision('route', request='r-9', workspace='club')
-    _, body = ask('explain?request=r-9', token)
+    _, body = get_as('explain?request=r-9', token)
 
     journal.recent.clear()
     assert len(body['decisions']) == count
