--- /dev/null
+++ b/packages/verbenahall/src/verbenahall/front/_dependencies.py
@@ -0,0 +1,84 @@
+"""Dependencies of the front on other slices."""
+
+import dataclasses
+import random
+from collections.abc import Callable, Mapping, Sequence
+from typing import Any, Protocol
+
+from returns.result import Result
+
+from verbenahall.clock import Clock, monotonic
+from verbenahall.errors import Problem
+from verbenahall.fleet import Endpoint, EndpointKind, Standing
+from verbenahall.front._engines import EngineAdapter
+from verbenahall.front._services import ServiceAdapter
+from verbenahall.load import EngineStates, LoadState
+
+
+class Claim(Protocol):
+    """Claims a workspace's idempotency key for one call."""
+
+    async def __call__(self, workspace: str, key: str) -> Result[int, Problem]:
+        """Return the offset of the claim's record, or why the claim failed."""
+
+
+class Settings(Protocol):
+    """The part of the effective settings that serving requests needs."""
+
+    models: Mapping[str, Any]
+    adapters: Mapping[str, Any]
+    workspaces: Mapping[str, Any]
+    drains: Mapping[str, Any]
+    services: Mapping[str, Any]
+
+
+@dataclasses.dataclass(frozen=True, slots=True)
+class Adapters:
+    """Clients for the protocols of engines and of plain services."""
+
+    engines: EngineAdapter
+    services: ServiceAdapter
+
+
+def ignore_release(workspace: str, key: str, offset: int) -> None:
+    """Do nothing: the key stays claimed."""
+
+
+def ignore_demand(
+    model: str,
+    prompt_tokens: int,
+    output_tokens: int,
+) -> None:
+    """Do nothing, for instances without automatic pools."""
+
+
+@dataclasses.dataclass(frozen=True, slots=True)
+class FrontDependencies:
+    """The states and clients that the front uses.
+
+    ``list_available(kind, now, service)`` and ``find_status(name, now)`` read
+    the membership; ``report_answer(name)`` and ``report_failure(name)`` update
+    it. ``read_settings()`` returns the effective settings and
+    ``read_position()`` their offset. ``claim(workspace, key)`` claims the key
+    of a call; ``release(workspace, key, offset)`` releases it if the call
+    certainly never ran. ``record_demand(model, prompt_tokens, output_tokens)``
+    is called for each request for a known model. ``check_ready()`` returns why
+    the instance takes no requests, or None. ``rng`` has a different seed on
+    each instance.
+    """
+
+    list_available: Callable[[EndpointKind, float, str], Sequence[Endpoint]]
+    find_status: Callable[[str, float], Standing]
+    report_answer: Callable[[str], None]
+    report_failure: Callable[[str], None]
+    read_settings: Callable[[], Settings]
+    read_position: Callable[[], int]
+    claim: Claim
+    check_ready: Callable[[], Problem | None]
+    load: LoadState
+    states: EngineStates
+    adapters: Adapters
+    rng: random.Random
+    clock: Clock = monotonic
+    record_demand: Callable[[str, int, int], None] = ignore_demand
+    release: Callable[[str, str, int], None] = ignore_release
