--- a/packages/standins/src/verbenahall_standins/actions.py
+++ b/packages/standins/src/verbenahall_standins/actions.py
@@ -17,7 +17,7 @@
 #: SO_LINGER on, zero seconds: close sends RST instead of FIN.
 _RESET_ON_CLOSE: Final = struct.pack('ii', 1, 0)
 #: Lets the written part leave before RST drops what is unsent.
-_FLUSH_S: Final = 0.01
+_FLUSH_WAIT_S: Final = 0.01
 
 
 _UNLIMITED: Final = 1 << 60
@@ -42,28 +42,28 @@
     transport = request.transport
     if transport is None:
         return
-    endpoint = transport.get_extra_info('socket')
-    endpoint.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, _RESET_ON_CLOSE)
+    connection = transport.get_extra_info('socket')
+    connection.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, _RESET_ON_CLOSE)
     transport.abort()
 
 
-async def _answer_down(
+async def _fail(
     fault: Fault,
     request: web.Request,
     handler: Handler,
 ) -> web.StreamResponse:
-    return answers.refuse_late('down')
+    return answers.build_failure('down')
 
 
-async def _answer_refusal(
+async def _refuse(
     fault: Fault,
     request: web.Request,
     handler: Handler,
 ) -> web.StreamResponse:
-    return answers.refuse('refused by a fault')
+    return answers.build_refusal('refused by a fault')
 
 
-async def _act_slowly(
+async def _delay_request(
     fault: Fault,
     request: web.Request,
     handler: Handler,
@@ -72,7 +72,7 @@
     return await handler(request)
 
 
-async def _answer_late(
+async def _delay_answer(
     fault: Fault,
     request: web.Request,
     handler: Handler,
@@ -90,16 +90,16 @@
     if fault.started:
         await handler(request)
     await asyncio.Event().wait()
-    return answers.answer_json({})
+    return answers.build_answer({})
 
 
-async def _drop(
+async def _drop_connection(
     fault: Fault,
     request: web.Request,
     handler: Handler,
 ) -> web.StreamResponse:
     reset_connection(request)
-    return answers.answer_json({})
+    return answers.build_answer({})
 
 
 async def _lose_answer(
@@ -121,7 +121,7 @@
     """Reset after ``after_bytes`` of the answer; 0 is before its first."""
     if not fault.started:
         reset_connection(request)
-        return answers.answer_json({})
+        return answers.build_answer({})
     request['reset_after_bytes'] = fault.after_bytes
     answer = await handler(request)
     if isinstance(answer, web.Response) and fault.after_bytes:
@@ -140,7 +140,7 @@
     part.content_length = len(body)
     await part.prepare(request)
     await part.write(body[:size])
-    await asyncio.sleep(_FLUSH_S)
+    await asyncio.sleep(_FLUSH_WAIT_S)
 
 
 async def _truncate(
@@ -172,12 +172,12 @@
 
 ACTIONS: Final[Mapping[str, Any]] = MappingProxyType(
     {
-        'down': _answer_down,
-        'refuse': _answer_refusal,
-        'slow': _act_slowly,
-        'late': _answer_late,
+        'down': _fail,
+        'refuse': _refuse,
+        'slow': _delay_request,
+        'late': _delay_answer,
         'hang': _hang,
-        'partition': _drop,
+        'partition': _drop_connection,
         'lose_answer': _lose_answer,
         'reset': _reset,
         'truncate': _truncate,
--- a/packages/standins/src/verbenahall_standins/answers.py
+++ b/packages/standins/src/verbenahall_standins/answers.py
@@ -11,7 +11,7 @@
 NOT_STARTED: Final = 'X-Not-Started'
 
 
-def answer_json(
+def build_answer(
     body: Any,
     status: int = 200,
     headers: dict[str, str] | None = None,
@@ -25,13 +25,13 @@
     )
 
 
-def refuse_late(reason: str) -> web.Response:
+def build_failure(reason: str) -> web.Response:
     """Build the failure of a request that may have started."""
-    return answer_json({'error': reason}, HTTPStatus.SERVICE_UNAVAILABLE)
+    return build_answer({'error': reason}, HTTPStatus.SERVICE_UNAVAILABLE)
 
 
-def refuse(
+def build_refusal(
     reason: str, status: int = HTTPStatus.SERVICE_UNAVAILABLE
 ) -> web.Response:
     """Build the refusal of a request that has not started."""
-    return answer_json({'error': reason}, status, {NOT_STARTED: '1'})
+    return build_answer({'error': reason}, status, {NOT_STARTED: '1'})
--- a/packages/standins/src/verbenahall_standins/batch.py
+++ b/packages/standins/src/verbenahall_standins/batch.py
@@ -66,8 +66,8 @@
 
     __slots__ = (
         '_cancelled',
-        '_claimed',
-        '_context',
+        '_reserved_tokens',
+        '_held_tokens',
         '_decoding',
         '_numbers',
         '_prefilling',
@@ -85,8 +85,8 @@
         self._numbers = itertools.count()
         #: KV tokens that running jobs need in the end, and those that the
         #: decoding ones hold now; kept as sums since each step asks for them.
-        self._claimed = 0
-        self._context = 0
+        self._reserved_tokens = 0
+        self._held_tokens = 0
 
     @property
     def running(self) -> int:
@@ -106,7 +106,7 @@
     @property
     def kv_free_share(self) -> float:
         """The share of the KV memory that no running job has claimed."""
-        return max(0, 1 - self._claimed / cost.KV_TOKENS)
+        return max(0, 1 - self._reserved_tokens / cost.KV_TOKENS)
 
     def add(self, job: Job) -> None:
         """Let a job wait behind those of its priority."""
@@ -118,31 +118,31 @@
         job = self._prefilling.pop(identity, None)
         if job is None and identity in self._decoding:
             job = self._decoding.pop(identity)
-            self._context -= job.context
+            self._held_tokens -= job.context
         if job is not None:
-            self._claimed -= job.size
+            self._reserved_tokens -= job.size
             return True
-        waits = identity in {entry[-1].identity for entry in self._waiting}
-        if waits:
+        is_waiting = identity in {entry[-1].identity for entry in self._waiting}
+        if is_waiting:
             self._cancelled.add(identity)
-        return waits
+        return is_waiting
 
     def step(self) -> Step:
         """Admit what fits, then prefill within the role's budget and decode."""
         self._admit()
         decoding = tuple(self._decoding.values())
-        duration_s = cost.step_s(len(decoding), self._context)
+        duration_s = cost.step_s(len(decoding), self._held_tokens)
         duration_s += self._prefill()
         finished = tuple(self._decode(decoding))
         return Step(duration_s, decoding, finished)
 
     def _decode(self, decoding: tuple[Job, ...]) -> Iterator[Job]:
-        self._context += len(decoding)
+        self._held_tokens += len(decoding)
         for job in decoding:
             job.produced += 1
             if job.produced >= job.output:
-                self._context -= job.context
-                self._claimed -= job.size
+                self._held_tokens -= job.context
+                self._reserved_tokens -= job.size
                 yield self._decoding.pop(job.identity)
 
     def _admit(self) -> None:
@@ -152,26 +152,26 @@
                 self._cancelled.remove(first.identity)
             else:
                 self._prefilling[first.identity] = first
-                self._claimed += first.size
+                self._reserved_tokens += first.size
 
     def _fits(self, job: Job) -> bool:
         if not self.running or job.identity in self._cancelled:
             return True
         if self.running >= cost.BATCH_SEQUENCES:
             return False
-        return self._claimed + job.size <= cost.KV_TOKENS
+        return self._reserved_tokens + job.size <= cost.KV_TOKENS
 
     def _prefill(self) -> float:
         """Prefill within the budget, in order of priority."""
         budget = cost.PREFILL_BUDGET[self.role]
         spent_s: float = 0
-        for job in sorted(self._prefilling.values(), key=_priority_of):
+        for job in sorted(self._prefilling.values(), key=_get_priority):
             chunk = min(budget, job.prompt - job.prefilled)
             spent_s += cost.prefill_s(chunk, job.prefilled)
             job.prefilled += chunk
             budget -= chunk
             if job.is_decoding:
-                self._context += job.context
+                self._held_tokens += job.context
                 self._decoding[job.identity] = job
                 self._prefilling.pop(job.identity)
             if not budget:
@@ -179,5 +179,5 @@
         return spent_s
 
 
-def _priority_of(job: Job) -> int:
+def _get_priority(job: Job) -> int:
     return job.priority
--- a/packages/standins/src/verbenahall_standins/caller.py
+++ b/packages/standins/src/verbenahall_standins/caller.py
@@ -12,12 +12,12 @@
 import orjson
 
 from verbenahall import clock
-from verbenahall_standins.asks import Ask
+from verbenahall_standins.traffic import CallerRequest
 
 _DONE: Final = 'data: [DONE]'
 _EVENT: Final = 'data: '
 _TIMEOUT_S: Final = 30.0
-_SHOWN_CHARACTERS: Final = 200
+_MAX_SHOWN_CHARACTERS: Final = 200
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -25,14 +25,14 @@
     """One answer: what was wrong with it, empty when it was right."""
 
     kind: str
-    wrong: str
+    error: str
     seconds: float
 
 
 class Caller:
     """Sends requests to entry instances in turn, a few at a time."""
 
-    __slots__ = ('_bases', '_session', 'outcomes')
+    __slots__ = ('_addresses', '_session', 'outcomes')
 
     def __init__(
         self,
@@ -41,13 +41,15 @@
     ) -> None:
         """Take turns over the instances' addresses, as a balancer would."""
         self._session = session
-        self._bases = itertools.cycle(addresses)
+        self._addresses = itertools.cycle(addresses)
         self.outcomes: list[Outcome] = []
 
-    async def send_all(self, asks: Iterable[Ask], at_once: int) -> None:
-        """Send all requests with ``at_once`` open at any time."""
-        waiting = iter(asks)
-        senders = (self._send_each(waiting) for _ in range(at_once))
+    async def send_all(
+        self, requests: Iterable[CallerRequest], concurrency: int
+    ) -> None:
+        """Send all requests with ``concurrency`` open at any time."""
+        pending = iter(requests)
+        senders = (self._send_each(pending) for _ in range(concurrency))
         await asyncio.gather(*senders)
 
     def summarise(self) -> list[str]:
@@ -57,28 +59,28 @@
             by_kind[outcome.kind].append(outcome)
         return [_describe(kind, found) for kind, found in by_kind.items()]
 
-    async def _send_each(self, waiting: Iterator[Ask]) -> None:
-        ask = next(waiting, None)
-        while ask is not None:
+    async def _send_each(self, pending: Iterator[CallerRequest]) -> None:
+        request = next(pending, None)
+        while request is not None:
             started = clock.monotonic()
-            wrong = await self._find_wrong(ask)
+            error = await self._send_checked(request)
             took_s = clock.monotonic() - started
-            self.outcomes.append(Outcome(ask.kind, wrong, took_s))
-            ask = next(waiting, None)
+            self.outcomes.append(Outcome(request.kind, error, took_s))
+            request = next(pending, None)
 
-    async def _find_wrong(self, ask: Ask) -> str:
+    async def _send_checked(self, request: CallerRequest) -> str:
         try:
             async with asyncio.timeout(_TIMEOUT_S):
-                return await self._send(ask)
+                return await self._send(request)
         except (aiohttp.ClientError, TimeoutError, ValueError) as error:
             return repr(error)
 
-    async def _send(self, ask: Ask) -> str:
-        url = f'http://{next(self._bases)}{ask.path}'
-        body = orjson.dumps(ask.body) if ask.body else None
-        headers = {**ask.headers, 'Content-Type': 'application/json'}
+    async def _send(self, request: CallerRequest) -> str:
+        url = f'http://{next(self._addresses)}{request.path}'
+        body = orjson.dumps(request.body) if request.body else None
+        headers = {**request.headers, 'Content-Type': 'application/json'}
         async with self._session.request(
-            ask.method,
+            request.method,
             url,
             data=body,
             headers=headers,
@@ -86,17 +88,17 @@
             received = await answer.text()
             if answer.status != HTTPStatus.OK:
                 return f'{answer.status} {received}'
-            return check_answer(ask, received)
+            return check_answer(request, received)
 
 
-def check_answer(ask: Ask, received: str) -> str:
+def check_answer(request: CallerRequest, received: str) -> str:
     """Say what is wrong with a body; empty when it is the whole answer."""
-    if ask.expected is None:
+    if request.expected is None:
         return ''
-    found = _read_stream(received) if ask.stream else _read_plain(received)
-    if found == ask.expected:
+    found = _read_stream(received) if request.stream else _read_plain(received)
+    if found == request.expected:
         return ''
-    ending = received[-_SHOWN_CHARACTERS:]
+    ending = received[-_MAX_SHOWN_CHARACTERS:]
     return f'another answer than expected: {ending}'
 
 
@@ -117,7 +119,7 @@
 
 
 def _describe(kind: str, found: Sequence[Outcome]) -> str:
-    failed = sum(1 for outcome in found if outcome.wrong)
+    failed = sum(1 for outcome in found if outcome.error)
     times = sorted(outcome.seconds for outcome in found)
     median_ms = round(times[len(times) // 2] * 1000)
     answered = len(found) - failed
--- a/packages/standins/src/verbenahall_standins/calls.py
+++ b/packages/standins/src/verbenahall_standins/calls.py
@@ -33,17 +33,17 @@
     @property
     def seed(self) -> int:
         """The seed of the answer's text."""
-        return text.seed_answer(self.model, self.adapter, self.prompt)
+        return text.compute_seed(self.model, self.adapter, self.prompt)
 
 
-async def read_call(request: web.Request) -> Call:
+async def parse_call(request: web.Request) -> Call:
     """Read a completion request."""
     body = orjson.loads(await request.read())
     headers = request.headers
     return Call(
         attempt=headers.get('X-Attempt-Id', ''),
         priority=int(headers.get('X-Priority', _LOWEST_PRIORITY)),
-        prompt=text.find_prompt(body),
+        prompt=text.extract_prompt(body),
         model=body.get('model', ''),
         adapter=body.get('adapter') or '',
         output=int(body.get('max_tokens') or _DEFAULT_OUTPUT),
@@ -56,10 +56,10 @@
     )
 
 
-def build_whole(call: Call, headers: dict[str, str]) -> web.Response:
+def build_completion(call: Call, headers: dict[str, str]) -> web.Response:
     """Build the plain answer to a completion request."""
     indexes = range(call.resume_from, call.output)
-    written = ''.join(text.write_chunk(call.seed, index) for index in indexes)
+    written = ''.join(text.build_chunk(call.seed, index) for index in indexes)
     choice = {'index': 0, 'text': written, 'finish_reason': 'length'}
     if call.is_chat:
         choice['message'] = {'role': 'assistant', 'content': written}
@@ -73,14 +73,14 @@
         'choices': [choice],
         'usage': usage,
     }
-    return answers.answer_json(body, headers=headers)
+    return answers.build_answer(body, headers=headers)
 
 
-def write_event(call: Call, index: int) -> bytes:
+def encode_event(call: Call, index: int) -> bytes:
     """Write one chunk of a stream as a server-sent event."""
-    word = text.write_chunk(call.seed, index)
-    choice = {'text': word}
+    chunk = text.build_chunk(call.seed, index)
+    choice = {'text': chunk}
     if call.is_chat:
-        choice['delta'] = {'content': word}
+        choice['delta'] = {'content': chunk}
     event = {'attempt': call.attempt, 'index': index, 'choices': [choice]}
     return b'data: %b\n\n' % wire.encode(event)
--- a/packages/standins/src/verbenahall_standins/chunks.py
+++ b/packages/standins/src/verbenahall_standins/chunks.py
@@ -5,10 +5,10 @@
 from aiohttp import web
 
 from verbenahall_standins.actions import reset_connection
-from verbenahall_standins.calls import Call, write_event
+from verbenahall_standins.calls import Call, encode_event
 
 _DONE: Final = b'data: [DONE]\n\n'
-_NEVER: Final = 1 << 60
+_UNLIMITED: Final = 1 << 60
 
 
 class ChunkWriter:
@@ -19,9 +19,9 @@
         '_call',
         '_copies',
         '_is_cut',
-        '_limit',
+        '_max_chunks',
         '_request',
-        '_reset_after',
+        '_reset_after_bytes',
         '_sent',
         '_sent_bytes',
     )
@@ -32,8 +32,8 @@
         self._call = call
         self._answer = web.StreamResponse()
         self._copies = 2 if request.get('duplicate') else 1
-        self._limit = request.get('truncate_after_chunks', _NEVER)
-        self._reset_after = request.get('reset_after_bytes', _NEVER)
+        self._max_chunks = request.get('truncate_after_chunks', _UNLIMITED)
+        self._reset_after_bytes = request.get('reset_after_bytes', _UNLIMITED)
         self._is_cut = False
         self._sent = 0
         self._sent_bytes = 0
@@ -42,34 +42,34 @@
         """Send the head of the answer."""
         self._answer.headers.update(headers)
         self._answer.content_type = 'text/event-stream'
-        if self._reset_after:
+        if self._reset_after_bytes:
             await self._answer.prepare(self._request)
 
     async def write_until(self, produced: int) -> bool:
         """Write the chunks up to ``produced``; false once a fault cut it."""
         first = self._call.resume_from
         while self._sent < produced:
-            if self._sent >= self._limit:
+            if self._sent >= self._max_chunks:
                 return False
-            event = write_event(self._call, first + self._sent)
+            event = encode_event(self._call, first + self._sent)
             if not await self._write(event):
                 return False
             self._sent += 1
         return True
 
-    async def finish(self, whole: bool) -> web.StreamResponse:
+    async def finish(self, is_whole: bool) -> web.StreamResponse:
         """End the answer, with its closing event only if it is whole."""
         if self._is_cut:
             return self._answer
-        if whole and self._sent < self._limit:
+        if is_whole and self._sent < self._max_chunks:
             await self._write(_DONE)
         await self._answer.write_eof()
         return self._answer
 
     async def _write(self, event: bytes) -> bool:
         self._sent_bytes += len(event)
-        if self._sent_bytes > self._reset_after:
-            kept = len(event) - self._sent_bytes + self._reset_after
+        if self._sent_bytes > self._reset_after_bytes:
+            kept = len(event) - self._sent_bytes + self._reset_after_bytes
             if kept > 0:
                 await self._answer.write(event[:kept])
             reset_connection(self._request)
--- a/packages/standins/src/verbenahall_standins/completions.py
+++ b/packages/standins/src/verbenahall_standins/completions.py
@@ -9,9 +9,9 @@
 from verbenahall import clock
 from verbenahall_standins import answers, cost
 from verbenahall_standins.batch import Job
-from verbenahall_standins.calls import Call, build_whole, read_call
+from verbenahall_standins.calls import Call, build_completion, parse_call
 from verbenahall_standins.chunks import ChunkWriter
-from verbenahall_standins.holdings import Holdings
+from verbenahall_standins.configuration import ConfigurationState
 from verbenahall_standins.prefixes import PrefixCache
 from verbenahall_standins.worker import Progress, Worker
 
@@ -21,11 +21,11 @@
 
     __slots__ = (
         '_cache',
-        '_holdings',
+        '_configuration',
         '_instant',
         '_max_queue',
-        '_numbers',
-        'kv',
+        '_job_numbers',
+        'kv_tokens',
         'record',
         'resumes',
         'worker',
@@ -34,7 +34,7 @@
     def __init__(
         self,
         worker: Worker,
-        holdings: Holdings,
+        configuration: ConfigurationState,
         cache: PrefixCache,
         instant: bool,
         max_queue: int,
@@ -43,54 +43,56 @@
         self.worker = worker
         self.record: list[dict[str, Any]] = []
         #: KV cache tokens held for later, by attempt.
-        self.kv: dict[str, int] = {}
+        self.kv_tokens: dict[str, int] = {}
         self.resumes = True
-        self._holdings = holdings
+        self._configuration = configuration
         self._cache = cache
         self._instant = instant
         self._max_queue = max_queue
-        self._numbers = itertools.count()
+        self._job_numbers = itertools.count()
 
     async def complete(self, request: web.Request) -> web.StreamResponse:
         """Answer one request, or refuse it before it starts."""
-        call = await read_call(request)
+        call = await parse_call(request)
         refusal = self._find_refusal(call)
         if refusal is not None:
             return refusal
-        run = self._note_start(call)
+        run = self._record_start(call)
         if self._instant:
             return await self._answer_at_once(request, call, run)
         progress = self.worker.start(self._make_job(call))
         try:
             return await self._answer(request, call, progress, run)
         finally:
-            self.worker.forget(progress)
+            self.worker.release(progress)
 
     def cancel(self, attempt: str) -> int:
         """Stop all work on an attempt; return how many jobs that were."""
         found = [
             progress
-            for identity, progress in self.worker.open.items()
+            for identity, progress in self.worker.active.items()
             if identity.rpartition('#')[0] == attempt
         ]
         for progress in found:
-            self.worker.forget(progress)
+            self.worker.release(progress)
         return len(found)
 
     def _find_refusal(self, call: Call) -> web.Response | None:
-        if self._holdings.changing:
-            return answers.refuse('a change is running')
-        if not self._holdings.holds(call.model, call.adapter):
-            return answers.refuse('not loaded', HTTPStatus.CONFLICT)
+        if self._configuration.changing:
+            return answers.build_refusal('a change is running')
+        if not self._configuration.can_serve(call.model, call.adapter):
+            return answers.build_refusal('not loaded', HTTPStatus.CONFLICT)
         if self.worker.load.queued >= self._max_queue:
-            return answers.refuse('overloaded')
+            return answers.build_refusal('overloaded')
         if call.resume_from >= call.output:
-            return answers.refuse('nothing left', HTTPStatus.BAD_REQUEST)
+            return answers.build_refusal('nothing left', HTTPStatus.BAD_REQUEST)
         if call.resume_from and not self.resumes:
-            return answers.refuse('does not resume', HTTPStatus.BAD_REQUEST)
+            return answers.build_refusal(
+                'does not resume', HTTPStatus.BAD_REQUEST
+            )
         return None
 
-    def _note_start(self, call: Call) -> dict[str, Any]:
+    def _record_start(self, call: Call) -> dict[str, Any]:
         run = {
             'number': len(self.record),
             'attempt': call.attempt,
@@ -108,10 +110,10 @@
 
     def _make_job(self, call: Call) -> Job:
         prompt = cost.count_tokens(call.prompt) + call.resume_from
-        held = self.kv.pop(call.kv_from, 0)
-        cached = self._cache.use(call.prompt, clock.monotonic())
+        held = self.kv_tokens.pop(call.kv_from, 0)
+        cached = self._cache.look_up_and_store(call.prompt, clock.monotonic())
         return Job(
-            identity=f'{call.attempt}#{next(self._numbers)}',
+            identity=f'{call.attempt}#{next(self._job_numbers)}',
             priority=call.priority,
             prompt=prompt,
             output=1 if call.prefill_only else call.output - call.resume_from,
@@ -138,15 +140,15 @@
         call: Call,
         progress: Progress,
     ) -> web.Response:
-        while not progress.is_over:
-            await progress.wait_beyond(progress.job.produced)
+        while not progress.is_finished:
+            await progress.wait_for_more(progress.job.produced)
         if progress.cancelled:
-            return answers.refuse_late('cancelled')
+            return answers.build_failure('cancelled')
         if call.prefill_only:
-            self.kv[call.attempt] = progress.job.prompt
-        return build_whole(call, self._describe(call))
+            self.kv_tokens[call.attempt] = progress.job.prompt
+        return build_completion(call, self._build_headers(call))
 
-    def _describe(self, call: Call) -> dict[str, str]:
+    def _build_headers(self, call: Call) -> dict[str, str]:
         load = self.worker.load
         report = f'{load.running},{load.queued},{load.kv_free_share}'
         return {'X-Load': report, 'X-Attempt-Id': call.attempt}
@@ -157,14 +159,14 @@
         call: Call,
         progress: Progress,
     ) -> web.StreamResponse:
-        produced = await progress.wait_beyond(0)
+        produced = await progress.wait_for_more(0)
         writer = ChunkWriter(request, call)
-        await writer.start(self._describe(call))
+        await writer.start(self._build_headers(call))
         while produced and await writer.write_until(produced):
-            if progress.is_over:
+            if progress.is_finished:
                 break
-            produced = await progress.wait_beyond(produced)
-        return await writer.finish(whole=not progress.cancelled)
+            produced = await progress.wait_for_more(produced)
+        return await writer.finish(is_whole=not progress.cancelled)
 
     async def _answer_at_once(
         self,
@@ -173,11 +175,11 @@
         run: dict[str, Any],
     ) -> web.StreamResponse:
         run['state'] = 'cut'
-        self.worker.direct += 1
+        self.worker.instant_count += 1
         try:
             answer = await self._write_at_once(request, call)
         finally:
-            self.worker.direct -= 1
+            self.worker.instant_count -= 1
         run['state'] = 'finished'
         return answer
 
@@ -187,8 +189,8 @@
         call: Call,
     ) -> web.StreamResponse:
         if not call.stream:
-            return build_whole(call, self._describe(call))
+            return build_completion(call, self._build_headers(call))
         writer = ChunkWriter(request, call)
-        await writer.start(self._describe(call))
+        await writer.start(self._build_headers(call))
         await writer.write_until(call.output - call.resume_from)
-        return await writer.finish(whole=True)
+        return await writer.finish(is_whole=True)
--- a/packages/standins/src/verbenahall_standins/holdings.py
+++ b/packages/standins/src/verbenahall_standins/configuration.py
@@ -20,13 +20,13 @@
 #: Seconds to load a model where no weight store is given; assumption.
 _MODEL_CHANGE_S: Final = 8.0
 
-_STARTED: Final = HTTPStatus.ACCEPTED
-_ALREADY: Final = HTTPStatus.OK
-_TAKEN: Final = frozenset((_STARTED, _ALREADY))
+_CHANGE_STARTED: Final = HTTPStatus.ACCEPTED
+_ALREADY_ACTIVE: Final = HTTPStatus.OK
+_ACCEPTED: Final = frozenset((_CHANGE_STARTED, _ALREADY_ACTIVE))
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Holding:
+class Configuration:
     """A role, models with their versions, adapters."""
 
     role: Role
@@ -41,22 +41,22 @@
     text: str
     number: tuple[int, ...]
     fencing: int
-    target: Holding
+    target: Configuration
 
 
-def read_number(text: str) -> tuple[int, ...]:
+def parse_number(text: str) -> tuple[int, ...]:
     """Read an order's ``offset.index``."""
     return tuple(map(int, text.split('.')))
 
 
-def read_order(body: Mapping[str, Any]) -> Order:
+def parse_order(body: Mapping[str, Any]) -> Order:
     """Read an order's body."""
     target = body['target']
     return Order(
         text=body['order'],
-        number=read_number(body['order']),
+        number=parse_number(body['order']),
         fencing=int(body['fencing']),
-        target=Holding(
+        target=Configuration(
             Role(target['role']),
             dict(target['models']),
             tuple(target['adapters']),
@@ -64,19 +64,19 @@
     )
 
 
-class Holdings:
+class ConfigurationState:
     """What the engine holds now; one change at a time."""
 
     __slots__ = (
         '_faults',
         '_speed',
         '_task',
-        '_read_chunks',
+        '_chunk_count',
         '_weights',
         'changing',
         'checks_fencing',
         'fencing',
-        'held',
+        'active',
         'incarnation',
         'on_change',
         'order',
@@ -85,14 +85,14 @@
 
     def __init__(
         self,
-        held: Holding,
+        active: Configuration,
         faults: Faults,
         speed: float,
         weights: str,
         checks_fencing: bool,
     ) -> None:
         """Hold what the start options name; ``weights`` is an address."""
-        self.held = held
+        self.active = active
         self.checks_fencing = checks_fencing
         self.incarnation = _new_incarnation()
         self.fencing = 0
@@ -103,71 +103,71 @@
         self._speed = speed
         self._weights = weights
         self._task: asyncio.Task[None] | None = None
-        self._read_chunks = 0
+        self._chunk_count = 0
         self.on_change: Callable[[], None] = _do_nothing
 
-    def take_order(self, order: Order, is_idle: bool) -> web.Response:
+    def handle_order(self, order: Order, is_idle: bool) -> web.Response:
         """Start the change that an order asks for, or say why not."""
-        answer = self._judge(order, is_idle)
-        self._note('received', order, status=answer.status)
-        if answer.status in _TAKEN:
+        answer = self._check_order(order, is_idle)
+        self._record_event('received', order, status=answer.status)
+        if answer.status in _ACCEPTED:
             self.fencing = max(self.fencing, order.fencing)
             self.order = order.text
         # A second copy of the running order must not start a second change.
-        if answer.status == _STARTED and not self.changing:
+        if answer.status == _CHANGE_STARTED and not self.changing:
             self.changing = True
-            self._task = asyncio.create_task(self._change(order))
+            self._task = asyncio.create_task(self._run_change(order))
         return answer
 
-    def holds(self, model: str, adapter: str) -> bool:
+    def can_serve(self, model: str, adapter: str) -> bool:
         """Whether a request for a model and adapter can run here."""
-        names = {row['name'] for row in self.held.adapters}
-        return model in self.held.models and (not adapter or adapter in names)
+        names = {row['name'] for row in self.active.adapters}
+        return model in self.active.models and (not adapter or adapter in names)
 
-    def _judge(self, order: Order, is_idle: bool) -> web.Response:
+    def _check_order(self, order: Order, is_idle: bool) -> web.Response:
         if self._is_stale(order):
-            seen = {'fencing': self.fencing, 'order': self.order}
-            return answers.answer_json(seen, HTTPStatus.CONFLICT)
+            newest = {'fencing': self.fencing, 'order': self.order}
+            return answers.build_answer(newest, HTTPStatus.CONFLICT)
         if self.changing and order.text == self.order:
-            return answers.answer_json({'order': order.text}, _STARTED)
-        is_already = order.target == self.held
-        if self.changing or not (is_idle or is_already):
+            return answers.build_answer({'order': order.text}, _CHANGE_STARTED)
+        is_active = order.target == self.active
+        if self.changing or not (is_idle or is_active):
             busy = {'changing': self.changing, 'order': self.order}
-            return answers.answer_json(busy, HTTPStatus.LOCKED)
-        status = _ALREADY if is_already else _STARTED
-        return answers.answer_json({'order': order.text}, status)
+            return answers.build_answer(busy, HTTPStatus.LOCKED)
+        status = _ALREADY_ACTIVE if is_active else _CHANGE_STARTED
+        return answers.build_answer({'order': order.text}, status)
 
     def _is_stale(self, order: Order) -> bool:
         if not self.checks_fencing or self._faults.find('ignore_fencing'):
             return False
         if order.fencing < self.fencing:
             return True
-        return bool(self.order) and order.number < read_number(self.order)
+        return bool(self.order) and order.number < parse_number(self.order)
 
-    async def _change(self, order: Order) -> None:
-        fault = self._faults.use('crash_in_change')
+    async def _run_change(self, order: Order) -> None:
+        fault = self._faults.consume('crash_in_change')
         try:
-            await self._load(order.target)
+            await self._apply_target(order.target)
         except (ClientError, TimeoutError):
-            self._note('failed', order)
+            self._record_event('failed', order)
             self.changing = False
             return
         if fault is None:
-            self.held = order.target
-            self._note('in_force', order)
+            self.active = order.target
+            self._record_event('in_force', order)
         else:
-            self._note('crashed', order)
-            self._forget_all()
+            self._record_event('crashed', order)
+            self._reset_state()
         self.changing = False
         self.on_change()
 
-    async def _load(self, target: Holding) -> None:
-        if target.role != self.held.role:
+    async def _apply_target(self, target: Configuration) -> None:
+        if target.role != self.active.role:
             await asyncio.sleep(cost.ROLE_CHANGE_S / self._speed)
-        missing = target.models.items() - self.held.models.items()
+        missing = target.models.items() - self.active.models.items()
         await asyncio.gather(*itertools.starmap(self._fetch, missing))
         added = [
-            row for row in target.adapters if row not in self.held.adapters
+            row for row in target.adapters if row not in self.active.adapters
         ]
         await asyncio.sleep(len(added) * cost.ADAPTER_CHANGE_S / self._speed)
 
@@ -181,16 +181,16 @@
             session.get(url) as answer,
         ):
             async for _ in answer.content.iter_chunked(_READ_BYTES):
-                self._read_chunks += 1
+                self._chunk_count += 1
 
-    def _forget_all(self) -> None:
+    def _reset_state(self) -> None:
         """Come back as another process would: nothing loaded, none seen."""
-        self.held = Holding(Role.MIXED, {}, ())
+        self.active = Configuration(Role.MIXED, {}, ())
         self.incarnation = _new_incarnation()
         self.fencing = 0
         self.order = ''
 
-    def _note(self, event: str, order: Order, **fields: Any) -> None:
+    def _record_event(self, event: str, order: Order, **fields: Any) -> None:
         self.record.append(
             {
                 'event': event,
--- a/packages/standins/src/verbenahall_standins/demo.py
+++ b/packages/standins/src/verbenahall_standins/demo.py
@@ -20,25 +20,25 @@
 
 from verbenahall import clock
 from verbenahall_standins import process
-from verbenahall_standins.asks import Writer
 from verbenahall_standins.caller import Caller, Outcome
 from verbenahall_standins.deployment import Deployment
 from verbenahall_standins.description import (
-    find_published,
+    list_settings_files,
     read_description,
     rewrite,
 )
 from verbenahall_standins.publishing import Publisher, PublishError
+from verbenahall_standins.traffic import RequestGenerator
 
 _DEPLOYMENTS: Final = ('desk', 'atlas')
-_ASKS: Final = 160
-_AT_ONCE: Final = 12
-_READY_S: Final = 20.0
-_ORDERS_S: Final = 15.0
+_REQUEST_COUNT: Final = 160
+_CONCURRENCY: Final = 12
+_READY_TIMEOUT_S: Final = 20.0
+_ORDERS_TIMEOUT_S: Final = 15.0
 _POLL_S: Final = 0.05
-_SHOWN_FAILURES: Final = 5
+_MAX_SHOWN_FAILURES: Final = 5
 #: Exit code after SIGTERM.
-_STOPPED: Final = 143
+_STOPPED_EXIT_CODE: Final = 143
 _RUN_FOLDER: Final = Path('run')
 _EXAMPLES: Final = Path('examples')
 
@@ -58,7 +58,7 @@
         session: aiohttp.ClientSession,
     ) -> None:
         """Run a deployment whose processes are started."""
-        name = deployment.described.name
+        name = deployment.description.name
         token = f'{name}-fleet-token'
         self._deployment = deployment
         self._name = name
@@ -68,14 +68,14 @@
     async def run(self, seed: int, count: int) -> list[Outcome]:
         """Publish, send traffic, publish a change on the way, and report."""
         await self._prepare()
-        instances = self._deployment.described.instances
+        instances = self._deployment.description.instances
         caller = Caller(
             self._session,
             [self._deployment.address(name) for name in instances],
         )
-        writer = Writer(seed, secrets.token_hex(4))
-        asks = writer.write(self._name, count)
-        sending = asyncio.create_task(caller.send_all(asks, _AT_ONCE))
+        generator = RequestGenerator(seed, secrets.token_hex(4))
+        requests = generator.generate(self._name, count)
+        sending = asyncio.create_task(caller.send_all(requests, _CONCURRENCY))
         await self._change_setting()
         await sending
         self._report(caller)
@@ -83,42 +83,46 @@
 
     async def _prepare(self) -> None:
         await self._deployment.register(self._session)
-        await self._wait('instances ready', _READY_S, self._are_all_ready)
-        for team, file in find_published(self._deployment.described):
+        await self._wait(
+            'instances ready', _READY_TIMEOUT_S, self._are_all_ready
+        )
+        for team, file in list_settings_files(self._deployment.description):
             line = self._publisher.publish(file, team)
-            self._say(f'published {file.name}: {line}')
-        await self._wait('orders in force', _ORDERS_S, self._are_all_loaded)
+            self._print_line(f'published {file.name}: {line}')
+        await self._wait(
+            'orders in force', _ORDERS_TIMEOUT_S, self._are_all_loaded
+        )
 
     async def _change_setting(self) -> None:
         """Publish a change and tell when every instance has it in force."""
-        team, example = find_published(self._deployment.described)[-1]
+        team, example = list_settings_files(self._deployment.description)[-1]
         changed = rewrite(example.read_text(), {'queue': 200})
         file = _RUN_FOLDER / self._name / example.name
         file.write_text(changed)
-        found = await self._publisher.publish_and_watch(file, team)
+        found = await self._publisher.publish_and_wait(file, team)
         took_ms = round(found.seconds * 1000)
-        count = len(self._deployment.described.instances)
-        self._say(
+        count = len(self._deployment.description.instances)
+        self._print_line(
             f'setting at offset {found.offset} in force on all {count} '
             + f'instances {took_ms} ms after its append',
         )
 
     async def _wait(
         self,
-        what: str,
-        limit_s: float,
+        condition: str,
+        timeout_s: float,
         check: Callable[[], Awaitable[bool]],
     ) -> None:
         started = clock.monotonic()
         while not await check():
-            if clock.monotonic() - started > limit_s:
-                raise DemoError(f'not within {limit_s} s: {what}')
+            if clock.monotonic() - started > timeout_s:
+                raise DemoError(f'not within {timeout_s} s: {condition}')
             await asyncio.sleep(_POLL_S)
         took_s = round(clock.monotonic() - started, 2)
-        self._say(f'{what} after {took_s} s')
+        self._print_line(f'{condition} after {took_s} s')
 
     async def _are_all_ready(self) -> bool:
-        names = self._deployment.described.instances
+        names = self._deployment.description.instances
         return all(await asyncio.gather(*map(self._is_ready, names)))
 
     async def _is_ready(self, name: str) -> bool:
@@ -127,25 +131,25 @@
             return answer.status == HTTPStatus.OK
 
     async def _are_all_loaded(self) -> bool:
-        names = self._deployment.described.engines
+        names = self._deployment.description.engines
         return all(await asyncio.gather(*map(self._is_loaded, names)))
 
     async def _is_loaded(self, name: str) -> bool:
-        state = await self._publisher.get_json(name, '/state')
+        state = await self._publisher.fetch_json(name, '/state')
         return bool(state['adapters']) and not state['changing']
 
     def _report(self, caller: Caller) -> None:
         for line in caller.summarise():
-            self._say(line)
-        failures = [row for row in caller.outcomes if row.wrong]
-        for failure in failures[:_SHOWN_FAILURES]:
-            self._say(f'{failure.kind} failed: {failure.wrong}')
+            self._print_line(line)
+        failures = [row for row in caller.outcomes if row.error]
+        for failure in failures[:_MAX_SHOWN_FAILURES]:
+            self._print_line(f'{failure.kind} failed: {failure.error}')
 
-    def _say(self, line: str) -> None:
-        say(f'{self._name}: {line}')
+    def _print_line(self, line: str) -> None:
+        print_line(f'{self._name}: {line}')
 
 
-def say(line: str) -> None:
+def print_line(line: str) -> None:
     """Print one line at once."""
     sys.stdout.write(f'{line}\n')
     sys.stdout.flush()
@@ -162,8 +166,8 @@
     if task is not None:
         loop = asyncio.get_running_loop()
         loop.add_signal_handler(signal.SIGTERM, task.cancel)
-    described = read_description(_EXAMPLES / name)
-    deployment = Deployment(described, _RUN_FOLDER / name)
+    description = read_description(_EXAMPLES / name)
+    deployment = Deployment(description, _RUN_FOLDER / name)
     try:
         return await _start_and_run(deployment, seed, count)
     finally:
@@ -178,9 +182,9 @@
     deployment.start_platform()
     deployment.start_endpoints()
     deployment.start_instances()
-    described = deployment.described
+    description = deployment.description
     started = len(deployment.running)
-    say(f'{described.name}: {started} processes started')
+    print_line(f'{description.name}: {started} processes started')
     async with aiohttp.ClientSession() as session:
         return await Demo(deployment, session).run(seed, count)
 
@@ -190,23 +194,23 @@
     try:
         return uvloop.run(run_deployment(name, seed, count))
     except (DemoError, PublishError, process.NotReadyError) as error:
-        say(f'{name}: {error}')
+        print_line(f'{name}: {error}')
         return [Outcome('run', str(error), 0)]
     except asyncio.CancelledError:
-        sys.exit(_STOPPED)
+        sys.exit(_STOPPED_EXIT_CODE)
 
 
 def main() -> None:
     """Run the command."""
     parser = argparse.ArgumentParser(description='Run both deployments')
     parser.add_argument('--seed', type=int, default=1)
-    parser.add_argument('--requests', type=int, default=_ASKS)
+    parser.add_argument('--requests', type=int, default=_REQUEST_COUNT)
     options = parser.parse_args()
     runs = [run(name, options.seed, options.requests) for name in _DEPLOYMENTS]
     outcomes = list(itertools.chain.from_iterable(runs))
-    failed = len([outcome for outcome in outcomes if outcome.wrong])
+    failed = len([outcome for outcome in outcomes if outcome.error])
     answered = len(outcomes) - failed
-    say(f'demo: {answered} answered, {failed} failed')
+    print_line(f'demo: {answered} answered, {failed} failed')
     sys.exit(1 if failed else 0)
 
 
--- a/packages/standins/src/verbenahall_standins/deployment.py
+++ b/packages/standins/src/verbenahall_standins/deployment.py
@@ -21,11 +21,11 @@
 class Deployment:
     """The running processes of one deployment, by name."""
 
-    __slots__ = ('_folder', 'described', 'running')
+    __slots__ = ('_folder', 'description', 'running')
 
-    def __init__(self, described: Description, folder: Path) -> None:
+    def __init__(self, description: Description, folder: Path) -> None:
         """Write settings and logs of the instances under ``folder``."""
-        self.described = described
+        self.description = description
         self.running: dict[str, process.Running] = {}
         self._folder = folder
         folder.mkdir(parents=True, exist_ok=True)
@@ -42,22 +42,22 @@
         """Start engines and service workers."""
         launched = {
             name: _launch('service', '--name', name)
-            for name in self.described.services
+            for name in self.description.services
         }
-        for engine in self.described.engines:
+        for engine in self.description.engines:
             launched[engine] = self._launch_engine(engine)
         self._start_all(launched)
 
     def start_instances(self) -> None:
         """Start all entry instances, each with its own settings file."""
-        instances = self.described.instances
+        instances = self.description.instances
         self._start_all(
             {name: self._launch_instance(name) for name in instances},
         )
 
     def stop(self) -> None:
         """Stop the instances, then everything that they use."""
-        instances = self.described.instances
+        instances = self.description.instances
         first = [self.running[name] for name in self.running.keys() & instances]
         rest = [self.running[name] for name in self.running.keys() - instances]
         process.stop_all(first)
@@ -74,17 +74,17 @@
     def _launch_engine(self, name: str) -> _Child:
         options = {
             '--name': name,
-            '--speed': str(self.described.speed),
+            '--speed': str(self.description.speed),
             '--weights': self.address('weights'),
         }
-        models = [f'--model={model}' for model in self.described.models]
+        models = [f'--model={model}' for model in self.description.models]
         return _launch('engine', *itertools.chain(*options.items()), *models)
 
     def _launch_instance(self, name: str) -> _Child:
-        example = (self.described.folder / 'instance.toml').read_text()
+        example = (self.description.folder / 'instance.toml').read_text()
         values = {
             'name': name,
-            'data_centre': self.described.instances[name],
+            'data_centre': self.description.instances[name],
             'listen': _HOST,
             'log': self.address('log'),
             'instance_list': self.address('registry'),
@@ -114,24 +114,24 @@
         name: str,
     ) -> None:
         incarnation = str(self.running[name].pid)
-        if name in self.described.engines:
+        if name in self.description.engines:
             # The list names the same life of the process as the engine
             # itself does.
             incarnation = await fetch_incarnation(session, self.address(name))
         registry = self.address('registry')
-        entry = self._entry(name, incarnation)
+        entry = self._build_entry(name, incarnation)
         await _post(session, f'http://{registry}/register', entry)
 
-    def _entry(self, name: str, incarnation: str) -> dict[str, Any]:
-        described = self.described
+    def _build_entry(self, name: str, incarnation: str) -> dict[str, Any]:
+        description = self.description
         entry = {
             'name': name,
             'address': self.address(name),
             'incarnation': incarnation,
         }
-        if name in described.services:
-            entry['service'] = described.service
-        return {**entry, **described.place(name)}
+        if name in description.services:
+            entry['service'] = description.service
+        return {**entry, **description.get_placement(name)}
 
 
 def _launch(name: str, *arguments: str) -> _Child:
--- a/packages/standins/src/verbenahall_standins/description.py
+++ b/packages/standins/src/verbenahall_standins/description.py
@@ -28,7 +28,7 @@
     models: tuple[str, ...]
     speed: float
 
-    def place(self, name: str) -> dict[str, str]:
+    def get_placement(self, name: str) -> dict[str, str]:
         """Return the kind and the data centre of a process."""
         kinds = {
             'instance': self.instances,
@@ -48,18 +48,18 @@
     return Description(
         name=folder.name,
         folder=folder,
-        instances=_name_instances(rows, count),
-        engines=_read_names(rows, 'engines'),
-        services=_read_names(rows, 'services'),
+        instances=_build_instance_names(rows, count),
+        engines=_map_to_data_centres(rows, 'engines'),
+        services=_map_to_data_centres(rows, 'services'),
         service=table['service']['name'],
         models=tuple(table['engine']['models']),
         speed=table['speed'],
     )
 
 
-def find_published(described: Description) -> list[tuple[str, Path]]:
+def list_settings_files(description: Description) -> list[tuple[str, Path]]:
     """Return each team with its settings file, ``fleet`` first."""
-    files = (described.folder / 'settings').glob('*.toml')
+    files = (description.folder / 'settings').glob('*.toml')
     ordered = sorted(files, key=lambda file: file.stem != _FLEET)
     return [(file.stem, file) for file in ordered]
 
@@ -73,15 +73,15 @@
     return text
 
 
-def _name_instances(rows: list[_Row], count: int) -> dict[str, str]:
+def _build_instance_names(rows: list[_Row], count: int) -> dict[str, str]:
     names = {}
     for row, number in itertools.product(rows, range(1, count + 1)):
-        site = row['name']
-        names[f'{site}-{number}'] = site
+        data_centre = row['name']
+        names[f'{data_centre}-{number}'] = data_centre
     return names
 
 
-def _read_names(rows: list[_Row], key: str) -> dict[str, str]:
+def _map_to_data_centres(rows: list[_Row], key: str) -> dict[str, str]:
     names = {}
     for row in rows:
         names.update(dict.fromkeys(row[key], row['name']))
--- a/packages/standins/src/verbenahall_standins/engine.py
+++ b/packages/standins/src/verbenahall_standins/engine.py
@@ -16,15 +16,15 @@
 
 from verbenahall import clock
 from verbenahall.fleet import Role
-from verbenahall_standins import answers, cost, faults, holdings, serving
+from verbenahall_standins import answers, configuration, cost, faults, serving
 from verbenahall_standins.completions import Completions
 from verbenahall_standins.prefixes import PrefixCache
 from verbenahall_standins.worker import Load, Worker
 
 _MAX_QUEUE: Final = 256
-_EVENT_LAG_S: Final = 0.5
-_EVENT_GAP_SHARE: Final = 0.02
-_SAMPLE_S: Final = 0.05
+_EVENT_DELAY_S: Final = 0.5
+_LOST_EVENT_SHARE: Final = 0.02
+_SAMPLE_INTERVAL_S: Final = 0.05
 
 
 class LaggingLoad:
@@ -56,7 +56,7 @@
         while True:
             self._samples.append((clock.monotonic(), self._worker.load))
             self.report()
-            await asyncio.sleep(_SAMPLE_S)
+            await asyncio.sleep(_SAMPLE_INTERVAL_S)
 
 
 class Engine:
@@ -66,7 +66,7 @@
         '_cache',
         '_completions',
         '_faults',
-        '_holdings',
+        '_configuration',
         '_load',
         '_options',
         '_worker',
@@ -74,31 +74,31 @@
 
     def __init__(self, options: argparse.Namespace) -> None:
         """Start with the models, adapters and role of the options."""
-        held = holdings.Holding(
+        active = configuration.Configuration(
             Role(options.role),
             dict(pair.split('=') for pair in options.model),
-            tuple(_read_adapter(given) for given in options.adapter),
+            tuple(_parse_adapter(value) for value in options.adapter),
         )
         self._options = options
         self._faults = faults.Faults()
-        self._holdings = holdings.Holdings(
-            held,
+        self._configuration = configuration.ConfigurationState(
+            active,
             self._faults,
             options.speed,
             options.weights,
             not options.ignore_fencing,
         )
-        self._worker = Worker(held.role, options.speed)
+        self._worker = Worker(active.role, options.speed)
         self._cache = PrefixCache(options.event_gaps, options.seed)
         self._load = LaggingLoad(self._worker, options.load_lag)
         self._completions = Completions(
             self._worker,
-            self._holdings,
+            self._configuration,
             self._cache,
             options.instant,
             options.max_queue,
         )
-        self._holdings.on_change = self._follow_change
+        self._configuration.on_change = self._apply_change
         self._completions.resumes = not options.no_resume
 
     def add_routes(self, app: web.Application) -> None:
@@ -108,88 +108,88 @@
                 web.post('/v1/completions', self._complete),
                 web.post('/v1/chat/completions', self._complete),
                 web.post('/cancel', self._cancel),
-                web.get('/state', self._show_state),
-                web.post('/orders', self._take_order),
-                web.get('/events', self._show_events),
+                web.get('/state', self._get_state),
+                web.post('/orders', self._handle_order),
+                web.get('/events', self._get_events),
                 web.post('/kv/export', self._export_kv),
                 web.post('/kv/import', self._import_kv),
-                web.get('/record', self._show_record),
+                web.get('/record', self._get_record),
             ),
         )
         faults.add_fault_routes(app, self._faults)
-        app.cleanup_ctx.append(self._worker.run_lifetime)
-        app.cleanup_ctx.append(self._sample_lifetime)
+        app.cleanup_ctx.append(self._worker.run_in_background)
+        app.cleanup_ctx.append(self._run_sampler)
 
-    def _follow_change(self) -> None:
-        self._worker.batch.role = self._holdings.held.role
+    def _apply_change(self) -> None:
+        self._worker.batch.role = self._configuration.active.role
         self._cache.clear()
 
-    async def _sample_lifetime(self, app: web.Application) -> Any:
+    async def _run_sampler(self, app: web.Application) -> Any:
         task = asyncio.create_task(self._load.sample())
         yield
         task.cancel()
 
     async def _complete(self, request: web.Request) -> web.StreamResponse:
         if self._faults.find('leaving'):
-            return answers.refuse('leaving')
+            return answers.build_refusal('leaving')
         return await self._completions.complete(request)
 
     async def _cancel(self, request: web.Request) -> web.Response:
         attempt = (await request.json())['attempt']
         cancelled = self._completions.cancel(attempt)
-        return answers.answer_json({'cancelled': cancelled})
+        return answers.build_answer({'cancelled': cancelled})
 
-    async def _show_state(self, request: web.Request) -> web.Response:
-        held = self._holdings.held
+    async def _get_state(self, request: web.Request) -> web.Response:
+        active = self._configuration.active
         body = {
             'name': self._options.name,
-            'incarnation': self._holdings.incarnation,
-            'role': held.role.value,
-            'models': held.models,
-            'adapters': held.adapters,
-            'fencing': self._holdings.fencing,
-            'order': self._holdings.order,
-            'changing': self._holdings.changing,
+            'incarnation': self._configuration.incarnation,
+            'role': active.role.value,
+            'models': active.models,
+            'adapters': active.adapters,
+            'fencing': self._configuration.fencing,
+            'order': self._configuration.order,
+            'changing': self._configuration.changing,
             'leaving': self._faults.find('leaving') is not None,
             'resumes': self._completions.resumes,
-            'checks_fencing': self._holdings.checks_fencing,
+            'checks_fencing': self._configuration.checks_fencing,
             **dataclasses.asdict(self._load.report()),
         }
-        return answers.answer_json(body)
+        return answers.build_answer(body)
 
-    async def _take_order(self, request: web.Request) -> web.Response:
-        order = holdings.read_order(await request.json())
-        return self._holdings.take_order(order, self._worker.is_idle)
+    async def _handle_order(self, request: web.Request) -> web.Response:
+        order = configuration.parse_order(await request.json())
+        return self._configuration.handle_order(order, self._worker.is_idle)
 
-    async def _show_events(self, request: web.Request) -> web.Response:
+    async def _get_events(self, request: web.Request) -> web.Response:
         after = int(request.query.get('after', '0'))
         until = clock.monotonic() - self._options.event_lag
-        events = self._cache.show_events(after, until)
-        return answers.answer_json({'events': events})
+        events = self._cache.list_events(after, until)
+        return answers.build_answer({'events': events})
 
     async def _export_kv(self, request: web.Request) -> web.StreamResponse:
         attempt = (await request.json())['attempt']
-        tokens = self._completions.kv.pop(attempt, 0)
+        tokens = self._completions.kv_tokens.pop(attempt, 0)
         if not tokens:
             return web.HTTPNotFound()
         await asyncio.sleep(cost.transfer_s(tokens) / self._options.speed)
-        return answers.answer_json({'attempt': attempt, 'tokens': tokens})
+        return answers.build_answer({'attempt': attempt, 'tokens': tokens})
 
     async def _import_kv(self, request: web.Request) -> web.Response:
         body = await request.json()
-        self._completions.kv[body['attempt']] = int(body['tokens'])
-        return answers.answer_json({})
+        self._completions.kv_tokens[body['attempt']] = int(body['tokens'])
+        return answers.build_answer({})
 
-    async def _show_record(self, request: web.Request) -> web.Response:
+    async def _get_record(self, request: web.Request) -> web.Response:
         record = {
             'started': self._completions.record,
-            'orders': self._holdings.record,
+            'orders': self._configuration.record,
         }
-        return answers.answer_json(record)
+        return answers.build_answer(record)
 
 
-def _read_adapter(given: str) -> dict[str, str]:
-    name, model, version = given.split(':')
+def _parse_adapter(value: str) -> dict[str, str]:
+    name, model, version = value.split(':')
     return {'name': name, 'model': model, 'version': version}
 
 
@@ -207,12 +207,12 @@
     ('--speed', 1.0, 'divides all times'),
     ('--weights', '', 'address of the weight store'),
     ('--load-lag', float(0), 'age of load reports in seconds'),
-    ('--event-lag', _EVENT_LAG_S, 'age of cache events in seconds'),
-    ('--event-gaps', _EVENT_GAP_SHARE, 'share of cache events lost'),
+    ('--event-lag', _EVENT_DELAY_S, 'age of cache events in seconds'),
+    ('--event-gaps', _LOST_EVENT_SHARE, 'share of cache events lost'),
     ('--max-queue', _MAX_QUEUE, 'jobs that may wait'),
     ('--seed', 1, 'seed of the lost cache events'),
 )
-_REPEATED: Final = (
+_REPEATABLE: Final = (
     ('--model', 'NAME=VERSION'),
     ('--adapter', 'NAME:MODEL:VERSION'),
 )
@@ -223,15 +223,17 @@
 )
 
 
-def read_options(arguments: list[str] | None = None) -> argparse.Namespace:
+def parse_options(arguments: list[str] | None = None) -> argparse.Namespace:
     """Read the command line."""
     parser = serving.new_parser('Model engine stand-in')
-    for name, default, described in _OPTIONS:
-        kind = type(default)
-        parser.add_argument(name, type=kind, default=default, help=described)
-    for flag, described in _FLAGS:
-        parser.add_argument(flag, action='store_true', help=described)
-    for repeated, metavar in _REPEATED:
+    for name, default, help_text in _OPTIONS:
+        value_type = type(default)
+        parser.add_argument(
+            name, type=value_type, default=default, help=help_text
+        )
+    for flag, help_text in _FLAGS:
+        parser.add_argument(flag, action='store_true', help=help_text)
+    for repeated, metavar in _REPEATABLE:
         parser.add_argument(
             repeated,
             action='append',
@@ -243,7 +245,7 @@
 
 def main() -> None:
     """Run the command."""
-    serving.serve(build, read_options())
+    serving.serve(build, parse_options())
 
 
 if __name__ == '__main__':
--- a/packages/standins/src/verbenahall_standins/faults.py
+++ b/packages/standins/src/verbenahall_standins/faults.py
@@ -28,15 +28,15 @@
         self._active: list[Fault] = []
         self.on_change: Callable[[], None] = _do_nothing
 
-    def switch(self, body: Mapping[str, Any]) -> None:
+    def apply_command(self, body: Mapping[str, Any]) -> None:
         """Add the fault that a request body describes, or clear all."""
         if body['name'] == 'clear':
             self._active.clear()
         else:
-            known = {field.name for field in dataclasses.fields(Fault)}
-            given = {key: body[key] for key in known.intersection(body)}
-            given['holders'] = tuple(body.get('holders', ()))
-            self._active.append(Fault(**given))
+            field_names = {field.name for field in dataclasses.fields(Fault)}
+            values = {key: body[key] for key in field_names.intersection(body)}
+            values['holders'] = tuple(body.get('holders', ()))
+            self._active.append(Fault(**values))
         self.on_change()
 
     def find(self, name: str) -> Fault | None:
@@ -46,19 +46,19 @@
             None,
         )
 
-    def take(self, request: web.Request) -> Fault | None:
+    def consume_matching(self, request: web.Request) -> Fault | None:
         """Return the request's fault, using up one of its count."""
         for fault in self._active:
             if fault.name in ACTIONS and _matches(fault, request):
-                return self._use(fault)
+                return self._consume(fault)
         return None
 
-    def use(self, name: str) -> Fault | None:
+    def consume(self, name: str) -> Fault | None:
         """Return the active fault of this name, using up one count."""
         fault = self.find(name)
-        return None if fault is None else self._use(fault)
+        return None if fault is None else self._consume(fault)
 
-    def _use(self, fault: Fault) -> Fault:
+    def _consume(self, fault: Fault) -> Fault:
         fault.count -= 1
         if fault.count <= 0:
             self._active.remove(fault)
@@ -77,7 +77,7 @@
 
 
 #: Faults that also end a long poll which began before them.
-_CUTS: Final = frozenset(('down', 'partition', 'hang'))
+_POLL_FAULTS: Final = frozenset(('down', 'partition', 'hang'))
 
 
 class _FaultRoutes:
@@ -88,19 +88,19 @@
     def __init__(self, faults: Faults) -> None:
         self._faults = faults
 
-    async def switch(self, request: web.Request) -> web.Response:
-        self._faults.switch(await request.json())
-        return answers.answer_json({})
+    async def apply_command(self, request: web.Request) -> web.Response:
+        self._faults.apply_command(await request.json())
+        return answers.build_answer({})
 
     @web.middleware
-    async def surround(
+    async def inject_fault(
         self,
         request: web.Request,
         handler: Handler,
     ) -> web.StreamResponse:
         if request.path in _TEST_ROUTES:
             return await handler(request)
-        fault = self._faults.take(request)
+        fault = self._faults.consume_matching(request)
         if fault is None:
             return await handler(request)
         return await ACTIONS[fault.name](fault, request, handler)
@@ -109,21 +109,21 @@
 def add_fault_routes(app: web.Application, faults: Faults) -> None:
     """Serve ``POST /faults`` and put the faults around all other routes."""
     routes = _FaultRoutes(faults)
-    app.router.add_post('/faults', routes.switch)
-    app.middlewares.append(routes.surround)
+    app.router.add_post('/faults', routes.apply_command)
+    app.middlewares.append(routes.inject_fault)
 
 
-async def cut_poll(
+async def apply_poll_fault(
     faults: Faults,
     request: web.Request,
     answer: web.StreamResponse,
 ) -> web.StreamResponse:
     """Apply a fault that was switched on while a long poll waited."""
-    fault = faults.take(request)
-    if fault is None or fault.name not in _CUTS:
+    fault = faults.consume_matching(request)
+    if fault is None or fault.name not in _POLL_FAULTS:
         return answer
     return await ACTIONS[fault.name](fault, request, _return_empty)
 
 
 async def _return_empty(request: web.Request) -> web.StreamResponse:
-    return answers.answer_json({})
+    return answers.build_answer({})
--- a/packages/standins/src/verbenahall_standins/holder.py
+++ b/packages/standins/src/verbenahall_standins/holder.py
@@ -32,31 +32,31 @@
 _ENGINE: Final = 'engine-1'
 _MODEL: Final = 'drafter'
 #: Which of the sender's looks at the clock is the check beside the write.
-_CHECK: Final = 2
+_LEASE_CHECK_READ: Final = 2
 
 
-class StoppingClock:
+class SelfStoppingClock:
     """The monotonic clock, which stops the process at one look."""
 
-    __slots__ = ('_looks', '_stop')
+    __slots__ = ('_reads', '_stop')
 
     def __init__(self, stop: str) -> None:
         """Stop ``before`` or ``after`` the check's look, or not at all."""
-        self._looks = 0
+        self._reads = 0
         self._stop = stop
 
     def __call__(self) -> float:
         """Return monotonic seconds."""
-        self._looks += 1
-        if self._looks == _CHECK and self._stop == 'before':
+        self._reads += 1
+        if self._reads == _LEASE_CHECK_READ and self._stop == 'before':
             os.kill(os.getpid(), signal.SIGSTOP)
         now = clock.monotonic()
-        if self._looks == _CHECK and self._stop == 'after':
+        if self._reads == _LEASE_CHECK_READ and self._stop == 'after':
             os.kill(os.getpid(), signal.SIGSTOP)
         return now
 
 
-class Surroundings:
+class SingleEngineDependencies:
     """One engine, one pool, one model."""
 
     __slots__ = ('_endpoint', '_settings')
@@ -127,11 +127,13 @@
             caught_up=self._is_caught_up,
         )
         self._controller = Controller(
-            Surroundings(options),
+            SingleEngineDependencies(options),
             self._orders,
             self._keeper,
             client,
-            OrderSender(self._hold, timing, StoppingClock(options.stop)),
+            OrderSender(
+                self._get_held_token, timing, SelfStoppingClock(options.stop)
+            ),
             Dispatch(timing),
         )
 
@@ -153,7 +155,7 @@
         head = self._follower.head
         return 0 <= head <= self._follower.position
 
-    def _hold(self, now: float) -> int | None:
+    def _get_held_token(self, now: float) -> int | None:
         return self._keeper.held(_SCOPE, now)
 
 
--- a/packages/standins/src/verbenahall_standins/load.py
+++ b/packages/standins/src/verbenahall_standins/load.py
@@ -28,7 +28,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Measured:
+class LoadResult:
     """One run: answers, chunks, failures, and times in milliseconds."""
 
     seconds: float
@@ -42,14 +42,14 @@
 class Connection(asyncio.Protocol):
     """Sends the next request as soon as the last answer is whole."""
 
-    def __init__(self, request: bytes, until: float) -> None:
+    def __init__(self, request: bytes, ends_at: float) -> None:
         """Go on until a monotonic time; ``times_s`` takes each answer's."""
         self.times_s: list[float] = []
         self.chunks = 0
         self.failures = 0
         self.ended = asyncio.get_running_loop().create_future()
         self._request = request
-        self._until = until
+        self._ends_at = ends_at
         self._received = bytearray()
         self._sent_at: float = 0
         self._transport: asyncio.Transport | None = None
@@ -62,7 +62,7 @@
     def data_received(self, received: bytes) -> None:
         """Look for the end of the answer."""
         self._received += received
-        if _is_whole(self._received):
+        if _is_complete(self._received):
             self._finish()
 
     def connection_lost(self, error: Exception | None) -> None:
@@ -82,20 +82,20 @@
         self.times_s.append(now - self._sent_at)
         self.chunks += self._received.count(_EVENT)
         self.failures += not self._received.startswith(_OK)
-        if now < self._until:
+        if now < self._ends_at:
             self._send()
         elif self._transport is not None:
             self.ended.set_result(None)
             self._transport.close()
 
 
-def _is_whole(received: bytearray) -> bool:
+def _is_complete(received: bytearray) -> bool:
     head_end = received.find(_HEAD_END)
     if head_end < 0:
         return False
     head = received[:head_end].lower()
-    _, given, rest = head.partition(_LENGTH)
-    if not given:
+    _, field_found, rest = head.partition(_LENGTH)
+    if not field_found:
         return received.endswith(_LAST_CHUNK)
     length, _, _ = rest.partition(b'\r\n')
     return len(received) >= head_end + len(_HEAD_END) + int(length)
@@ -115,32 +115,32 @@
     request: bytes,
     connections: int,
     seconds: float,
-) -> Measured:
+) -> LoadResult:
     """Send for some seconds on some connections."""
     host, _, port = address.partition(':')
     loop = asyncio.get_running_loop()
     started = clock.monotonic()
-    until = started + seconds
+    ends_at = started + seconds
     open_one = functools.partial(
         loop.create_connection,
-        functools.partial(Connection, request, until),
+        functools.partial(Connection, request, ends_at),
         host,
         int(port),
     )
     pairs = await asyncio.gather(*(open_one() for _ in range(connections)))
-    opened = [connection for _, connection in pairs]
-    await asyncio.gather(*(connection.ended for connection in opened))
-    return _summarise(opened, clock.monotonic() - started)
+    protocols = [connection for _, connection in pairs]
+    await asyncio.gather(*(connection.ended for connection in protocols))
+    return _summarise(protocols, clock.monotonic() - started)
 
 
-def _summarise(opened: list[Connection], seconds: float) -> Measured:
-    every = (each.times_s for each in opened)
-    times = sorted(itertools.chain.from_iterable(every)) or [0]
-    return Measured(
+def _summarise(protocols: list[Connection], seconds: float) -> LoadResult:
+    times_by_connection = (each.times_s for each in protocols)
+    times = sorted(itertools.chain.from_iterable(times_by_connection)) or [0]
+    return LoadResult(
         seconds=seconds,
         answers=len(times),
-        failures=sum(each.failures for each in opened),
-        chunks=sum(each.chunks for each in opened),
+        failures=sum(each.failures for each in protocols),
+        chunks=sum(each.chunks for each in protocols),
         p50_ms=percentile_ms(times, _MEDIAN),
         p99_ms=percentile_ms(times, _TAIL),
     )
--- a/packages/standins/src/verbenahall_standins/log.py
+++ b/packages/standins/src/verbenahall_standins/log.py
@@ -16,49 +16,51 @@
 from verbenahall import clock
 from verbenahall_standins import answers, faults, serving
 
-_KEPT_RECORDS: Final = 1_000_000
-_KEPT_S: Final = 86_400.0
+_MAX_RECORDS: Final = 1_000_000
+_MAX_AGE_S: Final = 86_400.0
 _APPENDS_PER_S: Final = 400.0
 _BURST_S: Final = 0.25
 _DEFAULT_LIMIT: Final = 1000
-_LONGEST_WAIT_S: Final = 60.0
+_MAX_WAIT_S: Final = 60.0
 
 
-class Rate:
+class TokenBucket:
     """A token bucket of ``per_s`` with a quarter second's burst."""
 
-    __slots__ = ('_full', '_left', '_per_s', '_seen')
+    __slots__ = ('_capacity', '_tokens', '_per_s', '_refilled_at')
 
     def __init__(self, per_s: float, now: float) -> None:
         """Start full."""
         self._per_s = per_s
-        self._full = max(1, per_s * _BURST_S)
-        self._left = self._full
-        self._seen = now
+        self._capacity = max(1, per_s * _BURST_S)
+        self._tokens = self._capacity
+        self._refilled_at = now
 
-    def take(self, now: float) -> bool:
+    def try_acquire(self, now: float) -> bool:
         """Take one token if there is one."""
-        refill = (now - self._seen) * self._per_s
-        self._left = min(self._full, self._left + refill)
-        self._seen = now
-        if self._left < 1:
+        refill = (now - self._refilled_at) * self._per_s
+        self._tokens = min(self._capacity, self._tokens + refill)
+        self._refilled_at = now
+        if self._tokens < 1:
             return False
-        self._left -= 1
+        self._tokens -= 1
         return True
 
 
 class Log:
     """Records in order, with the oldest ones expiring."""
 
-    __slots__ = ('_ages', '_kept_s', '_records', 'first', 'last')
+    __slots__ = ('_appended_at', '_max_age_s', '_records', 'first', 'last')
 
     def __init__(self, kept: int, kept_s: float) -> None:
         """Keep at most ``kept`` records, for ``kept_s`` seconds."""
         self._records: collections.deque[dict[str, Any]] = collections.deque(
             maxlen=kept,
         )
-        self._ages: collections.deque[float] = collections.deque(maxlen=kept)
-        self._kept_s = kept_s
+        self._appended_at: collections.deque[float] = collections.deque(
+            maxlen=kept
+        )
+        self._max_age_s = kept_s
         self.first = 1
         self.last = 0
 
@@ -73,14 +75,16 @@
             'body': message['body'],
         }
         self._records.append(record)
-        self._ages.append(now)
+        self._appended_at.append(now)
         self.first = self._records[0]['offset']
         return self.last
 
     def expire(self, now: float) -> None:
         """Forget the records that are too old."""
-        while self._ages and now - self._ages[0] > self._kept_s:
-            self._ages.popleft()
+        while (
+            self._appended_at and now - self._appended_at[0] > self._max_age_s
+        ):
+            self._appended_at.popleft()
             self._records.popleft()
             self.first += 1
 
@@ -103,53 +107,53 @@
 class LogService:
     """The log over HTTP."""
 
-    __slots__ = ('_appended', '_faults', '_log', '_rate')
+    __slots__ = ('_appended', '_faults', '_log', '_bucket')
 
     def __init__(self, options: argparse.Namespace) -> None:
         """Start with an empty log."""
         self._log = Log(options.kept, options.kept_s)
-        self._rate = Rate(options.rate, clock.monotonic())
+        self._bucket = TokenBucket(options.rate, clock.monotonic())
         self._appended = asyncio.Event()
         self._faults = faults.Faults()
-        self._faults.on_change = self._wake
+        self._faults.on_change = self._wake_readers
 
     def add_routes(self, app: web.Application) -> None:
         """Serve the log's routes."""
         app.router.add_post('/append', self._append)
         app.router.add_get('/read', self._read)
-        app.router.add_get('/record', self._show_record)
+        app.router.add_get('/record', self._get_record)
         faults.add_fault_routes(app, self._faults)
 
-    def _wake(self) -> None:
+    def _wake_readers(self) -> None:
         self._appended.set()
         self._appended = asyncio.Event()
 
     async def _append(self, request: web.Request) -> web.Response:
         message = await request.json()
         now = clock.monotonic()
-        if not self._rate.take(now):
-            return answers.answer_json(
+        if not self._bucket.try_acquire(now):
+            return answers.build_answer(
                 {'error': 'over the rate'},
                 HTTPStatus.TOO_MANY_REQUESTS,
             )
         offset = self._log.append(message, now)
-        self._wake()
-        return answers.answer_json({'offset': offset})
+        self._wake_readers()
+        return answers.build_answer({'offset': offset})
 
     async def _read(self, request: web.Request) -> web.StreamResponse:
         query = request.query
         after = int(query.get('after', '0'))
         limit = int(query.get('limit', _DEFAULT_LIMIT))
-        wait_s = min(float(query.get('wait', '0')), _LONGEST_WAIT_S)
-        named = query.get('streams', '').split(',')
-        streams = frozenset(name for name in named if name)
-        page = await self._wait_page(after, limit, streams, wait_s)
-        answer = answers.answer_json(page)
+        wait_s = min(float(query.get('wait', '0')), _MAX_WAIT_S)
+        names = query.get('streams', '').split(',')
+        streams = frozenset(name for name in names if name)
+        page = await self._wait_for_page(after, limit, streams, wait_s)
+        answer = answers.build_answer(page)
         if wait_s:
-            return await faults.cut_poll(self._faults, request, answer)
+            return await faults.apply_poll_fault(self._faults, request, answer)
         return answer
 
-    async def _wait_page(
+    async def _wait_for_page(
         self,
         after: int,
         limit: int,
@@ -157,26 +161,26 @@
         wait_s: float,
     ) -> dict[str, Any]:
         until = clock.monotonic() + wait_s
-        records = self._read_now(after, limit, streams)
+        records = self._read_records(after, limit, streams)
         while not records and clock.monotonic() < until:
-            await self._wait_change(until - clock.monotonic())
-            records = self._read_now(after, limit, streams)
-            if self._is_cut():
+            await self._wait_for_append(until - clock.monotonic())
+            records = self._read_records(after, limit, streams)
+            if self._is_unavailable():
                 break
         first = self._log.first
         return {'records': records, 'first': first, 'last': self._log.last}
 
-    def _is_cut(self) -> bool:
+    def _is_unavailable(self) -> bool:
         return any(map(self._faults.find, ('down', 'partition', 'hang')))
 
-    async def _wait_change(self, wait_s: float) -> None:
+    async def _wait_for_append(self, wait_s: float) -> None:
         try:
             async with asyncio.timeout(wait_s):
                 await self._appended.wait()
         except TimeoutError:
             return
 
-    def _read_now(
+    def _read_records(
         self,
         after: int,
         limit: int,
@@ -185,9 +189,9 @@
         self._log.expire(clock.monotonic())
         return self._log.read(after, limit, streams)
 
-    async def _show_record(self, request: web.Request) -> web.Response:
+    async def _get_record(self, request: web.Request) -> web.Response:
         records = self._log.read(0, self._log.last, frozenset())
-        return answers.answer_json({'started': records})
+        return answers.build_answer({'started': records})
 
 
 def build(options: argparse.Namespace) -> web.Application:
@@ -201,8 +205,8 @@
     """Run the command."""
     parser = serving.new_parser('Log service stand-in')
     parser.add_argument('--rate', type=float, default=_APPENDS_PER_S)
-    parser.add_argument('--kept', type=int, default=_KEPT_RECORDS)
-    parser.add_argument('--kept-s', type=float, default=_KEPT_S)
+    parser.add_argument('--kept', type=int, default=_MAX_RECORDS)
+    parser.add_argument('--kept-s', type=float, default=_MAX_AGE_S)
     serving.serve(build, parser.parse_args())
 
 
--- a/packages/standins/src/verbenahall_standins/memory.py
+++ b/packages/standins/src/verbenahall_standins/memory.py
@@ -13,7 +13,7 @@
 from verbenahall.records import Record
 
 #: How long a read waits at most, in seconds; a test has no time to lose.
-_LONGEST_WAIT_S: Final = 0.01
+_MAX_WAIT_S: Final = 0.01
 _DOWN: Final = Problem(ErrorKind.LOG_UNAVAILABLE, 'down')
 
 
@@ -54,7 +54,7 @@
         streams: Sequence[str] = (),
     ) -> Result[Page, Problem]:
         """Return what is kept."""
-        await asyncio.sleep(min(_LONGEST_WAIT_S, wait_s))
+        await asyncio.sleep(min(_MAX_WAIT_S, wait_s))
         if self.down:
             return Failure(_DOWN)
         found = [
--- a/packages/standins/src/verbenahall_standins/prefixes.py
+++ b/packages/standins/src/verbenahall_standins/prefixes.py
@@ -10,8 +10,8 @@
 from verbenahall_standins import cost
 
 _BLOCK_CHARACTERS: Final = cost.BLOCK_TOKENS * cost.CHARACTERS_PER_TOKEN
-_BLOCKS: Final = cost.PREFIX_CACHE_TOKENS // cost.BLOCK_TOKENS
-_KEPT_EVENTS: Final = 4096
+_MAX_BLOCKS: Final = cost.PREFIX_CACHE_TOKENS // cost.BLOCK_TOKENS
+_MAX_EVENTS: Final = 4096
 
 
 def hash_blocks(prompt: str) -> list[str]:
@@ -30,37 +30,37 @@
 class PrefixCache:
     """Blocks in order of last use; the oldest is dropped."""
 
-    __slots__ = ('_blocks', '_events', '_gap_share', '_numbers', '_random')
+    __slots__ = ('_blocks', '_events', '_lost_share', '_numbers', '_rng')
 
-    def __init__(self, gap_share: float, seed: int) -> None:
-        """Start empty; ``gap_share`` of the events are never shown."""
+    def __init__(self, lost_share: float, seed: int) -> None:
+        """Start empty; ``lost_share`` of the events are never shown."""
         self._blocks: collections.OrderedDict[str, None] = (
             collections.OrderedDict()
         )
         self._events: collections.deque[dict[str, Any]] = collections.deque(
-            maxlen=_KEPT_EVENTS,
+            maxlen=_MAX_EVENTS,
         )
-        self._gap_share = gap_share
+        self._lost_share = lost_share
         self._numbers = itertools.count(1)
-        self._random = random.Random(seed)
+        self._rng = random.Random(seed)
 
-    def use(self, prompt: str, now: float) -> int:
+    def look_up_and_store(self, prompt: str, now: float) -> int:
         """Return how many tokens were cached, and cache the whole prompt."""
         hashes = hash_blocks(prompt)
         cached = itertools.takewhile(self._blocks.__contains__, hashes)
         count = sum(1 for _ in cached)
         for block in hashes:
             self._store(block, now)
-        while len(self._blocks) > _BLOCKS:
-            dropped, _ = self._blocks.popitem(last=False)
-            self._tell('removed', dropped, now)
+        while len(self._blocks) > _MAX_BLOCKS:
+            evicted, _ = self._blocks.popitem(last=False)
+            self._emit_event('removed', evicted, now)
         return count * cost.BLOCK_TOKENS
 
     def clear(self) -> None:
         """Forget all blocks, as a change of models does."""
         self._blocks.clear()
 
-    def show_events(self, after: int, until: float) -> list[dict[str, Any]]:
+    def list_events(self, after: int, until: float) -> list[dict[str, Any]]:
         """Return the events after a number that happened until a time."""
         return [
             event
@@ -70,13 +70,13 @@
 
     def _store(self, block: str, now: float) -> None:
         if block not in self._blocks:
-            self._tell('stored', block, now)
+            self._emit_event('stored', block, now)
         self._blocks[block] = None
         self._blocks.move_to_end(block)
 
-    def _tell(self, kind: str, block: str, now: float) -> None:
+    def _emit_event(self, kind: str, block: str, now: float) -> None:
         number = next(self._numbers)
-        if self._random.random() < self._gap_share:
+        if self._rng.random() < self._lost_share:
             return
         self._events.append(
             {'number': number, 'kind': kind, 'hash': block, 'at': now},
--- a/packages/standins/src/verbenahall_standins/process.py
+++ b/packages/standins/src/verbenahall_standins/process.py
@@ -10,7 +10,7 @@
 from typing import Final, final
 
 _STOP_TIMEOUT_S: Final = 40.0
-_READY_WORD: Final = 'listening '
+_READY_PREFIX: Final = 'listening '
 
 
 class NotReadyError(Exception):
@@ -108,8 +108,8 @@
 def wait_ready(process: 'subprocess.Popen[str]') -> Running:
     """Read the process's lines until it says where it listens."""
     for line in process.stdout or ():
-        if line.startswith(_READY_WORD):
-            return Running(line.removeprefix(_READY_WORD).strip(), process)
+        if line.startswith(_READY_PREFIX):
+            return Running(line.removeprefix(_READY_PREFIX).strip(), process)
     code = process.wait()
     raise NotReadyError(f'{process.args} ended with {code}')
 
--- a/packages/standins/src/verbenahall_standins/publishing.py
+++ b/packages/standins/src/verbenahall_standins/publishing.py
@@ -14,7 +14,7 @@
 from verbenahall_standins.deployment import Deployment
 
 _POLL_S: Final = 0.02
-_OLDEST_S: Final = 10
+_TIMEOUT_S: Final = 10
 
 
 class PublishError(Exception):
@@ -22,7 +22,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class InForce:
+class AppliedChange:
     """A published change: its offset, and seconds from append to in force."""
 
     offset: int
@@ -66,22 +66,22 @@
         """Publish a file; return the last line that ``verbenactl`` prints."""
         return publish(file, team, self._deployment.address('log'))
 
-    async def publish_and_watch(self, file: Path, team: str) -> InForce:
+    async def publish_and_wait(self, file: Path, team: str) -> AppliedChange:
         """Publish and wait until every instance reports it in force."""
-        before = await self.get_json('log', '/read?limit=1')
+        before = await self.fetch_json('log', '/read?limit=1')
         publishing = asyncio.create_task(
             asyncio.to_thread(self.publish, file, team),
         )
-        offset = await self._wait_record(before['last'])
+        offset = await self._wait_for_record(before['last'])
         appended = clock.monotonic()
-        async with asyncio.timeout(_OLDEST_S):
-            while await self._read_lowest_position() < offset:
+        async with asyncio.timeout(_TIMEOUT_S):
+            while await self._fetch_min_position() < offset:
                 await asyncio.sleep(_POLL_S)
         took_s = clock.monotonic() - appended
         await publishing
-        return InForce(offset, took_s)
+        return AppliedChange(offset, took_s)
 
-    async def get_json(self, name: str, path: str) -> Mapping[str, Any]:
+    async def fetch_json(self, name: str, path: str) -> Mapping[str, Any]:
         """Read JSON from a process of the deployment."""
         headers = {'Authorization': f'Bearer {self._token}'}
         address = self._deployment.address(name)
@@ -91,18 +91,18 @@
         ) as answer:
             return await answer.json()
 
-    async def _wait_record(self, after: int) -> int:
-        path = f'/read?after={after}&wait={_OLDEST_S}&streams=settings'
-        page = await self.get_json('log', path)
+    async def _wait_for_record(self, after: int) -> int:
+        path = f'/read?after={after}&wait={_TIMEOUT_S}&streams=settings'
+        page = await self.fetch_json('log', path)
         if not page['records']:
             raise PublishError('the change did not reach the log')
         return page['records'][0]['offset']
 
-    async def _read_lowest_position(self) -> int:
+    async def _fetch_min_position(self) -> int:
         statuses = await asyncio.gather(
             *(
-                self.get_json(name, '/admin/v1/status')
-                for name in self._deployment.described.instances
+                self.fetch_json(name, '/admin/v1/status')
+                for name in self._deployment.description.instances
             ),
         )
         return min(status['settings_position'] for status in statuses)
--- a/packages/standins/src/verbenahall_standins/registry.py
+++ b/packages/standins/src/verbenahall_standins/registry.py
@@ -26,7 +26,7 @@
         self._times: list[float] = [float('-inf')]
         self._versions: list[dict[str, Any]] = [{}]
 
-    def change(self, name: str, entry: Any, now: float) -> None:
+    def apply_entry(self, name: str, entry: Any, now: float) -> None:
         """Put an entry under its name, or remove it with ``None``."""
         entries = dict(self._versions[-1])
         entries.pop(name, None)
@@ -35,11 +35,11 @@
         self._times.append(now)
         self._versions.append(entries)
 
-    def find(self, name: str) -> dict[str, Any]:
+    def find_entry(self, name: str) -> dict[str, Any]:
         """Return the entry as it is, without lag."""
         return self._versions[-1].get(name, {})
 
-    def show(self, at: float) -> dict[str, Any]:
+    def get_version_at(self, at: float) -> dict[str, Any]:
         """Return the list as it was at a time."""
         version = bisect.bisect_right(self._times, at) - 1
         entries = list(self._versions[version].values())
@@ -56,57 +56,59 @@
         self._list = InstanceList()
         self._lag_s = options.lag
         self._faults = faults.Faults()
-        self._faults.on_change = self._freeze
+        self._faults.on_change = self._update_frozen_at
         self._frozen_at: float | None = None
 
     def add_routes(self, app: web.Application) -> None:
         """Serve the list's routes."""
-        app.router.add_get('/list', self._show)
-        app.router.add_get('/record', self._show_now)
+        app.router.add_get('/list', self._get_list)
+        app.router.add_get('/record', self._get_record)
         app.router.add_post('/register', self._register)
         app.router.add_post('/leave', self._mark_leaving)
         app.router.add_post('/remove', self._remove)
         faults.add_fault_routes(app, self._faults)
 
-    def _freeze(self) -> None:
+    def _update_frozen_at(self) -> None:
         if self._faults.find('freeze') is None:
             self._frozen_at = None
         elif self._frozen_at is None:
             self._frozen_at = clock.monotonic() - self._lag_s
 
-    async def _show(self, request: web.Request) -> web.Response:
+    async def _get_list(self, request: web.Request) -> web.Response:
         at = clock.monotonic() - self._lag_s
         if self._frozen_at is not None:
             at = self._frozen_at
-        shown = self._list.show(at)
+        shown = self._list.get_version_at(at)
         version = shown['version']
         tag = f'"{version}"'
         if request.headers.get(hdrs.IF_NONE_MATCH) == tag:
             return web.Response(status=HTTPStatus.NOT_MODIFIED)
-        response = answers.answer_json(shown)
+        response = answers.build_answer(shown)
         response.headers[hdrs.ETAG] = tag
         return response
 
-    async def _show_now(self, request: web.Request) -> web.Response:
-        return answers.answer_json(self._list.show(clock.monotonic()))
+    async def _get_record(self, request: web.Request) -> web.Response:
+        return answers.build_answer(
+            self._list.get_version_at(clock.monotonic())
+        )
 
     async def _register(self, request: web.Request) -> web.Response:
         entry = await request.json()
         defaults = {'service': '', 'checks_fencing': True, 'state': 'live'}
-        return self._change(entry['name'], {**defaults, **entry})
+        return self._apply_entry(entry['name'], {**defaults, **entry})
 
     async def _mark_leaving(self, request: web.Request) -> web.Response:
         name = (await request.json())['name']
-        found = self._list.find(name)
-        return self._change(name, {**found, 'state': 'leaving'})
+        found = self._list.find_entry(name)
+        return self._apply_entry(name, {**found, 'state': 'leaving'})
 
     async def _remove(self, request: web.Request) -> web.Response:
         name = (await request.json())['name']
-        return self._change(name, None)
+        return self._apply_entry(name, None)
 
-    def _change(self, name: str, entry: Any) -> web.Response:
-        self._list.change(name, entry, clock.monotonic())
-        return answers.answer_json({})
+    def _apply_entry(self, name: str, entry: Any) -> web.Response:
+        self._list.apply_entry(name, entry, clock.monotonic())
+        return answers.build_answer({})
 
 
 def build(options: argparse.Namespace) -> web.Application:
--- a/packages/standins/src/verbenahall_standins/service.py
+++ b/packages/standins/src/verbenahall_standins/service.py
@@ -26,7 +26,7 @@
 
     def add_routes(self, app: web.Application) -> None:
         """Serve every path."""
-        app.router.add_get('/record', self._show_record)
+        app.router.add_get('/record', self._get_record)
         faults.add_fault_routes(app, self._faults)
         app.router.add_route('*', '/{path:.*}', self._run)
 
@@ -44,10 +44,10 @@
         await asyncio.sleep(self._delay_s)
         answer = {'service': self._name, 'bytes': len(body), **run}
         headers = {'X-Attempt-Id': attempt}
-        return answers.answer_json(answer, headers=headers)
+        return answers.build_answer(answer, headers=headers)
 
-    async def _show_record(self, request: web.Request) -> web.Response:
-        return answers.answer_json({'started': self._started})
+    async def _get_record(self, request: web.Request) -> web.Response:
+        return answers.build_answer({'started': self._started})
 
 
 def build(options: argparse.Namespace) -> web.Application:
--- a/packages/standins/src/verbenahall_standins/text.py
+++ b/packages/standins/src/verbenahall_standins/text.py
@@ -28,7 +28,7 @@
 )
 
 
-def find_prompt(body: dict[str, Any]) -> str:
+def extract_prompt(body: dict[str, Any]) -> str:
     """Return the prompt of a completion or chat body as one text."""
     messages = body.get('messages')
     if messages:
@@ -36,13 +36,13 @@
     return str(body.get('prompt', ''))
 
 
-def write_chunk(seed: int, index: int) -> str:
+def build_chunk(seed: int, index: int) -> str:
     """Return the token at ``index`` of the answer with this seed."""
     word = _WORDS[(seed >> (index % 8)) % len(_WORDS)]
     return f'{word}{index} '
 
 
-def seed_answer(model: str, adapter: str, prompt: str) -> int:
+def compute_seed(model: str, adapter: str, prompt: str) -> int:
     """Return the seed that all tokens of an answer come from."""
     return zlib.crc32(f'{model}\n{adapter}\n{prompt}'.encode())
 
@@ -54,5 +54,5 @@
     adapter: str = '',
 ) -> str:
     """Return the whole answer of ``count`` tokens to a prompt."""
-    seed = seed_answer(model, adapter, prompt)
-    return ''.join(write_chunk(seed, index) for index in range(count))
+    seed = compute_seed(model, adapter, prompt)
+    return ''.join(build_chunk(seed, index) for index in range(count))
--- a/packages/standins/src/verbenahall_standins/asks.py
+++ b/packages/standins/src/verbenahall_standins/traffic.py
@@ -22,7 +22,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Question:
+class ModelRequestKind:
     """One kind of model request; ``prompt`` in characters, from and to.
 
     ``billed`` requests carry an idempotency key and must not run twice.
@@ -43,7 +43,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Fetch:
+class ServiceRequestKind:
     """One kind of call to a plain service; a ``POST`` must not run twice."""
 
     kind: str
@@ -53,14 +53,14 @@
     weight: int = 1
 
 
-Kinds = tuple[Question | Fetch, ...]
+Kinds = tuple[ModelRequestKind | ServiceRequestKind, ...]
 
 #: What each deployment's callers send. Archive summaries are long to short,
 #: blurbs short to long; a flag is one token and comes first.
 MIXES: Final[Mapping[str, Kinds]] = MappingProxyType(
     {
         'desk': (
-            Question(
+            ModelRequestKind(
                 'summary',
                 'editors',
                 'Condense this archive.',
@@ -69,7 +69,7 @@
                 output=(30, 60),
                 billed=True,
             ),
-            Question(
+            ModelRequestKind(
                 'blurb',
                 'secretaries',
                 'Write a blurb for this fixture.',
@@ -79,7 +79,7 @@
                 adapter='clubs',
                 stream=True,
             ),
-            Question(
+            ModelRequestKind(
                 'caption check',
                 'print-clerks',
                 'Does this caption fit?',
@@ -88,10 +88,12 @@
                 output=(4, 10),
                 priority=1,
             ),
-            Fetch('page', 'print-clerks', 'GET', '/services/pages/proofs'),
+            ServiceRequestKind(
+                'page', 'print-clerks', 'GET', '/services/pages/proofs'
+            ),
         ),
         'atlas': (
-            Question(
+            ModelRequestKind(
                 'trip question',
                 'engineers',
                 'Why did this breaker trip?',
@@ -102,7 +104,7 @@
                 stream=True,
                 chat=True,
             ),
-            Question(
+            ModelRequestKind(
                 'shift summary',
                 'supervisors',
                 'Summarise this shift.',
@@ -112,7 +114,7 @@
                 priority=3,
                 billed=True,
             ),
-            Question(
+            ModelRequestKind(
                 'flag',
                 'inspectors',
                 'Is it safe to climb?',
@@ -121,14 +123,16 @@
                 output=(1, 1),
                 priority=0,
             ),
-            Fetch('field write', 'engineers', 'POST', '/services/field/notes'),
+            ServiceRequestKind(
+                'field write', 'engineers', 'POST', '/services/field/notes'
+            ),
         ),
     },
 )
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Ask:
+class CallerRequest:
     """One request; ``expected`` is the model's text, None for a service."""
 
     kind: str
@@ -144,35 +148,35 @@
         return bool(self.body.get('stream'))
 
 
-class Writer:
+class RequestGenerator:
     """Writes requests with a seeded random; keys never repeat in one run."""
 
-    __slots__ = ('_numbers', '_random', '_run')
+    __slots__ = ('_numbers', '_rng', '_run')
 
     def __init__(self, seed: int, run: str) -> None:
         """Start; ``run`` makes this run's keys its own."""
-        self._random = random.Random(seed)
+        self._rng = random.Random(seed)
         self._run = run
         self._numbers = itertools.count()
 
-    def write(self, deployment: str, count: int) -> Iterator[Ask]:
+    def generate(self, deployment: str, count: int) -> Iterator[CallerRequest]:
         """Yield the deployment's requests in a random order."""
         kinds = MIXES[deployment]
         weights = [kind.weight for kind in kinds]
-        for kind in self._random.choices(kinds, weights, k=count):
+        for kind in self._rng.choices(kinds, weights, k=count):
             match kind:
-                case Question():
-                    yield self._write_question(kind)
-                case Fetch():
-                    yield self._write_fetch(kind)
-
-    def _write_question(self, kind: Question) -> Ask:
-        prompt = self._write_prompt(kind)
-        output = self._random.randint(*kind.output)
+                case ModelRequestKind():
+                    yield self._build_model_request(kind)
+                case ServiceRequestKind():
+                    yield self._build_service_request(kind)
+
+    def _build_model_request(self, kind: ModelRequestKind) -> CallerRequest:
+        prompt = self._build_prompt(kind)
+        output = self._rng.randint(*kind.output)
         headers = {'X-Workspace': kind.workspace}
         headers['X-Priority'] = str(kind.priority)
         if kind.billed:
-            headers['Idempotency-Key'] = self._write_key()
+            headers['Idempotency-Key'] = self._next_key()
         body = {'model': kind.model, 'max_tokens': output}
         body['stream'] = kind.stream
         if kind.adapter:
@@ -183,24 +187,26 @@
             body['prompt'] = prompt
         path = _CHAT if kind.chat else _COMPLETIONS
         expected = text.write_answer(prompt, output, kind.model, kind.adapter)
-        return Ask(kind.kind, 'POST', path, headers, body, expected)
+        return CallerRequest(kind.kind, 'POST', path, headers, body, expected)
 
-    def _write_fetch(self, kind: Fetch) -> Ask:
+    def _build_service_request(self, kind: ServiceRequestKind) -> CallerRequest:
         number = next(self._numbers)
         path = f'{kind.path}/{number}'
         headers = {'X-Workspace': kind.workspace}
         if kind.method == 'GET':
-            return Ask(kind.kind, kind.method, path, headers, {})
-        headers['Idempotency-Key'] = self._write_key()
-        return Ask(kind.kind, kind.method, path, headers, {'note': 'closed'})
+            return CallerRequest(kind.kind, kind.method, path, headers, {})
+        headers['Idempotency-Key'] = self._next_key()
+        return CallerRequest(
+            kind.kind, kind.method, path, headers, {'note': 'closed'}
+        )
 
-    def _write_key(self) -> str:
+    def _next_key(self) -> str:
         number = next(self._numbers)
         return f'{self._run}-{number}'
 
-    def _write_prompt(self, kind: Question) -> str:
-        characters = self._random.randint(*kind.prompt)
+    def _build_prompt(self, kind: ModelRequestKind) -> str:
+        characters = self._rng.randint(*kind.prompt)
         count = characters // len(_SENTENCES[0])
-        body = ''.join(self._random.choices(_SENTENCES, k=count))
+        body = ''.join(self._rng.choices(_SENTENCES, k=count))
         number = next(self._numbers)
         return f'{kind.opening} ({number})\n{body}'
--- a/packages/standins/src/verbenahall_standins/weights.py
+++ b/packages/standins/src/verbenahall_standins/weights.py
@@ -24,43 +24,49 @@
 class WeightService:
     """Weights over HTTP, one block after another over all readers."""
 
-    __slots__ = ('_bytes_per_s', '_faults', '_free_at', '_size', '_started')
+    __slots__ = (
+        '_bytes_per_s',
+        '_faults',
+        '_free_at',
+        '_size_bytes',
+        '_started',
+    )
 
     def __init__(self, options: argparse.Namespace) -> None:
         """Start idle."""
         self._bytes_per_s = options.bytes_per_s
         self._free_at: float = 0
-        self._size = int(options.gb * _BYTES_PER_GB)
+        self._size_bytes = int(options.gb * _BYTES_PER_GB)
         self._started: list[dict[str, Any]] = []
         self._faults = faults.Faults()
 
     def add_routes(self, app: web.Application) -> None:
         """Serve the store's routes."""
         app.router.add_get('/weights/{model}/{version}', self._stream)
-        app.router.add_get('/record', self._show_record)
+        app.router.add_get('/record', self._get_record)
         faults.add_fault_routes(app, self._faults)
 
     async def _stream(self, request: web.Request) -> web.StreamResponse:
         self._started.append(dict(request.match_info))
-        left = self._size
+        remaining = self._size_bytes
         answer = web.StreamResponse()
-        answer.content_length = left
+        answer.content_length = remaining
         await answer.prepare(request)
-        while left > 0:
-            block = _BLOCK[:left]
-            await self._wait_turn(len(block))
+        while remaining > 0:
+            block = _BLOCK[:remaining]
+            await self._wait_for_bandwidth(len(block))
             await answer.write(block)
-            left -= len(block)
+            remaining -= len(block)
         return answer
 
-    async def _wait_turn(self, size: int) -> None:
+    async def _wait_for_bandwidth(self, size: int) -> None:
         now = clock.monotonic()
         starts_at = max(now, self._free_at)
         self._free_at = starts_at + size / self._bytes_per_s
         await asyncio.sleep(self._free_at - now)
 
-    async def _show_record(self, request: web.Request) -> web.Response:
-        return answers.answer_json({'started': self._started})
+    async def _get_record(self, request: web.Request) -> web.Response:
+        return answers.build_answer({'started': self._started})
 
 
 def build(options: argparse.Namespace) -> web.Application:
--- a/packages/standins/src/verbenahall_standins/worker.py
+++ b/packages/standins/src/verbenahall_standins/worker.py
@@ -29,22 +29,22 @@
         self.cancelled = False
         self._changed = asyncio.Event()
 
-    async def wait_beyond(self, produced: int) -> int:
+    async def wait_for_more(self, produced: int) -> int:
         """Wait until more than ``produced`` tokens exist or it has ended.
 
         Returns how many exist.
         """
-        while self.job.produced <= produced and not self.is_over:
+        while self.job.produced <= produced and not self.is_finished:
             self._changed.clear()
             await self._changed.wait()
         return self.job.produced
 
     @property
-    def is_over(self) -> bool:
+    def is_finished(self) -> bool:
         """Whether no more tokens will come."""
         return self.cancelled or self.job.is_done
 
-    def tell(self) -> None:
+    def notify(self) -> None:
         """Wake the handler."""
         self._changed.set()
 
@@ -52,13 +52,17 @@
 class Worker:
     """Steps the batch while there is work; ``speed`` divides all times."""
 
-    __slots__ = ('_speed', '_task', '_wake', 'batch', 'direct', 'open')
+    __slots__ = ('_speed', '_task', '_wake', 'batch', 'instant_count', 'active')
 
     def __init__(self, role: Role, speed: float) -> None:
-        """Start idle; ``direct`` counts answers made without the batch."""
+        """Start idle.
+
+        ``instant_count`` is the number of requests being answered without
+        the batch.
+        """
         self.batch = Batch(role)
-        self.open: dict[str, Progress] = {}
-        self.direct = 0
+        self.active: dict[str, Progress] = {}
+        self.instant_count = 0
         self._speed = speed
         self._wake = asyncio.Event()
         self._task: asyncio.Task[None] | None = None
@@ -66,16 +70,16 @@
     @property
     def is_idle(self) -> bool:
         """Whether nothing is in flight."""
-        return self.batch.is_idle and not self.direct
+        return self.batch.is_idle and not self.instant_count
 
     @property
     def load(self) -> Load:
         """The load of this moment."""
-        running = self.batch.running + self.direct
+        running = self.batch.running + self.instant_count
         free = round(self.batch.kv_free_share, 3)
         return Load(running, self.batch.queued, free)
 
-    async def run_lifetime(self, app: Any) -> Any:
+    async def run_in_background(self, app: Any) -> Any:
         """Run between the application's start-up and clean-up."""
         self._task = asyncio.create_task(self._run())
         yield
@@ -84,18 +88,18 @@
     def start(self, job: Job) -> Progress:
         """Queue a job."""
         progress = Progress(job)
-        self.open[job.identity] = progress
+        self.active[job.identity] = progress
         self.batch.add(job)
         self._wake.set()
         return progress
 
-    def forget(self, progress: Progress) -> None:
+    def release(self, progress: Progress) -> None:
         """Cancel what is left of a job and forget it."""
-        if not progress.is_over:
+        if not progress.is_finished:
             self.batch.cancel(progress.job.identity)
             progress.cancelled = True
-            progress.tell()
-        self.open.pop(progress.job.identity, None)
+            progress.notify()
+        self.active.pop(progress.job.identity, None)
 
     async def _run(self) -> None:
         ready_at = clock.monotonic()
@@ -107,10 +111,10 @@
             step = self.batch.step()
             ready_at += step.duration_s / self._speed
             await asyncio.sleep(max(0, ready_at - clock.monotonic()))
-            self._tell(step)
+            self._notify(step)
 
-    def _tell(self, step: Step) -> None:
+    def _notify(self, step: Step) -> None:
         for job in (*step.produced, *step.finished):
-            progress = self.open.get(job.identity)
+            progress = self.active.get(job.identity)
             if progress is not None:
-                progress.tell()
+                progress.notify()
