--- a/packages/standins/src/verbenahall_standins/engine.py
+++ b/packages/standins/src/verbenahall_standins/engine.py
@@ -1,9 +1,11 @@
-"""A model engine: ``python -m verbenahall_standins.engine --port 0``.
-
-It batches continuously by the cost model, or with ``--instant`` answers at
-once. It takes orders, publishes late load and cache reports, and its faults
-are switched on over ``POST /faults``; ``leaving`` makes it leave by its own
-word, ``ignore_fencing`` makes it obey old orders.
+"""Stand-in for a model engine, served over HTTP.
+
+``python -m verbenahall_standins.engine --port 0`` runs continuous batching
+with the durations of the cost model; with ``--instant`` it answers without
+any delay. It executes orders and reports its load and its cache events with a
+delay. ``POST /faults`` injects faults: ``leaving`` makes the engine report
+that it leaves and refuse completions, ``ignore_fencing`` makes it execute
+orders with old fencing tokens.
 """
 
 import argparse
@@ -21,19 +23,23 @@
 from verbenahall_standins.prefixes import PrefixCache
 from verbenahall_standins.worker import Load, Worker
 
+#: Jobs that may wait before completions are refused as overloaded.
 _MAX_QUEUE: Final = 256
+#: Seconds before a cache event becomes visible.
 _EVENT_DELAY_S: Final = 0.5
+#: Share of cache events that are never reported.
 _LOST_EVENT_SHARE: Final = 0.02
+#: Seconds between two samples of the load.
 _SAMPLE_INTERVAL_S: Final = 0.05
 
 
 class LaggingLoad:
-    """The load as it was ``lag_s`` seconds ago."""
+    """Reports a worker's load with a delay of ``lag_s`` seconds."""
 
     __slots__ = ('_lag_s', '_samples', '_worker')
 
     def __init__(self, worker: Worker, lag_s: float) -> None:
-        """Report on a worker; without lag, its load of this moment."""
+        """Wrap a worker; a lag of 0 reports its current load."""
         self._worker = worker
         self._lag_s = lag_s
         self._samples: collections.deque[tuple[float, Load]] = (
@@ -41,7 +47,7 @@
         )
 
     def report(self) -> Load:
-        """Return the newest load that is old enough."""
+        """Return the newest sample that is at least ``lag_s`` seconds old."""
         if not self._lag_s:
             return self._worker.load
         until = clock.monotonic() - self._lag_s
@@ -52,7 +58,7 @@
         return newest
 
     async def sample(self) -> None:
-        """Keep samples until cancelled."""
+        """Sample the load periodically until cancelled."""
         while True:
             self._samples.append((clock.monotonic(), self._worker.load))
             self.report()
@@ -60,7 +66,7 @@
 
 
 class Engine:
-    """One engine over HTTP."""
+    """HTTP routes of one engine."""
 
     __slots__ = (
         '_cache',
@@ -73,7 +79,7 @@
     )
 
     def __init__(self, options: argparse.Namespace) -> None:
-        """Start with the models, adapters and role of the options."""
+        """Start with the models, adapters and role given in the options."""
         active = configuration.Configuration(
             Role(options.role),
             dict(pair.split('=') for pair in options.model),
@@ -102,7 +108,7 @@
         self._completions.resumes = not options.no_resume
 
     def add_routes(self, app: web.Application) -> None:
-        """Serve the engine's routes."""
+        """Register the engine's routes and its background tasks."""
         app.add_routes(
             (
                 web.post('/v1/completions', self._complete),
@@ -194,37 +200,41 @@
 
 
 def build(options: argparse.Namespace) -> web.Application:
-    """Build the application."""
+    """Build the web application."""
     app = serving.new_application()
     Engine(options).add_routes(app)
     return app
 
 
-#: Options with their default and help.
+#: Name, default and help text of each option; the default sets its type.
 _OPTIONS: Final = (
     ('--name', 'engine-1', 'name in the instance list'),
     ('--role', Role.MIXED.value, 'mixed, prefill or decode'),
-    ('--speed', 1.0, 'divides all times'),
-    ('--weights', '', 'address of the weight store'),
-    ('--load-lag', float(0), 'age of load reports in seconds'),
-    ('--event-lag', _EVENT_DELAY_S, 'age of cache events in seconds'),
+    ('--speed', 1.0, 'factor by which all durations are divided'),
+    (
+        '--weights',
+        '',
+        'address of the weight store; without one, loading takes a fixed time',
+    ),
+    ('--load-lag', float(0), 'delay of load reports in seconds'),
+    ('--event-lag', _EVENT_DELAY_S, 'delay of cache events in seconds'),
     ('--event-gaps', _LOST_EVENT_SHARE, 'share of cache events lost'),
-    ('--max-queue', _MAX_QUEUE, 'jobs that may wait'),
-    ('--seed', 1, 'seed of the lost cache events'),
+    ('--max-queue', _MAX_QUEUE, 'maximum number of waiting jobs'),
+    ('--seed', 1, 'seed for choosing the lost cache events'),
 )
 _REPEATABLE: Final = (
     ('--model', 'NAME=VERSION'),
     ('--adapter', 'NAME:MODEL:VERSION'),
 )
 _FLAGS: Final = (
-    ('--instant', 'answer at once, without the cost model'),
-    ('--ignore-fencing', 'obey orders with old fencing tokens'),
-    ('--no-resume', 'refuse to resume streams'),
+    ('--instant', 'answer immediately, without the cost model'),
+    ('--ignore-fencing', 'execute orders with old fencing tokens'),
+    ('--no-resume', 'refuse requests that resume a stream'),
 )
 
 
 def parse_options(arguments: list[str] | None = None) -> argparse.Namespace:
-    """Read the command line."""
+    """Parse the command line."""
     parser = serving.new_parser('Model engine stand-in')
     for name, default, help_text in _OPTIONS:
         value_type = type(default)
@@ -233,9 +243,9 @@
         )
     for flag, help_text in _FLAGS:
         parser.add_argument(flag, action='store_true', help=help_text)
-    for repeated, metavar in _REPEATABLE:
+    for option, metavar in _REPEATABLE:
         parser.add_argument(
-            repeated,
+            option,
             action='append',
             default=[],
             metavar=metavar,
@@ -244,7 +254,7 @@
 
 
 def main() -> None:
-    """Run the command."""
+    """Run the engine until SIGTERM."""
     serving.serve(build, parse_options())
 
 
