--- a/packages/standins/src/verbenahall_standins/faults.py
+++ b/packages/standins/src/verbenahall_standins/faults.py
@@ -1,8 +1,9 @@
-"""Faults that a test switches on in a stand-in, by ``POST /faults``.
+"""Fault injection: tests add faults to a stand-in with ``POST /faults``.
 
-One fault holds for the requests whose path starts with ``path`` and whose
-``X-Instance`` is among ``holders`` (all when empty), ``count`` times (without
-end when left out). ``{"name": "clear"}`` ends all of them.
+A fault applies to requests whose path starts with ``path`` and whose
+``X-Instance`` header is one of ``holders`` (every request if empty). It is
+used up after ``count`` requests, or stays active if no count is given.
+``{"name": "clear"}`` removes all faults.
 """
 
 import dataclasses
@@ -14,22 +15,22 @@
 from verbenahall_standins import answers
 from verbenahall_standins.actions import ACTIONS, Fault, Handler
 
-#: Routes that no fault touches.
+#: Routes that are exempt from faults.
 _TEST_ROUTES: Final = ('/faults', '/record')
 
 
 class Faults:
-    """The faults that are switched on in one process."""
+    """The active faults of one process."""
 
     __slots__ = ('_active', 'on_change')
 
     def __init__(self) -> None:
-        """Start without any fault."""
+        """Start without faults."""
         self._active: list[Fault] = []
         self.on_change: Callable[[], None] = _do_nothing
 
     def apply_command(self, body: Mapping[str, Any]) -> None:
-        """Add the fault that a request body describes, or clear all."""
+        """Add the fault described by a request body, or clear all faults."""
         if body['name'] == 'clear':
             self._active.clear()
         else:
@@ -40,21 +41,21 @@
         self.on_change()
 
     def find(self, name: str) -> Fault | None:
-        """Return the active fault of this name, without using it up."""
+        """Return the active fault with this name, without counting a use."""
         return next(
             (fault for fault in self._active if fault.name == name),
             None,
         )
 
     def consume_matching(self, request: web.Request) -> Fault | None:
-        """Return the request's fault, using up one of its count."""
+        """Return the first fault that applies to a request, counting a use."""
         for fault in self._active:
             if fault.name in ACTIONS and _matches(fault, request):
                 return self._consume(fault)
         return None
 
     def consume(self, name: str) -> Fault | None:
-        """Return the active fault of this name, using up one count."""
+        """Return the active fault with this name, counting a use."""
         fault = self.find(name)
         return None if fault is None else self._consume(fault)
 
@@ -66,7 +67,7 @@
 
 
 def _do_nothing() -> None:
-    """Stand in for a hook that nobody set."""
+    """Serve as the default hook."""
 
 
 def _matches(fault: Fault, request: web.Request) -> bool:
@@ -76,12 +77,12 @@
     return not fault.holders or holder in fault.holders
 
 
-#: Faults that also end a long poll which began before them.
+#: Faults that also interrupt long polls which started before them.
 _POLL_FAULTS: Final = frozenset(('down', 'partition', 'hang'))
 
 
 class _FaultRoutes:
-    """The route that switches faults, and what puts them around others."""
+    """The ``/faults`` route and the middleware that applies faults."""
 
     __slots__ = ('_faults',)
 
@@ -107,7 +108,7 @@
 
 
 def add_fault_routes(app: web.Application, faults: Faults) -> None:
-    """Serve ``POST /faults`` and put the faults around all other routes."""
+    """Add the ``POST /faults`` route and the middleware for other routes."""
     routes = _FaultRoutes(faults)
     app.router.add_post('/faults', routes.apply_command)
     app.middlewares.append(routes.inject_fault)
@@ -118,7 +119,7 @@
     request: web.Request,
     answer: web.StreamResponse,
 ) -> web.StreamResponse:
-    """Apply a fault that was switched on while a long poll waited."""
+    """Apply a fault that was added while a long poll was waiting."""
     fault = faults.consume_matching(request)
     if fault is None or fault.name not in _POLL_FAULTS:
         return answer
