--- a/packages/standins/src/verbenahall_standins/actions.py
+++ b/packages/standins/src/verbenahall_standins/actions.py
@@ -1,4 +1,4 @@
-"""What each fault does to the request that it meets."""
+"""How each fault changes the handling of a request."""
 
 import asyncio
 import dataclasses
@@ -14,18 +14,24 @@
 
 Handler = Callable[[web.Request], Awaitable[web.StreamResponse]]
 
-#: SO_LINGER on, zero seconds: close sends RST instead of FIN.
+#: SO_LINGER on with zero seconds: ``close`` sends RST instead of FIN.
 _RESET_ON_CLOSE: Final = struct.pack('ii', 1, 0)
-#: Lets the written part leave before RST drops what is unsent.
+#: Seconds to wait for written bytes to be sent, because RST discards unsent
+#: ones.
 _FLUSH_WAIT_S: Final = 0.01
 
 
+#: Default count of a fault: it stays active until faults are cleared.
 _UNLIMITED: Final = 1 << 60
 
 
 @dataclasses.dataclass(slots=True)
 class Fault:
-    """One fault; fields that its ``name`` does not use are ignored."""
+    """One fault; fields that its ``name`` does not use are ignored.
+
+    For ``hang`` and ``reset``, ``started`` says whether the request's handler
+    runs before the fault takes effect.
+    """
 
     name: str
     path: str = ''
@@ -38,7 +44,7 @@
 
 
 def reset_connection(request: web.Request) -> None:
-    """Close the request's connection with RST, dropping unsent bytes."""
+    """Close the request's connection with RST, discarding unsent bytes."""
     transport = request.transport
     if transport is None:
         return
@@ -118,7 +124,7 @@
     request: web.Request,
     handler: Handler,
 ) -> web.StreamResponse:
-    """Reset after ``after_bytes`` of the answer; 0 is before its first."""
+    """Reset after ``after_bytes`` of the body; 0 resets before the head."""
     if not fault.started:
         reset_connection(request)
         return answers.build_answer({})
@@ -148,7 +154,10 @@
     request: web.Request,
     handler: Handler,
 ) -> web.StreamResponse:
-    """End a stream in good order after ``after_chunks``, without its end."""
+    """End a stream after ``after_chunks`` without its closing event.
+
+    The HTTP response itself ends properly.
+    """
     request['truncate_after_chunks'] = fault.after_chunks
     return await handler(request)
 
@@ -158,7 +167,7 @@
     request: web.Request,
     handler: Handler,
 ) -> web.StreamResponse:
-    """Write each chunk of a stream, or the whole plain answer, twice."""
+    """Send each chunk of a stream, or the whole plain answer, twice."""
     request['duplicate'] = True
     answer = await handler(request)
     if isinstance(answer, web.Response) and request.transport:
