--- a/packages/standins/src/verbenahall_standins/answers.py
+++ b/packages/standins/src/verbenahall_standins/answers.py
@@ -1,4 +1,4 @@
-"""Answers that every stand-in gives in the same shape."""
+"""JSON answers in the format shared by all stand-ins."""
 
 from http import HTTPStatus
 from typing import Any, Final
@@ -7,7 +7,8 @@
 
 from verbenahall import wire
 
-#: Only this header says that a request did not run.
+#: Header that guarantees that a request was not started. Without it, a failed
+#: request may have run.
 NOT_STARTED: Final = 'X-Not-Started'
 
 
@@ -26,12 +27,12 @@
 
 
 def build_failure(reason: str) -> web.Response:
-    """Build the failure of a request that may have started."""
+    """Build a 503 answer to a request that may have started."""
     return build_answer({'error': reason}, HTTPStatus.SERVICE_UNAVAILABLE)
 
 
 def build_refusal(
     reason: str, status: int = HTTPStatus.SERVICE_UNAVAILABLE
 ) -> web.Response:
-    """Build the refusal of a request that has not started."""
+    """Build a refusal, marked as not started by its header."""
     return build_answer({'error': reason}, status, {NOT_STARTED: '1'})
