--- a/packages/standins/src/verbenahall_standins/configuration.py
+++ b/packages/standins/src/verbenahall_standins/configuration.py
@@ -1,4 +1,4 @@
-"""What an engine stand-in holds, and the orders that change it."""
+"""Configuration of an engine stand-in and the orders that change it."""
 
 import asyncio
 import dataclasses
@@ -17,7 +17,7 @@
 
 _INCARNATION_BYTES: Final = 4
 _READ_BYTES: Final = 65_536
-#: Seconds to load a model where no weight store is given; assumption.
+#: Seconds to load a model without a weight store.
 _MODEL_CHANGE_S: Final = 8.0
 
 _CHANGE_STARTED: Final = HTTPStatus.ACCEPTED
@@ -27,7 +27,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Configuration:
-    """A role, models with their versions, adapters."""
+    """An engine's role, models by name with their version, and adapters."""
 
     role: Role
     models: Mapping[str, str]
@@ -36,7 +36,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Order:
-    """One order as it arrived; ``number`` is its offset and its index."""
+    """A received order; ``number`` is the offset and index from ``text``."""
 
     text: str
     number: tuple[int, ...]
@@ -45,12 +45,12 @@
 
 
 def parse_number(text: str) -> tuple[int, ...]:
-    """Read an order's ``offset.index``."""
+    """Parse an order's identifier, ``offset.index``."""
     return tuple(map(int, text.split('.')))
 
 
 def parse_order(body: Mapping[str, Any]) -> Order:
-    """Read an order's body."""
+    """Parse the body of an order."""
     target = body['target']
     return Order(
         text=body['order'],
@@ -65,7 +65,7 @@
 
 
 class ConfigurationState:
-    """What the engine holds now; one change at a time."""
+    """The active configuration; at most one change runs at a time."""
 
     __slots__ = (
         '_faults',
@@ -91,7 +91,7 @@
         weights: str,
         checks_fencing: bool,
     ) -> None:
-        """Hold what the start options name; ``weights`` is an address."""
+        """Start with a configuration; ``weights`` is the store's address."""
         self.active = active
         self.checks_fencing = checks_fencing
         self.incarnation = _new_incarnation()
@@ -107,20 +107,20 @@
         self.on_change: Callable[[], None] = _do_nothing
 
     def handle_order(self, order: Order, is_idle: bool) -> web.Response:
-        """Start the change that an order asks for, or say why not."""
+        """Start the change that an order requests, or refuse the order."""
         answer = self._check_order(order, is_idle)
         self._record_event('received', order, status=answer.status)
         if answer.status in _ACCEPTED:
             self.fencing = max(self.fencing, order.fencing)
             self.order = order.text
-        # A second copy of the running order must not start a second change.
+        # A repeated order must not start its change again.
         if answer.status == _CHANGE_STARTED and not self.changing:
             self.changing = True
             self._task = asyncio.create_task(self._run_change(order))
         return answer
 
     def can_serve(self, model: str, adapter: str) -> bool:
-        """Whether a request for a model and adapter can run here."""
+        """Return whether the model and the adapter, if any, are loaded."""
         names = {row['name'] for row in self.active.adapters}
         return model in self.active.models and (not adapter or adapter in names)
 
@@ -184,7 +184,7 @@
                 self._chunk_count += 1
 
     def _reset_state(self) -> None:
-        """Come back as another process would: nothing loaded, none seen."""
+        """Reset to the state of a restarted process: no models, no orders."""
         self.active = Configuration(Role.MIXED, {}, ())
         self.incarnation = _new_incarnation()
         self.fencing = 0
@@ -204,7 +204,7 @@
 
 
 def _do_nothing() -> None:
-    """Stand in for a hook that nobody set."""
+    """Serve as the default hook."""
 
 
 def _new_incarnation() -> str:
