--- a/packages/standins/src/verbenahall_standins/holder.py
+++ b/packages/standins/src/verbenahall_standins/holder.py
@@ -1,9 +1,10 @@
-"""One controller as a process of its own, which can stop itself.
+"""A rollout controller in its own process, which can suspend itself.
 
 ``python -m verbenahall_standins.holder --name a --log IP:port --engine
-IP:port --version 1`` claims the data centre and brings one engine to a model
-version. With ``--stop`` it sends itself SIGSTOP at its first order, just
-before or just after its check of the lease, which no outside signal can hit.
+IP:port --version 1`` claims the lease of the data centre and brings one engine
+to a model version. With ``--stop`` the process sends itself SIGSTOP at its
+first order, immediately before or after it checks the lease. A signal from
+another process cannot be timed that precisely.
 """
 
 import argparse
@@ -31,17 +32,18 @@
 _SCOPE: Final = 'cardigan'
 _ENGINE: Final = 'engine-1'
 _MODEL: Final = 'drafter'
-#: Which of the sender's looks at the clock is the check beside the write.
+#: The sender's second reading of the clock is the lease check right before
+#: the write.
 _LEASE_CHECK_READ: Final = 2
 
 
 class SelfStoppingClock:
-    """The monotonic clock, which stops the process at one look."""
+    """A monotonic clock that suspends the process at one reading."""
 
     __slots__ = ('_reads', '_stop')
 
     def __init__(self, stop: str) -> None:
-        """Stop ``before`` or ``after`` the check's look, or not at all."""
+        """Stop ``before`` or ``after`` the lease check, or never if empty."""
         self._reads = 0
         self._stop = stop
 
@@ -57,12 +59,12 @@
 
 
 class SingleEngineDependencies:
-    """One engine, one pool, one model."""
+    """Controller dependencies with one engine, one pool and one model."""
 
     __slots__ = ('_endpoint', '_settings')
 
     def __init__(self, options: argparse.Namespace) -> None:
-        """Build the settings that the options ask for."""
+        """Build the endpoint and the settings from the options."""
         self._endpoint = Endpoint(
             name=_ENGINE,
             kind=EndpointKind.ENGINE,
@@ -92,27 +94,27 @@
         )
 
     def read_settings(self) -> EffectiveSettings:
-        """Return the settings."""
+        """Return the effective settings."""
         return self._settings
 
     def list_engines(self, now: float) -> Sequence[tuple[Endpoint, Standing]]:
-        """Return the engine as live."""
+        """Return the engine, always as live."""
         return ((self._endpoint, Standing.LIVE),)
 
     def read_roles(self) -> Mapping[str, Role]:
-        """Return no roles."""
+        """Return no role assignments."""
         return {}
 
 
 class Holder:
-    """The parts of one instance that order engines."""
+    """The parts of an instance that send orders to engines."""
 
     def __init__(
         self,
         options: argparse.Namespace,
         session: aiohttp.ClientSession,
     ) -> None:
-        """Compose them."""
+        """Wire the log follower, the lease keeper and the controller."""
         timing = OrderTiming(options.order_timeout, options.longest_pause)
         client = LogClient(options.log, session, options.name)
         self._authority = AuthorityState()
@@ -138,7 +140,7 @@
         )
 
     async def run(self) -> None:
-        """Run all parts until killed."""
+        """Run all parts until the process is killed."""
         sys.stdout.write('listening 127.0.0.1:0\n')
         sys.stdout.flush()
         await asyncio.gather(
@@ -160,13 +162,13 @@
 
 
 async def run(options: argparse.Namespace) -> None:
-    """Run one holder until it is killed."""
+    """Run one holder until the process is killed."""
     async with aiohttp.ClientSession() as session:
         await Holder(options, session).run()
 
 
 def main() -> None:
-    """Run the command."""
+    """Parse the command line and run the holder."""
     parser = argparse.ArgumentParser()
     for name in ('--name', '--log', '--engine', '--version'):
         parser.add_argument(name, required=True)
