--- a/packages/standins/src/verbenahall_standins/log.py
+++ b/packages/standins/src/verbenahall_standins/log.py
@@ -1,7 +1,8 @@
-"""The platform's log: ``python -m verbenahall_standins.log --port 0``.
+"""Stand-in for the platform's log service.
 
-Offsets count from 1 and are one order over all streams. Records are kept up
-to a number and an age. Appends over the rate are answered 429.
+``python -m verbenahall_standins.log --port 0`` serves it. Offsets start at 1
+and order the records of all streams. Records are kept up to a maximum number
+and age. Appends above the configured rate are answered with 429.
 """
 
 import argparse
@@ -19,13 +20,15 @@
 _MAX_RECORDS: Final = 1_000_000
 _MAX_AGE_S: Final = 86_400.0
 _APPENDS_PER_S: Final = 400.0
+#: The bucket holds the tokens of this many seconds.
 _BURST_S: Final = 0.25
+#: Records on one page if the reader sets no limit.
 _DEFAULT_LIMIT: Final = 1000
 _MAX_WAIT_S: Final = 60.0
 
 
 class TokenBucket:
-    """A token bucket of ``per_s`` with a quarter second's burst."""
+    """A token bucket with ``per_s`` tokens a second and a 0.25 s burst."""
 
     __slots__ = ('_capacity', '_tokens', '_per_s', '_refilled_at')
 
@@ -37,7 +40,7 @@
         self._refilled_at = now
 
     def try_acquire(self, now: float) -> bool:
-        """Take one token if there is one."""
+        """Take one token; return whether one was available."""
         refill = (now - self._refilled_at) * self._per_s
         self._tokens = min(self._capacity, self._tokens + refill)
         self._refilled_at = now
@@ -48,24 +51,24 @@
 
 
 class Log:
-    """Records in order, with the oldest ones expiring."""
+    """Ordered records; the oldest expire by number and age."""
 
     __slots__ = ('_appended_at', '_max_age_s', '_records', 'first', 'last')
 
-    def __init__(self, kept: int, kept_s: float) -> None:
-        """Keep at most ``kept`` records, for ``kept_s`` seconds."""
+    def __init__(self, max_records: int, max_age_s: float) -> None:
+        """Keep at most ``max_records`` records, for ``max_age_s`` seconds."""
         self._records: collections.deque[dict[str, Any]] = collections.deque(
-            maxlen=kept,
+            maxlen=max_records,
         )
         self._appended_at: collections.deque[float] = collections.deque(
-            maxlen=kept
+            maxlen=max_records
         )
-        self._max_age_s = kept_s
+        self._max_age_s = max_age_s
         self.first = 1
         self.last = 0
 
     def append(self, message: dict[str, Any], now: float) -> int:
-        """Append one record; second copies are new records here."""
+        """Append a record and return its offset; duplicates are not merged."""
         self.expire(now)
         self.last += 1
         record = {
@@ -80,7 +83,7 @@
         return self.last
 
     def expire(self, now: float) -> None:
-        """Forget the records that are too old."""
+        """Remove records that exceed the maximum age."""
         while (
             self._appended_at and now - self._appended_at[0] > self._max_age_s
         ):
@@ -94,7 +97,7 @@
         limit: int,
         streams: frozenset[str],
     ) -> list[dict[str, Any]]:
-        """Return the records after an offset, of some streams or of all."""
+        """Return records after an offset, of all streams if none is named."""
         skipped = max(0, after + 1 - self.first)
         found = (
             record
@@ -105,7 +108,7 @@
 
 
 class LogService:
-    """The log over HTTP."""
+    """HTTP routes of the log."""
 
     __slots__ = ('_appended', '_faults', '_log', '_bucket')
 
@@ -118,7 +121,7 @@
         self._faults.on_change = self._wake_readers
 
     def add_routes(self, app: web.Application) -> None:
-        """Serve the log's routes."""
+        """Register the log's routes."""
         app.router.add_post('/append', self._append)
         app.router.add_get('/read', self._read)
         app.router.add_get('/record', self._get_record)
@@ -195,14 +198,14 @@
 
 
 def build(options: argparse.Namespace) -> web.Application:
-    """Build the application."""
+    """Build the web application."""
     app = serving.new_application()
     LogService(options).add_routes(app)
     return app
 
 
 def main() -> None:
-    """Run the command."""
+    """Run the log service until SIGTERM."""
     parser = serving.new_parser('Log service stand-in')
     parser.add_argument('--rate', type=float, default=_APPENDS_PER_S)
     parser.add_argument('--kept', type=int, default=_MAX_RECORDS)
