--- a/packages/standins/src/verbenahall_standins/registry.py
+++ b/packages/standins/src/verbenahall_standins/registry.py
@@ -1,6 +1,7 @@
-"""The platform's instance list, which lags behind what is so.
+"""Stand-in for the platform's instance list, served with a delay.
 
-``python -m verbenahall_standins.registry --port 0 --lag 0.5``
+``python -m verbenahall_standins.registry --port 0 --lag 0.5`` shows each
+change half a second late.
 """
 
 import argparse
@@ -13,21 +14,22 @@
 from verbenahall import clock
 from verbenahall_standins import answers, faults, serving
 
+#: Seconds until a change becomes visible.
 _LAG_S: Final = 0.5
 
 
 class InstanceList:
-    """Every version of the list with the time from which it holds."""
+    """All versions of the list, each with the time at which it began."""
 
     __slots__ = ('_times', '_versions')
 
     def __init__(self) -> None:
-        """Start with an empty version 0."""
+        """Start with version 0, which is empty."""
         self._times: list[float] = [float('-inf')]
         self._versions: list[dict[str, Any]] = [{}]
 
     def apply_entry(self, name: str, entry: Any, now: float) -> None:
-        """Put an entry under its name, or remove it with ``None``."""
+        """Add or replace an entry; ``None`` removes it."""
         entries = dict(self._versions[-1])
         entries.pop(name, None)
         if entry is not None:
@@ -36,18 +38,18 @@
         self._versions.append(entries)
 
     def find_entry(self, name: str) -> dict[str, Any]:
-        """Return the entry as it is, without lag."""
+        """Return the current entry without delay, or an empty mapping."""
         return self._versions[-1].get(name, {})
 
     def get_version_at(self, at: float) -> dict[str, Any]:
-        """Return the list as it was at a time."""
+        """Return the version that was current at a monotonic time."""
         version = bisect.bisect_right(self._times, at) - 1
         entries = list(self._versions[version].values())
         return {'version': version, 'entries': entries}
 
 
 class ListService:
-    """The list over HTTP."""
+    """HTTP routes of the instance list."""
 
     __slots__ = ('_faults', '_frozen_at', '_lag_s', '_list')
 
@@ -60,7 +62,7 @@
         self._frozen_at: float | None = None
 
     def add_routes(self, app: web.Application) -> None:
-        """Serve the list's routes."""
+        """Register the list's routes."""
         app.router.add_get('/list', self._get_list)
         app.router.add_get('/record', self._get_record)
         app.router.add_post('/register', self._register)
@@ -112,14 +114,14 @@
 
 
 def build(options: argparse.Namespace) -> web.Application:
-    """Build the application."""
+    """Build the web application."""
     app = serving.new_application()
     ListService(options).add_routes(app)
     return app
 
 
 def main() -> None:
-    """Run the command."""
+    """Run the instance list until SIGTERM."""
     parser = serving.new_parser('Instance list stand-in')
     parser.add_argument('--lag', type=float, default=_LAG_S)
     serving.serve(build, parser.parse_args())
