--- a/packages/standins/src/verbenahall_standins/weights.py
+++ b/packages/standins/src/verbenahall_standins/weights.py
@@ -1,4 +1,4 @@
-"""The weight store: streams weights at one rate shared by all readers.
+"""Stand-in for the weight store; its bandwidth is shared by all readers.
 
 ``python -m verbenahall_standins.weights --port 0 --bytes-per-s 4000000``
 """
@@ -15,14 +15,14 @@
 _BYTES_PER_S: Final = 4_000_000
 _BLOCK_BYTES: Final = 65_536
 _BLOCK: Final = bytes(_BLOCK_BYTES)
-#: Weights of the model that the cost model describes.
+#: Size of the model that the cost model describes.
 _MODEL_GB: Final = 26.0
-#: One gigabyte of real weights is this many bytes here.
+#: Bytes that are sent for one gigabyte of real weights.
 _BYTES_PER_GB: Final = 100_000
 
 
 class WeightService:
-    """Weights over HTTP, one block after another over all readers."""
+    """HTTP routes of the store; blocks are sent one at a time."""
 
     __slots__ = (
         '_bytes_per_s',
@@ -33,7 +33,7 @@
     )
 
     def __init__(self, options: argparse.Namespace) -> None:
-        """Start idle."""
+        """Start without transfers."""
         self._bytes_per_s = options.bytes_per_s
         self._free_at: float = 0
         self._size_bytes = int(options.gb * _BYTES_PER_GB)
@@ -41,7 +41,7 @@
         self._faults = faults.Faults()
 
     def add_routes(self, app: web.Application) -> None:
-        """Serve the store's routes."""
+        """Register the store's routes."""
         app.router.add_get('/weights/{model}/{version}', self._stream)
         app.router.add_get('/record', self._get_record)
         faults.add_fault_routes(app, self._faults)
@@ -70,14 +70,14 @@
 
 
 def build(options: argparse.Namespace) -> web.Application:
-    """Build the application."""
+    """Build the web application."""
     app = serving.new_application()
     WeightService(options).add_routes(app)
     return app
 
 
 def main() -> None:
-    """Run the command."""
+    """Run the weight store until SIGTERM."""
     parser = serving.new_parser('Weight store stand-in')
     parser.add_argument('--gb', type=float, default=_MODEL_GB)
     parser.add_argument('--bytes-per-s', type=int, default=_BYTES_PER_S)
