--- a/packages/standins/src/verbenahall_standins/service.py
+++ b/packages/standins/src/verbenahall_standins/service.py
@@ -1,6 +1,7 @@
-"""A plain service: stored pages by GET, field application writes by POST.
+"""Stand-in for a plain service with stored pages and writes.
 
-``python -m verbenahall_standins.service --port 0 --name pages-1``
+``python -m verbenahall_standins.service --port 0 --name pages-1`` answers GET
+requests for pages and POST requests from a field application.
 """
 
 import argparse
@@ -13,7 +14,7 @@
 
 
 class PlainService:
-    """Answers any method on any path and keeps a record of its runs."""
+    """Answers any method on any path and records each request that ran."""
 
     __slots__ = ('_delay_s', '_faults', '_name', '_started')
 
@@ -25,7 +26,7 @@
         self._faults = faults.Faults()
 
     def add_routes(self, app: web.Application) -> None:
-        """Serve every path."""
+        """Register the record route, the faults and a catch-all route."""
         app.router.add_get('/record', self._get_record)
         faults.add_fault_routes(app, self._faults)
         app.router.add_route('*', '/{path:.*}', self._run)
@@ -51,14 +52,14 @@
 
 
 def build(options: argparse.Namespace) -> web.Application:
-    """Build the application."""
+    """Build the web application."""
     app = serving.new_application()
     PlainService(options).add_routes(app)
     return app
 
 
 def main() -> None:
-    """Run the command."""
+    """Run the service until SIGTERM."""
     parser = serving.new_parser('Plain service stand-in')
     parser.add_argument('--name', default='service-1')
     parser.add_argument('--delay', type=float, default=0)
