--- a/packages/standins/src/verbenahall_standins/serving.py
+++ b/packages/standins/src/verbenahall_standins/serving.py
@@ -1,4 +1,4 @@
-"""Runs one stand-in's application until SIGTERM."""
+"""Runs the web application of a stand-in until SIGTERM."""
 
 import argparse
 import asyncio
@@ -11,26 +11,26 @@
 from aiohttp import web
 
 _HOST: Final = '127.0.0.1'
-_SHUTDOWN_S: Final = 0.2
+_SHUTDOWN_TIMEOUT_S: Final = 0.2
 _MAX_BODY_BYTES: Final = 64_000_000
 
 Build = Callable[[argparse.Namespace], web.Application]
 
 
 def new_application() -> web.Application:
-    """Return an empty application that takes large bodies."""
+    """Return an empty application that accepts large request bodies."""
     return web.Application(client_max_size=_MAX_BODY_BYTES)
 
 
 def new_parser(description: str) -> argparse.ArgumentParser:
-    """Return a parser with the options that all stand-ins share."""
+    """Return a parser with the options common to all stand-ins."""
     parser = argparse.ArgumentParser(description=description)
     parser.add_argument('--port', type=int, default=0)
     return parser
 
 
 def serve(build: Build, options: argparse.Namespace) -> None:
-    """Serve until SIGTERM; print the address once it listens."""
+    """Serve until SIGTERM; print ``listening IP:port`` once ready."""
     uvloop.run(_serve(build, options))
 
 
@@ -43,7 +43,7 @@
         build(options),
         access_log=None,
         handler_cancellation=True,
-        shutdown_timeout=_SHUTDOWN_S,
+        shutdown_timeout=_SHUTDOWN_TIMEOUT_S,
     )
     await runner.setup()
     await web.TCPSite(runner, _HOST, options.port).start()
