--- a/packages/standins/src/verbenahall_standins/worker.py
+++ b/packages/standins/src/verbenahall_standins/worker.py
@@ -1,4 +1,4 @@
-"""Runs one engine's batch against real time, scaled by a speed factor."""
+"""Runs an engine's batch in real time, scaled by a speed factor."""
 
 import asyncio
 import dataclasses
@@ -11,7 +11,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Load:
-    """What an engine reports: jobs running and queued, free KV share."""
+    """Reported load: running and queued jobs, free share of KV memory."""
 
     running: int
     queued: int
@@ -19,20 +19,20 @@
 
 
 class Progress:
-    """One job's way through the engine, as its request handler sees it."""
+    """Progress of one job, on which its request handler waits."""
 
     __slots__ = ('_changed', 'cancelled', 'job')
 
     def __init__(self, job: Job) -> None:
-        """Start waiting."""
+        """Track a job that has not started yet."""
         self.job = job
         self.cancelled = False
         self._changed = asyncio.Event()
 
     async def wait_for_more(self, produced: int) -> int:
-        """Wait until more than ``produced`` tokens exist or it has ended.
+        """Wait for more than ``produced`` tokens or for the end of the job.
 
-        Returns how many exist.
+        Returns the number of tokens produced.
         """
         while self.job.produced <= produced and not self.is_finished:
             self._changed.clear()
@@ -41,16 +41,16 @@
 
     @property
     def is_finished(self) -> bool:
-        """Whether no more tokens will come."""
+        """Whether the job is done or cancelled."""
         return self.cancelled or self.job.is_done
 
     def notify(self) -> None:
-        """Wake the handler."""
+        """Wake the request handler."""
         self._changed.set()
 
 
 class Worker:
-    """Steps the batch while there is work; ``speed`` divides all times."""
+    """Steps the batch while it has jobs; ``speed`` divides durations."""
 
     __slots__ = ('_speed', '_task', '_wake', 'batch', 'instant_count', 'active')
 
@@ -69,24 +69,24 @@
 
     @property
     def is_idle(self) -> bool:
-        """Whether nothing is in flight."""
+        """Whether no request is in flight."""
         return self.batch.is_idle and not self.instant_count
 
     @property
     def load(self) -> Load:
-        """The load of this moment."""
+        """The current load."""
         running = self.batch.running + self.instant_count
         free = round(self.batch.kv_free_share, 3)
         return Load(running, self.batch.queued, free)
 
     async def run_in_background(self, app: Any) -> Any:
-        """Run between the application's start-up and clean-up."""
+        """Run the worker between the application's start-up and clean-up."""
         self._task = asyncio.create_task(self._run())
         yield
         self._task.cancel()
 
     def start(self, job: Job) -> Progress:
-        """Queue a job."""
+        """Queue a job and return its progress."""
         progress = Progress(job)
         self.active[job.identity] = progress
         self.batch.add(job)
@@ -94,7 +94,7 @@
         return progress
 
     def release(self, progress: Progress) -> None:
-        """Cancel what is left of a job and forget it."""
+        """Cancel a job if it is unfinished, and remove it."""
         if not progress.is_finished:
             self.batch.cancel(progress.job.identity)
             progress.cancelled = True
