--- a/packages/standins/src/verbenahall_standins/memory.py
+++ b/packages/standins/src/verbenahall_standins/memory.py
@@ -1,4 +1,4 @@
-"""The log client's calls on records in memory, for tests of the folds."""
+"""In-memory log with the interface of the log client, for tests."""
 
 import asyncio
 import dataclasses
@@ -12,20 +12,20 @@
 from verbenahall.log import Page
 from verbenahall.records import Record
 
-#: How long a read waits at most, in seconds; a test has no time to lose.
+#: Maximum wait of a read in seconds, short to keep tests fast.
 _MAX_WAIT_S: Final = 0.01
 _DOWN: Final = Problem(ErrorKind.LOG_UNAVAILABLE, 'down')
 
 
 class MemoryLog:
-    """Stands in for ``verbenahall.log.LogClient``.
+    """Replaces ``verbenahall.log.LogClient`` in tests.
 
-    ``first`` is the lowest offset kept; ``fail_after`` counts the appends
-    that still succeed (all, if infinite); ``down`` refuses everything.
+    ``first`` is the lowest offset kept. ``fail_after`` is the number of
+    appends that still succeed. While ``down`` is set, every call fails.
     """
 
     def __init__(self) -> None:
-        """Start empty and up."""
+        """Start empty and available."""
         self.records: list[Record] = []
         self.first = 1
         self.down = False
@@ -36,7 +36,7 @@
         stream: str,
         body: dict[str, Any],
     ) -> Result[int, Problem]:
-        """Append one record, as through JSON."""
+        """Append a record; its body is copied through JSON."""
         await asyncio.sleep(0)
         if self.down or self.fail_after == 0:
             return Failure(_DOWN)
@@ -53,7 +53,7 @@
         wait_s: float = 0,
         streams: Sequence[str] = (),
     ) -> Result[Page, Problem]:
-        """Return what is kept."""
+        """Return a page of the kept records."""
         await asyncio.sleep(min(_MAX_WAIT_S, wait_s))
         if self.down:
             return Failure(_DOWN)
@@ -67,11 +67,11 @@
         )
 
     def expire(self, count: int | None = None) -> None:
-        """Forget the oldest records, all when no count is given."""
+        """Remove the oldest ``count`` records, or all records."""
         self.first += len(self.records) if count is None else count
 
     def replace(self, offset: int, **changes: Any) -> None:
-        """Change one record's body in place."""
+        """Replace fields in the body of one record."""
         record = self.records[offset - 1]
         body = {**record.body, **changes}
         self.records[offset - 1] = dataclasses.replace(record, body=body)
