--- a/packages/standins/src/verbenahall_standins/process.py
+++ b/packages/standins/src/verbenahall_standins/process.py
@@ -1,4 +1,4 @@
-"""Child processes for tests and drivers; the product starts none."""
+"""Child processes for tests and tools; the product itself starts none."""
 
 import contextlib
 import dataclasses
@@ -14,7 +14,7 @@
 
 
 class NotReadyError(Exception):
-    """A process ended before it said that it listens."""
+    """A process ended before it printed its address."""
 
 
 @final
@@ -27,14 +27,14 @@
 
     @property
     def pid(self) -> int:
-        """The process's number."""
+        """The process id."""
         return self.process.pid
 
     def stop(self, timeout_s: float = _STOP_TIMEOUT_S) -> int:
-        """Send SIGTERM, wait, and return the exit code.
+        """Send SIGTERM, wait for the end, and return the exit code.
 
-        A process that has not ended after ``timeout_s`` seconds is killed,
-        so that a driver never leaves one behind.
+        A process that is still running after ``timeout_s`` seconds is
+        killed, so that no process is left behind.
         """
         self.ask_to_stop()
         try:
@@ -46,12 +46,12 @@
             self._close()
 
     def ask_to_stop(self) -> None:
-        """Send SIGTERM, also to a paused process, and do not wait."""
+        """Send SIGTERM without waiting; a paused process is resumed."""
         self.process.terminate()
         self.resume()
 
     def kill(self) -> None:
-        """Send SIGKILL and wait until the process is gone."""
+        """Send SIGKILL and wait for the end of the process."""
         self.process.kill()
         self.process.wait()
         self._close()
@@ -72,8 +72,8 @@
 def start(module: str, *arguments: str) -> Running:
     """Start ``python -m module arguments`` and wait until it listens.
 
-    The process prints ``listening IP:port`` as its first line on standard
-    output. Its standard error is this process's own::
+    The process prints ``listening IP:port`` on standard output. It inherits
+    the standard error of this process::
 
         log = start('verbenahall_standins.log', '--port', '0')
     """
@@ -81,7 +81,7 @@
 
 
 def launch(module: str, *arguments: str) -> 'subprocess.Popen[str]':
-    """Start ``python -m module arguments`` without waiting."""
+    """Start ``python -m module arguments`` without waiting for it."""
     return launch_command((sys.executable, '-m', module, *arguments))
 
 
@@ -89,7 +89,7 @@
     command: Sequence[str],
     errors: Path | None = None,
 ) -> 'subprocess.Popen[str]':
-    """Start a command without waiting; ``errors`` takes its standard error."""
+    """Start a command; its standard error goes to the file ``errors``."""
     with contextlib.ExitStack() as stack:
         file = errors and stack.enter_context(errors.open('w'))
         return subprocess.Popen(
@@ -106,16 +106,19 @@
 
 
 def wait_ready(process: 'subprocess.Popen[str]') -> Running:
-    """Read the process's lines until it says where it listens."""
+    """Read the process's output until it prints its address.
+
+    Raises ``NotReadyError`` if the process ends first.
+    """
     for line in process.stdout or ():
         if line.startswith(_READY_PREFIX):
             return Running(line.removeprefix(_READY_PREFIX).strip(), process)
     code = process.wait()
-    raise NotReadyError(f'{process.args} ended with {code}')
+    raise NotReadyError(f'{process.args} exited with code {code}')
 
 
 def stop_all(started: Iterable[Running]) -> None:
-    """Stop processes together, killing those that take too long."""
+    """Stop processes in parallel; kill those that exceed the timeout."""
     ending = list(started)
     for running in ending:
         running.ask_to_stop()
