--- a/packages/standins/src/verbenahall_standins/deployment.py
+++ b/packages/standins/src/verbenahall_standins/deployment.py
@@ -1,4 +1,4 @@
-"""A deployment's processes, started from its folder under ``examples/``."""
+"""Starts the processes of a deployment described under ``examples/``."""
 
 import asyncio
 import itertools
@@ -19,27 +19,27 @@
 
 
 class Deployment:
-    """The running processes of one deployment, by name."""
+    """The processes of one deployment, by name."""
 
     __slots__ = ('_folder', 'description', 'running')
 
     def __init__(self, description: Description, folder: Path) -> None:
-        """Write settings and logs of the instances under ``folder``."""
+        """Keep the instances' configuration and log files in ``folder``."""
         self.description = description
         self.running: dict[str, process.Running] = {}
         self._folder = folder
         folder.mkdir(parents=True, exist_ok=True)
 
     def address(self, name: str) -> str:
-        """Return where a process listens."""
+        """Return the ``IP:port`` of a process."""
         return self.running[name].address
 
     def start_platform(self) -> None:
-        """Start log, instance list and weight store."""
+        """Start the log, the instance list and the weight store."""
         self._start_all({name: _launch(name) for name in _PLATFORM})
 
     def start_endpoints(self) -> None:
-        """Start engines and service workers."""
+        """Start the engines and the plain services."""
         launched = {
             name: _launch('service', '--name', name)
             for name in self.description.services
@@ -49,14 +49,14 @@
         self._start_all(launched)
 
     def start_instances(self) -> None:
-        """Start all entry instances, each with its own settings file."""
+        """Start all entry instances, each with its own configuration file."""
         instances = self.description.instances
         self._start_all(
             {name: self._launch_instance(name) for name in instances},
         )
 
     def stop(self) -> None:
-        """Stop the instances, then everything that they use."""
+        """Stop the instances first, then the processes that they use."""
         instances = self.description.instances
         first = [self.running[name] for name in self.running.keys() & instances]
         rest = [self.running[name] for name in self.running.keys() - instances]
@@ -65,7 +65,7 @@
         self.running.clear()
 
     async def register(self, session: aiohttp.ClientSession) -> None:
-        """Put every endpoint and instance on the instance list."""
+        """Register every endpoint and instance in the instance list."""
         names = self.running.keys() - set(_PLATFORM)
         await asyncio.gather(
             *(self._register(session, name) for name in names),
@@ -98,7 +98,10 @@
         )
 
     def _start_all(self, launched: Mapping[str, _Child]) -> None:
-        """Wait for all; those that started are stopped with the rest."""
+        """Wait until all are ready; raise if any of them failed.
+
+        Those that did start are kept, so that ``stop`` ends them too.
+        """
         failed = []
         for name, child in launched.items():
             try:
@@ -115,8 +118,7 @@
     ) -> None:
         incarnation = str(self.running[name].pid)
         if name in self.description.engines:
-            # The list names the same life of the process as the engine
-            # itself does.
+            # The list must show the incarnation that the engine reports.
             incarnation = await fetch_incarnation(session, self.address(name))
         registry = self.address('registry')
         entry = self._build_entry(name, incarnation)
@@ -142,7 +144,7 @@
     session: aiohttp.ClientSession,
     address: str,
 ) -> str:
-    """Return the incarnation that an engine itself names."""
+    """Return the incarnation that an engine reports."""
     async with session.get(f'http://{address}/state') as answer:
         return (await answer.json())['incarnation']
 
