--- a/packages/standins/src/verbenahall_standins/description.py
+++ b/packages/standins/src/verbenahall_standins/description.py
@@ -1,4 +1,4 @@
-"""What a deployment's folder under ``examples/`` says."""
+"""Reads the description of a deployment from a folder in ``examples/``."""
 
 import dataclasses
 import itertools
@@ -17,7 +17,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Description:
-    """A deployment: its processes' names, each with its data centre."""
+    """A deployment; processes are mapped from name to data centre."""
 
     name: str
     folder: Path
@@ -29,19 +29,19 @@
     speed: float
 
     def get_placement(self, name: str) -> dict[str, str]:
-        """Return the kind and the data centre of a process."""
+        """Return the kind and data centre of a process."""
         kinds = {
             'instance': self.instances,
             'engine': self.engines,
             'service': self.services,
         }
-        holding = [kind for kind in kinds if name in kinds[kind]]
-        kind = holding[0]
+        matching = [kind for kind in kinds if name in kinds[kind]]
+        kind = matching[0]
         return {'kind': kind, 'data_centre': kinds[kind][name]}
 
 
 def read_description(folder: Path) -> Description:
-    """Read a deployment's folder."""
+    """Read the description in a deployment's folder."""
     table = tomllib.loads((folder / 'deployment.toml').read_text())
     rows = table['data_centres']
     count = table['instances_per_data_centre']
@@ -58,14 +58,14 @@
 
 
 def list_settings_files(description: Description) -> list[tuple[str, Path]]:
-    """Return each team with its settings file, ``fleet`` first."""
+    """Return each team's settings file; the team ``fleet`` comes first."""
     files = (description.folder / 'settings').glob('*.toml')
     ordered = sorted(files, key=lambda file: file.stem != _FLEET)
     return [(file.stem, file) for file in ordered]
 
 
 def rewrite(text: str, values: Mapping[str, str | int]) -> str:
-    """Set the first line of each key in TOML text to a new value."""
+    """Set keys in TOML text; only the first line of each key changes."""
     for key, found in values.items():
         line = re.compile(f'^{key} = .*$', re.MULTILINE)
         shown = wire.encode(found).decode()
