--- a/packages/standins/src/verbenahall_standins/publishing.py
+++ b/packages/standins/src/verbenahall_standins/publishing.py
@@ -1,4 +1,4 @@
-"""Publishing settings as an operator would, and watching them take hold."""
+"""Publishes settings with ``verbenactl`` and waits for their effect."""
 
 import asyncio
 import dataclasses
@@ -13,26 +13,32 @@
 from verbenahall_standins import process
 from verbenahall_standins.deployment import Deployment
 
+#: Seconds between two polls of the instances' status.
 _POLL_S: Final = 0.02
+#: Seconds until a published change must be in force on every instance.
 _TIMEOUT_S: Final = 10
 
 
 class PublishError(Exception):
-    """``verbenactl`` failed or its record did not reach the log."""
+    """``verbenactl`` failed, or its record did not appear in the log."""
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class AppliedChange:
-    """A published change: its offset, and seconds from append to in force."""
+    """A published change.
+
+    ``seconds`` is the time from its append until it was in force everywhere.
+    """
 
     offset: int
     seconds: float
 
 
 def publish(file: Path, team: str, log: str) -> str:
-    """Publish to the log at an address, as an operator would.
+    """Publish a settings file to the log at an address.
 
-    Returns the last line that ``verbenactl`` prints.
+    Returns the last line that ``verbenactl`` prints; raises ``PublishError``
+    if it fails.
     """
     script = process.find_script('verbenactl')
     done = subprocess.run(
@@ -47,7 +53,7 @@
 
 
 class Publisher:
-    """Publishes to one deployment."""
+    """Publishes settings to one deployment."""
 
     __slots__ = ('_deployment', '_session', '_token')
 
@@ -57,7 +63,7 @@
         session: aiohttp.ClientSession,
         token: str,
     ) -> None:
-        """Read the instances' status with an administration token."""
+        """Use an administration token to read the instances' status."""
         self._deployment = deployment
         self._session = session
         self._token = token
@@ -67,7 +73,7 @@
         return publish(file, team, self._deployment.address('log'))
 
     async def publish_and_wait(self, file: Path, team: str) -> AppliedChange:
-        """Publish and wait until every instance reports it in force."""
+        """Publish and wait until the change is in force on all instances."""
         before = await self.fetch_json('log', '/read?limit=1')
         publishing = asyncio.create_task(
             asyncio.to_thread(self.publish, file, team),
@@ -82,7 +88,7 @@
         return AppliedChange(offset, took_s)
 
     async def fetch_json(self, name: str, path: str) -> Mapping[str, Any]:
-        """Read JSON from a process of the deployment."""
+        """Fetch JSON from a process of the deployment."""
         headers = {'Authorization': f'Bearer {self._token}'}
         address = self._deployment.address(name)
         async with self._session.get(
@@ -95,7 +101,7 @@
         path = f'/read?after={after}&wait={_TIMEOUT_S}&streams=settings'
         page = await self.fetch_json('log', path)
         if not page['records']:
-            raise PublishError('the change did not reach the log')
+            raise PublishError('the change did not appear in the log')
         return page['records'][0]['offset']
 
     async def _fetch_min_position(self) -> int:
