--- a/packages/standins/src/verbenahall_standins/lines.py
+++ b/packages/standins/src/verbenahall_standins/lines.py
@@ -1,4 +1,4 @@
-"""The bench's lines: measure, value, unit, baseline's value, ratio."""
+"""Result lines: measure, value, unit, baseline value and ratio."""
 
 import dataclasses
 import sys
@@ -9,7 +9,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Line:
-    """One measure beside what it is compared with in the same run."""
+    """One measured value with the baseline value from the same run."""
 
     measure: str
     value: float
@@ -17,7 +17,7 @@
     baseline: float
 
     def __str__(self) -> str:
-        """Render as comma-separated text."""
+        """Format as comma-separated text; the ratio is to the baseline."""
         ratio = self.value / self.baseline if self.baseline else float('nan')
         numbers = (self.baseline, ratio)
         shown = [str(round(number, _DIGITS)) for number in numbers]
@@ -26,6 +26,6 @@
 
 
 def say_line(line: Line) -> None:
-    """Print one line at once."""
+    """Print one line and flush the output."""
     sys.stdout.write(f'{line}\n')
     sys.stdout.flush()
