--- a/packages/standins/src/verbenahall_standins/text.py
+++ b/packages/standins/src/verbenahall_standins/text.py
@@ -1,8 +1,8 @@
-"""The text that an engine stand-in answers, a pure function of the request.
+"""Answer texts of the engine stand-in, a pure function of the request.
 
-A test compares an answer with ``write_answer`` and so sees a truncated, mixed
-or foreign one. Engines that hold the same model answer alike, which lets a
-stream resume on another engine.
+Tests compare an answer with ``write_answer`` and thereby detect truncated,
+mixed or wrong answers. All engines with the same model give the same answer,
+so a stream can resume on another engine.
 """
 
 import zlib
@@ -29,7 +29,7 @@
 
 
 def extract_prompt(body: dict[str, Any]) -> str:
-    """Return the prompt of a completion or chat body as one text."""
+    """Return the prompt of a completion or chat request as one string."""
     messages = body.get('messages')
     if messages:
         return '\n'.join(str(message['content']) for message in messages)
@@ -37,13 +37,13 @@
 
 
 def build_chunk(seed: int, index: int) -> str:
-    """Return the token at ``index`` of the answer with this seed."""
+    """Return the answer's token at ``index`` for a seed."""
     word = _WORDS[(seed >> (index % 8)) % len(_WORDS)]
     return f'{word}{index} '
 
 
 def compute_seed(model: str, adapter: str, prompt: str) -> int:
-    """Return the seed that all tokens of an answer come from."""
+    """Return the seed from which all tokens of an answer are derived."""
     return zlib.crc32(f'{model}\n{adapter}\n{prompt}'.encode())
 
 
@@ -53,6 +53,6 @@
     model: str,
     adapter: str = '',
 ) -> str:
-    """Return the whole answer of ``count`` tokens to a prompt."""
+    """Return the complete answer of ``count`` tokens to a prompt."""
     seed = compute_seed(model, adapter, prompt)
     return ''.join(build_chunk(seed, index) for index in range(count))
