--- a/packages/standins/src/verbenahall_standins/chunks.py
+++ b/packages/standins/src/verbenahall_standins/chunks.py
@@ -1,4 +1,4 @@
-"""Writes an engine stand-in's streams."""
+"""Writes the streamed answers of the engine stand-in."""
 
 from typing import Final
 
@@ -12,7 +12,10 @@
 
 
 class ChunkWriter:
-    """Writes one stream's events, with the faults that cut or double it."""
+    """Writes the events of one stream and applies its faults.
+
+    Faults may truncate the stream, reset the connection or duplicate events.
+    """
 
     __slots__ = (
         '_answer',
@@ -27,7 +30,7 @@
     )
 
     def __init__(self, request: web.Request, call: Call) -> None:
-        """Write to the request's connection."""
+        """Write to the connection of a request."""
         self._request = request
         self._call = call
         self._answer = web.StreamResponse()
@@ -39,14 +42,17 @@
         self._sent_bytes = 0
 
     async def start(self, headers: dict[str, str]) -> None:
-        """Send the head of the answer."""
+        """Send the status line and headers.
+
+        They are held back if the connection is to be reset before any byte.
+        """
         self._answer.headers.update(headers)
         self._answer.content_type = 'text/event-stream'
         if self._reset_after_bytes:
             await self._answer.prepare(self._request)
 
     async def write_until(self, produced: int) -> bool:
-        """Write the chunks up to ``produced``; false once a fault cut it."""
+        """Write chunks up to ``produced``; return false after a fault."""
         first = self._call.resume_from
         while self._sent < produced:
             if self._sent >= self._max_chunks:
@@ -58,7 +64,7 @@
         return True
 
     async def finish(self, is_whole: bool) -> web.StreamResponse:
-        """End the answer, with its closing event only if it is whole."""
+        """End the response; the closing event is sent only if ``is_whole``."""
         if self._is_cut:
             return self._answer
         if is_whole and self._sent < self._max_chunks:
