--- a/packages/standins/src/verbenahall_standins/completions.py
+++ b/packages/standins/src/verbenahall_standins/completions.py
@@ -1,4 +1,4 @@
-"""Completions of an engine stand-in: plain answers and streams."""
+"""Completion requests of the engine stand-in, plain and streamed."""
 
 import itertools
 from http import HTTPStatus
@@ -17,7 +17,7 @@
 
 
 class Completions:
-    """Runs completion requests on the worker and records what started."""
+    """Runs completion requests on the worker and records those started."""
 
     __slots__ = (
         '_cache',
@@ -39,10 +39,10 @@
         instant: bool,
         max_queue: int,
     ) -> None:
-        """Run on ``worker``, or at once when ``instant``."""
+        """Run on ``worker``; with ``instant``, answer without the batch."""
         self.worker = worker
         self.record: list[dict[str, Any]] = []
-        #: KV cache tokens held for later, by attempt.
+        #: Tokens in the KV cache kept for a later decode, by attempt.
         self.kv_tokens: dict[str, int] = {}
         self.resumes = True
         self._configuration = configuration
@@ -52,7 +52,7 @@
         self._job_numbers = itertools.count()
 
     async def complete(self, request: web.Request) -> web.StreamResponse:
-        """Answer one request, or refuse it before it starts."""
+        """Answer a request, or refuse it before it starts."""
         call = await parse_call(request)
         refusal = self._find_refusal(call)
         if refusal is not None:
@@ -67,7 +67,7 @@
             self.worker.release(progress)
 
     def cancel(self, attempt: str) -> int:
-        """Stop all work on an attempt; return how many jobs that were."""
+        """Cancel all jobs of an attempt; return their number."""
         found = [
             progress
             for identity, progress in self.worker.active.items()
