--- a/packages/standins/src/verbenahall_standins/calls.py
+++ b/packages/standins/src/verbenahall_standins/calls.py
@@ -1,4 +1,4 @@
-"""Completion requests as an engine stand-in reads and answers them."""
+"""Parses completion requests and encodes their answers."""
 
 import dataclasses
 from typing import Final
@@ -9,13 +9,14 @@
 from verbenahall import wire
 from verbenahall_standins import answers, cost, text
 
-_DEFAULT_OUTPUT: Final = 16
-_LOWEST_PRIORITY: Final = 9
+_DEFAULT_MAX_TOKENS: Final = 16
+#: Priority of requests without an ``X-Priority`` header, the lowest one.
+_DEFAULT_PRIORITY: Final = 9
 
 
 @dataclasses.dataclass(slots=True)
 class Call:
-    """One completion request as the engine has read it."""
+    """One parsed completion request."""
 
     attempt: str
     priority: int
@@ -32,21 +33,21 @@
 
     @property
     def seed(self) -> int:
-        """The seed of the answer's text."""
+        """The seed of the answer text."""
         return text.compute_seed(self.model, self.adapter, self.prompt)
 
 
 async def parse_call(request: web.Request) -> Call:
-    """Read a completion request."""
+    """Parse a completion request."""
     body = orjson.loads(await request.read())
     headers = request.headers
     return Call(
         attempt=headers.get('X-Attempt-Id', ''),
-        priority=int(headers.get('X-Priority', _LOWEST_PRIORITY)),
+        priority=int(headers.get('X-Priority', _DEFAULT_PRIORITY)),
         prompt=text.extract_prompt(body),
         model=body.get('model', ''),
         adapter=body.get('adapter') or '',
-        output=int(body.get('max_tokens') or _DEFAULT_OUTPUT),
+        output=int(body.get('max_tokens') or _DEFAULT_MAX_TOKENS),
         stream=bool(body.get('stream')),
         resume_from=int(body.get('resume_from', 0)),
         kv_from=body.get('kv_from', ''),
@@ -57,7 +58,7 @@
 
 
 def build_completion(call: Call, headers: dict[str, str]) -> web.Response:
-    """Build the plain answer to a completion request."""
+    """Build the answer to a completion request that is not streamed."""
     indexes = range(call.resume_from, call.output)
     written = ''.join(text.build_chunk(call.seed, index) for index in indexes)
     choice = {'index': 0, 'text': written, 'finish_reason': 'length'}
@@ -77,7 +78,7 @@
 
 
 def encode_event(call: Call, index: int) -> bytes:
-    """Write one chunk of a stream as a server-sent event."""
+    """Encode one chunk of a stream as a server-sent event."""
     chunk = text.build_chunk(call.seed, index)
     choice = {'text': chunk}
     if call.is_chat:
