--- a/packages/standins/src/verbenahall_standins/caller.py
+++ b/packages/standins/src/verbenahall_standins/caller.py
@@ -1,4 +1,4 @@
-"""A caller that sends requests and checks that each answer is whole."""
+"""A caller that sends requests and checks each answer for completeness."""
 
 import asyncio
 import collections
@@ -22,7 +22,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Outcome:
-    """One answer: what was wrong with it, empty when it was right."""
+    """Result of one request; ``error`` is empty if the answer was right."""
 
     kind: str
     error: str
@@ -30,7 +30,7 @@
 
 
 class Caller:
-    """Sends requests to entry instances in turn, a few at a time."""
+    """Sends concurrent requests to entry instances in turn."""
 
     __slots__ = ('_addresses', '_session', 'outcomes')
 
@@ -39,7 +39,7 @@
         session: aiohttp.ClientSession,
         addresses: Sequence[str],
     ) -> None:
-        """Take turns over the instances' addresses, as a balancer would."""
+        """Use the instances' addresses round robin, as a balancer would."""
         self._session = session
         self._addresses = itertools.cycle(addresses)
         self.outcomes: list[Outcome] = []
@@ -47,13 +47,13 @@
     async def send_all(
         self, requests: Iterable[CallerRequest], concurrency: int
     ) -> None:
-        """Send all requests with ``concurrency`` open at any time."""
+        """Send all requests, at most ``concurrency`` at the same time."""
         pending = iter(requests)
         senders = (self._send_each(pending) for _ in range(concurrency))
         await asyncio.gather(*senders)
 
     def summarise(self) -> list[str]:
-        """Return a line for each kind: answered, failed, median seconds."""
+        """Return a line for each kind: answered, failed, median latency."""
         by_kind: dict[str, list[Outcome]] = collections.defaultdict(list)
         for outcome in self.outcomes:
             by_kind[outcome.kind].append(outcome)
@@ -63,12 +63,12 @@
         request = next(pending, None)
         while request is not None:
             started = clock.monotonic()
-            error = await self._send_checked(request)
+            error = await self._try_send(request)
             took_s = clock.monotonic() - started
             self.outcomes.append(Outcome(request.kind, error, took_s))
             request = next(pending, None)
 
-    async def _send_checked(self, request: CallerRequest) -> str:
+    async def _try_send(self, request: CallerRequest) -> str:
         try:
             async with asyncio.timeout(_TIMEOUT_S):
                 return await self._send(request)
@@ -92,14 +92,14 @@
 
 
 def check_answer(request: CallerRequest, received: str) -> str:
-    """Say what is wrong with a body; empty when it is the whole answer."""
+    """Return how a body differs from the expected answer, or ``''``."""
     if request.expected is None:
         return ''
     found = _read_stream(received) if request.stream else _read_plain(received)
     if found == request.expected:
         return ''
     ending = received[-_MAX_SHOWN_CHARACTERS:]
-    return f'another answer than expected: {ending}'
+    return f'unexpected answer, ending in: {ending}'
 
 
 def _read_plain(received: str) -> str:
@@ -107,7 +107,7 @@
 
 
 def _read_stream(received: str) -> str:
-    """Return the stream's text, or nothing without its closing event."""
+    """Return the text of a stream, or ``''`` without the closing event."""
     *events, last = received.strip().split('\n\n')
     if last != _DONE:
         return ''
