--- a/packages/standins/src/verbenahall_standins/traffic.py
+++ b/packages/standins/src/verbenahall_standins/traffic.py
@@ -1,4 +1,4 @@
-"""Requests that callers of both deployments send, with the right answers."""
+"""Generates the requests of both deployments with the expected answers."""
 
 import dataclasses
 import itertools
@@ -23,9 +23,11 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class ModelRequestKind:
-    """One kind of model request; ``prompt`` in characters, from and to.
+    """One kind of model request.
 
-    ``billed`` requests carry an idempotency key and must not run twice.
+    ``prompt`` is the range of its length in characters, ``output`` the range
+    of the answer's length in tokens. ``billed`` requests carry an idempotency
+    key and must not run twice.
     """
 
     kind: str
@@ -44,7 +46,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class ServiceRequestKind:
-    """One kind of call to a plain service; a ``POST`` must not run twice."""
+    """One kind of request to a plain service; a POST must not run twice."""
 
     kind: str
     workspace: str
@@ -55,8 +57,9 @@
 
 Kinds = tuple[ModelRequestKind | ServiceRequestKind, ...]
 
-#: What each deployment's callers send. Archive summaries are long to short,
-#: blurbs short to long; a flag is one token and comes first.
+#: The requests of each deployment. Archive summaries have long prompts and
+#: short answers, blurbs the reverse; flags have one-token answers and the
+#: highest priority.
 MIXES: Final[Mapping[str, Kinds]] = MappingProxyType(
     {
         'desk': (
@@ -133,7 +136,10 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class CallerRequest:
-    """One request; ``expected`` is the model's text, None for a service."""
+    """One request; ``expected`` is the model's answer, if it has one.
+
+    Requests to plain services have no expected text.
+    """
 
     kind: str
     method: str
@@ -144,23 +150,23 @@
 
     @property
     def stream(self) -> bool:
-        """Whether the answer is a stream."""
+        """Whether the answer is streamed."""
         return bool(self.body.get('stream'))
 
 
 class RequestGenerator:
-    """Writes requests with a seeded random; keys never repeat in one run."""
+    """Generates requests from a seed; idempotency keys are unique."""
 
     __slots__ = ('_numbers', '_rng', '_run')
 
     def __init__(self, seed: int, run: str) -> None:
-        """Start; ``run`` makes this run's keys its own."""
+        """Start; ``run`` prefixes the keys to make them unique across runs."""
         self._rng = random.Random(seed)
         self._run = run
         self._numbers = itertools.count()
 
     def generate(self, deployment: str, count: int) -> Iterator[CallerRequest]:
-        """Yield the deployment's requests in a random order."""
+        """Yield a deployment's requests in random order."""
         kinds = MIXES[deployment]
         weights = [kind.weight for kind in kinds]
         for kind in self._rng.choices(kinds, weights, k=count):
