--- a/packages/standins/src/verbenahall_standins/batch.py
+++ b/packages/standins/src/verbenahall_standins/batch.py
@@ -1,6 +1,6 @@
-"""Continuous batching over the cost model, without a clock or a socket.
+"""Continuous batching with the cost model, without a clock or a socket.
 
-The engine stand-in runs it against real time and the bench in an event loop::
+The engine stand-in runs it in real time, the simulation in its event loop::
 
     batch = Batch(Role.MIXED)
     batch.add(Job('a-1', priority=1, prompt=900, output=20))
@@ -18,10 +18,10 @@
 
 @dataclasses.dataclass(slots=True)
 class Job:
-    """One request: its tokens and how far it has come.
+    """One request: its token counts and its progress.
 
-    ``prefilled`` starts above 0 where the prefix cache or imported KV cache
-    holds a part of the prompt.
+    ``prefilled`` starts above 0 if the prefix cache or an imported KV cache
+    holds part of the prompt.
     """
 
     identity: str
@@ -33,12 +33,12 @@
 
     @property
     def size(self) -> int:
-        """Tokens of KV cache that the job needs in the end."""
+        """Tokens of KV cache that the job needs at its end."""
         return self.prompt + self.output
 
     @property
     def context(self) -> int:
-        """Tokens whose KV cache the job holds."""
+        """Tokens that the job holds in the KV cache now."""
         return self.prefilled + self.produced
 
     @property
@@ -54,7 +54,10 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Step:
-    """What one step does and how long it takes."""
+    """Result of one step: its duration and the jobs it advanced.
+
+    Each job in ``produced`` got one token; those in ``finished`` are done.
+    """
 
     duration_s: float
     produced: tuple[Job, ...]
@@ -62,7 +65,7 @@
 
 
 class Batch:
-    """Jobs that wait and jobs that run on one engine."""
+    """The waiting and running jobs of one engine."""
 
     __slots__ = (
         '_cancelled',
@@ -83,38 +86,39 @@
         self._waiting: list[tuple[int, int, Job]] = []
         self._cancelled: set[str] = set()
         self._numbers = itertools.count()
-        #: KV tokens that running jobs need in the end, and those that the
-        #: decoding ones hold now; kept as sums since each step asks for them.
+        #: KV tokens reserved for the running jobs until their end, and KV
+        #: tokens that the decoding jobs hold now. Both are running sums
+        #: because every step uses them.
         self._reserved_tokens = 0
         self._held_tokens = 0
 
     @property
     def running(self) -> int:
-        """How many jobs run."""
+        """Number of running jobs."""
         return len(self._prefilling) + len(self._decoding)
 
     @property
     def queued(self) -> int:
-        """How many jobs wait."""
+        """Number of waiting jobs."""
         return len(self._waiting) - len(self._cancelled)
 
     @property
     def is_idle(self) -> bool:
-        """Whether nothing runs or waits."""
+        """Whether no job is running or waiting."""
         return not self.running and not self.queued
 
     @property
     def kv_free_share(self) -> float:
-        """The share of the KV memory that no running job has claimed."""
+        """Share of the KV memory not reserved by running jobs."""
         return max(0, 1 - self._reserved_tokens / cost.KV_TOKENS)
 
     def add(self, job: Job) -> None:
-        """Let a job wait behind those of its priority."""
+        """Queue a job behind the waiting jobs of its priority."""
         entry = (job.priority, next(self._numbers), job)
         heapq.heappush(self._waiting, entry)
 
     def cancel(self, identity: str) -> bool:
-        """Drop a job; return whether there was one."""
+        """Remove a job; return whether it was running or waiting."""
         job = self._prefilling.pop(identity, None)
         if job is None and identity in self._decoding:
             job = self._decoding.pop(identity)
@@ -128,7 +132,7 @@
         return is_waiting
 
     def step(self) -> Step:
-        """Admit what fits, then prefill within the role's budget and decode."""
+        """Admit jobs that fit, prefill within the role's budget, decode."""
         self._admit()
         decoding = tuple(self._decoding.values())
         duration_s = cost.step_s(len(decoding), self._held_tokens)
@@ -162,7 +166,7 @@
         return self._reserved_tokens + job.size <= cost.KV_TOKENS
 
     def _prefill(self) -> float:
-        """Prefill within the budget, in order of priority."""
+        """Prefill by priority within the budget; return the seconds spent."""
         budget = cost.PREFILL_BUDGET[self.role]
         spent_s: float = 0
         for job in sorted(self._prefilling.values(), key=_get_priority):
