--- a/packages/standins/src/verbenahall_standins/demo.py
+++ b/packages/standins/src/verbenahall_standins/demo.py
@@ -1,7 +1,7 @@
-"""The demo: both deployments as processes, with traffic and a new setting.
+"""Demo of both deployments with traffic and a change of settings.
 
-``python -m verbenahall_standins.demo`` ends with ``demo: N answered, M
-failed`` and exits 0 only when M is 0.
+``python -m verbenahall_standins.demo`` starts their processes, prints ``demo:
+N answered, M failed`` as its last line and exits with 0 only if M is 0.
 """
 
 import argparse
@@ -37,18 +37,18 @@
 _ORDERS_TIMEOUT_S: Final = 15.0
 _POLL_S: Final = 0.05
 _MAX_SHOWN_FAILURES: Final = 5
-#: Exit code after SIGTERM.
+#: Exit code after SIGTERM: 128 + 15.
 _STOPPED_EXIT_CODE: Final = 143
 _RUN_FOLDER: Final = Path('run')
 _EXAMPLES: Final = Path('examples')
 
 
 class DemoError(Exception):
-    """The demo cannot go on; the message says why."""
+    """The demo cannot continue."""
 
 
 class Demo:
-    """One deployment's run."""
+    """Demo run of one deployment."""
 
     __slots__ = ('_deployment', '_name', '_publisher', '_session')
 
@@ -57,7 +57,7 @@
         deployment: Deployment,
         session: aiohttp.ClientSession,
     ) -> None:
-        """Run a deployment whose processes are started."""
+        """Use a deployment whose processes are running."""
         name = deployment.description.name
         token = f'{name}-fleet-token'
         self._deployment = deployment
@@ -66,7 +66,7 @@
         self._session = session
 
     async def run(self, seed: int, count: int) -> list[Outcome]:
-        """Publish, send traffic, publish a change on the way, and report."""
+        """Publish settings, then change one of them under traffic."""
         await self._prepare()
         instances = self._deployment.description.instances
         caller = Caller(
@@ -94,7 +94,7 @@
         )
 
     async def _change_setting(self) -> None:
-        """Publish a change and tell when every instance has it in force."""
+        """Publish a change; print when it is in force on all instances."""
         team, example = list_settings_files(self._deployment.description)[-1]
         changed = rewrite(example.read_text(), {'queue': 200})
         file = _RUN_FOLDER / self._name / example.name
@@ -116,7 +116,9 @@
         started = clock.monotonic()
         while not await check():
             if clock.monotonic() - started > timeout_s:
-                raise DemoError(f'not within {timeout_s} s: {condition}')
+                raise DemoError(
+                    f'not reached within {timeout_s} s: {condition}'
+                )
             await asyncio.sleep(_POLL_S)
         took_s = round(clock.monotonic() - started, 2)
         self._print_line(f'{condition} after {took_s} s')
@@ -150,17 +152,18 @@
 
 
 def print_line(line: str) -> None:
-    """Print one line at once."""
+    """Print one line and flush the output."""
     sys.stdout.write(f'{line}\n')
     sys.stdout.flush()
 
 
 async def run_deployment(name: str, seed: int, count: int) -> list[Outcome]:
-    """Start a deployment's processes, run it, and stop them again.
+    """Start a deployment's processes, run the demo and stop them.
 
-    SIGTERM alone would end this process at once and leave the others running.
-    As a cancelled task it is seen only between two steps, so it also cannot
-    fall between the start of a process and its being known here.
+    By default, SIGTERM would end this process and leave its children running.
+    Here it cancels the task instead. A cancellation takes effect only where the
+    task awaits, so never between the start of a child process and its
+    registration here.
     """
     task = asyncio.current_task()
     if task is not None:
@@ -190,7 +193,7 @@
 
 
 def run(name: str, seed: int, count: int) -> list[Outcome]:
-    """Run one deployment; a run that cannot go on is one failure."""
+    """Run one deployment; a run that is aborted counts as one failure."""
     try:
         return uvloop.run(run_deployment(name, seed, count))
     except (DemoError, PublishError, process.NotReadyError) as error:
@@ -201,7 +204,7 @@
 
 
 def main() -> None:
-    """Run the command."""
+    """Run the demo and exit."""
     parser = argparse.ArgumentParser(description='Run both deployments')
     parser.add_argument('--seed', type=int, default=1)
     parser.add_argument('--requests', type=int, default=_REQUEST_COUNT)
