--- a/packages/standins/src/verbenahall_standins/load.py
+++ b/packages/standins/src/verbenahall_standins/load.py
@@ -1,8 +1,8 @@
-"""Sends one request over and over on kept connections, and measures.
+"""Load generator that repeats one request on keep-alive connections.
 
-``python -m verbenahall_standins.load --address IP:port`` prints one JSON line.
-It writes prepared bytes and looks only for the end of each answer, so that
-the tool itself costs little beside what it measures.
+``python -m verbenahall_standins.load --address IP:port`` prints its results as
+one line of JSON. It sends prepared bytes and only searches for the end of each
+answer, so that the tool itself uses little CPU time.
 """
 
 import argparse
@@ -29,7 +29,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class LoadResult:
-    """One run: answers, chunks, failures, and times in milliseconds."""
+    """Totals of one run, and latency percentiles in milliseconds."""
 
     seconds: float
     answers: int
@@ -40,10 +40,10 @@
 
 
 class Connection(asyncio.Protocol):
-    """Sends the next request as soon as the last answer is whole."""
+    """Sends the next request as soon as an answer is complete."""
 
     def __init__(self, request: bytes, ends_at: float) -> None:
-        """Go on until a monotonic time; ``times_s`` takes each answer's."""
+        """Repeat until a monotonic time; ``times_s`` collects latencies."""
         self.times_s: list[float] = []
         self.chunks = 0
         self.failures = 0
@@ -60,13 +60,13 @@
         self._send()
 
     def data_received(self, received: bytes) -> None:
-        """Look for the end of the answer."""
+        """Collect bytes until the answer is complete."""
         self._received += received
         if _is_complete(self._received):
             self._finish()
 
     def connection_lost(self, error: Exception | None) -> None:
-        """Count what was open as failed, unless the time was over."""
+        """Count an open request as failed, unless the run has ended."""
         if not self.ended.done():
             self.failures += 1
             self.ended.set_result(None)
@@ -94,15 +94,15 @@
     if head_end < 0:
         return False
     head = received[:head_end].lower()
-    _, field_found, rest = head.partition(_LENGTH)
-    if not field_found:
+    _, separator, rest = head.partition(_LENGTH)
+    if not separator:
         return received.endswith(_LAST_CHUNK)
     length, _, _ = rest.partition(b'\r\n')
     return len(received) >= head_end + len(_HEAD_END) + int(length)
 
 
 def build_request(path: str, body: bytes, headers: str = '') -> bytes:
-    """Return the bytes of a POST; ``headers`` end each with CRLF."""
+    """Return the bytes of a POST; each of ``headers`` ends with CRLF."""
     head = (
         f'POST {path} HTTP/1.1\r\nHost: load\r\n{headers}'
         f'Content-Type: application/json\r\nContent-Length: {len(body)}\r\n\r\n'
@@ -116,7 +116,7 @@
     connections: int,
     seconds: float,
 ) -> LoadResult:
-    """Send for some seconds on some connections."""
+    """Send requests for a time on a number of connections."""
     host, _, port = address.partition(':')
     loop = asyncio.get_running_loop()
     started = clock.monotonic()
@@ -147,14 +147,14 @@
 
 
 def percentile_ms(ordered: list[float], percent: int) -> float:
-    """Return a percentile of sorted seconds, in milliseconds."""
+    """Return a percentile, in milliseconds, of sorted times in seconds."""
     index = len(ordered) * percent // _PERCENT
     return ordered[min(len(ordered) - 1, index)] * 1000
 
 
 def main() -> None:
-    """Run the command."""
-    parser = argparse.ArgumentParser(description='Load tool')
+    """Run the load generator and print its results."""
+    parser = argparse.ArgumentParser(description='Load generator')
     parser.add_argument('--address', required=True)
     parser.add_argument('--connections', type=int, default=8)
     parser.add_argument('--seconds', type=float, default=3)
