--- a/packages/standins/src/verbenahall_standins/prefixes.py
+++ b/packages/standins/src/verbenahall_standins/prefixes.py
@@ -1,4 +1,4 @@
-"""An engine's bounded prefix cache and the late events about it."""
+"""Bounded prefix cache of an engine stand-in, with its events."""
 
 import collections
 import itertools
@@ -15,7 +15,7 @@
 
 
 def hash_blocks(prompt: str) -> list[str]:
-    """Return a hash for each whole block: of all text up to its end."""
+    """Return, for each full block, the hash of the text up to its end."""
     running = xxhash.xxh64()
     hashes = []
     for start in range(0, len(prompt), _BLOCK_CHARACTERS):
@@ -28,12 +28,12 @@
 
 
 class PrefixCache:
-    """Blocks in order of last use; the oldest is dropped."""
+    """Cached blocks; the least recently used is evicted first."""
 
-    __slots__ = ('_blocks', '_events', '_lost_share', '_numbers', '_rng')
+    __slots__ = ('_blocks', '_events', '_lost_share', '_event_numbers', '_rng')
 
     def __init__(self, lost_share: float, seed: int) -> None:
-        """Start empty; ``lost_share`` of the events are never shown."""
+        """Start empty; ``lost_share`` of the events are not reported."""
         self._blocks: collections.OrderedDict[str, None] = (
             collections.OrderedDict()
         )
@@ -41,11 +41,11 @@
             maxlen=_MAX_EVENTS,
         )
         self._lost_share = lost_share
-        self._numbers = itertools.count(1)
+        self._event_numbers = itertools.count(1)
         self._rng = random.Random(seed)
 
     def look_up_and_store(self, prompt: str, now: float) -> int:
-        """Return how many tokens were cached, and cache the whole prompt."""
+        """Return the number of cached tokens, then cache the whole prompt."""
         hashes = hash_blocks(prompt)
         cached = itertools.takewhile(self._blocks.__contains__, hashes)
         count = sum(1 for _ in cached)
@@ -57,11 +57,11 @@
         return count * cost.BLOCK_TOKENS
 
     def clear(self) -> None:
-        """Forget all blocks, as a change of models does."""
+        """Remove all blocks, as after a change of models."""
         self._blocks.clear()
 
     def list_events(self, after: int, until: float) -> list[dict[str, Any]]:
-        """Return the events after a number that happened until a time."""
+        """Return events numbered above ``after``, not newer than ``until``."""
         return [
             event
             for event in self._events
@@ -75,7 +75,7 @@
         self._blocks.move_to_end(block)
 
     def _emit_event(self, kind: str, block: str, now: float) -> None:
-        number = next(self._numbers)
+        number = next(self._event_numbers)
         if self._rng.random() < self._lost_share:
             return
         self._events.append(
