--- a/packages/standins/tests/test_demo.py
+++ b/packages/standins/tests/test_demo.py
@@ -1,4 +1,4 @@
-"""The demo leaves nothing behind, also when it is stopped on the way."""
+"""The demo leaves no processes behind when it is stopped early."""
 
 import contextlib
 import os
@@ -40,10 +40,9 @@
 @pytest.mark.process
 @pytest.mark.parametrize('count', [2, 24])
 def test_stopped_demo_leaves_no_process(count):
-    """The demo is stopped while its processes start.
+    """SIGTERM while the demo starts its processes must end all of them.
 
-    What it had started would run on for ever, and the next run would find
-    the machine busier each time.
+    Orphaned processes would run forever and slow down every later run.
     """
     demo = subprocess.Popen(
         (sys.executable, '-m', 'verbenahall_standins.demo'),
