--- a/packages/standins/tests/test_standins.py
+++ b/packages/standins/tests/test_standins.py
@@ -1,4 +1,4 @@
-"""The stand-ins as processes: what tests of the product lean on."""
+"""The stand-ins as processes: the behaviour that other tests rely on."""
 
 import asyncio
 import contextlib
@@ -67,8 +67,8 @@
     return asyncio.run(coroutine)
 
 
-def test_log_orders_filters_and_forgets():
-    """Records expire; a reader sees by ``first`` that it has a gap."""
+def test_log_orders_filters_and_expires():
+    """Records expire; ``first`` lets a reader detect the gap."""
     with running('log', '--kept', '3', '--rate', '1000') as url:
         for number in range(5):
             stream = 'orders' if number % 2 else 'settings'
@@ -83,14 +83,17 @@
 
 
 def test_log_long_poll_wakes():
-    """A reader that waits gets the record as soon as it is appended."""
+    """A waiting reader gets a record as soon as it is appended."""
     with running('log') as url:
         page = run(wait_and_append(url))
     assert page['records'][0]['body'] == {'x': 1}
 
 
 def test_log_loses_answer_after_effect():
-    """An append's answer is lost; the writer finds its record by reading."""
+    """An append succeeds although its answer is lost.
+
+    The writer can only find out by reading the log.
+    """
     with running('log') as url:
         record = {'stream': 'settings', 'id': 'a', 'body': {}}
         fault = {'name': 'lose_answer', 'count': 1}
@@ -101,16 +104,16 @@
     assert [found['id'] for found in page['records']] == ['a']
 
 
-def test_log_cuts_only_named_holders():
-    """A data centre is cut off from the log while another reaches it."""
+def test_log_partition_affects_only_named_holders():
+    """One holder is cut off from the log while another reaches it."""
     with running('log') as url:
         fault = {'name': 'partition', 'holders': ['instance-1']}
         run(call('POST', f'{url}/faults', json=fault))
-        cut = {'X-Instance': 'instance-1'}
+        cut_off = {'X-Instance': 'instance-1'}
         with pytest.raises(aiohttp.ClientError):
-            run(call('GET', f'{url}/read?after=0', headers=cut))
-        free = {'X-Instance': 'instance-2'}
-        answer = run(call('GET', f'{url}/read?after=0', headers=free))
+            run(call('GET', f'{url}/read?after=0', headers=cut_off))
+        connected = {'X-Instance': 'instance-2'}
+        answer = run(call('GET', f'{url}/read?after=0', headers=connected))
     assert answer[0] == 200
 
 
@@ -127,7 +130,7 @@
     ],
 )
 def test_engine_faults_match_its_record(fault, whole, started):
-    """The engine's own record says what ran, whatever the caller saw."""
+    """The engine's record shows what ran, whatever the caller received."""
     with engine() as url:
         run(call('POST', f'{url}/faults', json={**fault, 'count': 1}))
         body = b''
@@ -141,8 +144,8 @@
     assert len(record['started']) == started
 
 
-def test_engine_answer_is_known_beforehand():
-    """A test can tell a foreign or mixed answer from the right one."""
+def test_engine_answer_is_predictable():
+    """The request determines the answer, so tests detect wrong ones."""
     with engine() as url:
         completions = f'{url}/v1/completions'
         answer = run(read_json('POST', completions, json=build_call()))
@@ -154,8 +157,11 @@
     ('flags', 'status'),
     [((), 409), (('--ignore-fencing',), 200)],
 )
-def test_engine_judges_old_fencing_token(flags, status):
-    """A holder that lost its lease still sends; only some engines refuse."""
+def test_engine_checks_fencing_token(flags, status):
+    """A holder that lost its lease may still send orders.
+
+    Engines that check fencing tokens refuse them, others execute them.
+    """
     with engine(*flags) as url:
         newer = run(call('POST', f'{url}/orders', json=build_order(9)))
         older = run(call('POST', f'{url}/orders', json=build_order(4)))
@@ -163,7 +169,7 @@
 
 
 def test_list_lags():
-    """A registered endpoint shows only after the list's lag."""
+    """A registered endpoint appears in the list only after the lag."""
     with running('registry', '--lag', '600') as url:
         entry = {'name': 'engine-1', 'kind': 'engine'}
         run(call('POST', f'{url}/register', json=entry))
