--- a/packages/standins/src/verbenahall_standins/actions.py
+++ b/packages/standins/src/verbenahall_standins/actions.py
@@ -1,4 +1,4 @@
-"""What each fault does to the request that it meets."""
+"""How each fault changes the handling of a request."""
 
 import asyncio
 import dataclasses
@@ -14,18 +14,24 @@
 
 Handler = Callable[[web.Request], Awaitable[web.StreamResponse]]
 
-#: SO_LINGER on, zero seconds: close sends RST instead of FIN.
+#: SO_LINGER on with zero seconds: ``close`` sends RST instead of FIN.
 _RESET_ON_CLOSE: Final = struct.pack('ii', 1, 0)
-#: Lets the written part leave before RST drops what is unsent.
-_FLUSH_S: Final = 0.01
+#: Seconds to wait for written bytes to be sent, because RST discards unsent
+#: ones.
+_FLUSH_WAIT_S: Final = 0.01
 
 
+#: Default count of a fault: it stays active until faults are cleared.
 _UNLIMITED: Final = 1 << 60
 
 
 @dataclasses.dataclass(slots=True)
 class Fault:
-    """One fault; fields that its ``name`` does not use are ignored."""
+    """One fault; fields that its ``name`` does not use are ignored.
+
+    For ``hang`` and ``reset``, ``started`` says whether the request's handler
+    runs before the fault takes effect.
+    """
 
     name: str
     path: str = ''
@@ -38,32 +44,32 @@
 
 
 def reset_connection(request: web.Request) -> None:
-    """Close the request's connection with RST, dropping unsent bytes."""
+    """Close the request's connection with RST, discarding unsent bytes."""
     transport = request.transport
     if transport is None:
         return
-    endpoint = transport.get_extra_info('socket')
-    endpoint.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, _RESET_ON_CLOSE)
+    connection = transport.get_extra_info('socket')
+    connection.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, _RESET_ON_CLOSE)
     transport.abort()
 
 
-async def _answer_down(
+async def _fail(
     fault: Fault,
     request: web.Request,
     handler: Handler,
 ) -> web.StreamResponse:
-    return answers.refuse_late('down')
+    return answers.build_failure('down')
 
 
-async def _answer_refusal(
+async def _refuse(
     fault: Fault,
     request: web.Request,
     handler: Handler,
 ) -> web.StreamResponse:
-    return answers.refuse('refused by a fault')
+    return answers.build_refusal('refused by a fault')
 
 
-async def _act_slowly(
+async def _delay_request(
     fault: Fault,
     request: web.Request,
     handler: Handler,
@@ -72,7 +78,7 @@
     return await handler(request)
 
 
-async def _answer_late(
+async def _delay_answer(
     fault: Fault,
     request: web.Request,
     handler: Handler,
@@ -90,16 +96,16 @@
     if fault.started:
         await handler(request)
     await asyncio.Event().wait()
-    return answers.answer_json({})
+    return answers.build_answer({})
 
 
-async def _drop(
+async def _drop_connection(
     fault: Fault,
     request: web.Request,
     handler: Handler,
 ) -> web.StreamResponse:
     reset_connection(request)
-    return answers.answer_json({})
+    return answers.build_answer({})
 
 
 async def _lose_answer(
@@ -118,10 +124,10 @@
     request: web.Request,
     handler: Handler,
 ) -> web.StreamResponse:
-    """Reset after ``after_bytes`` of the answer; 0 is before its first."""
+    """Reset after ``after_bytes`` of the body; 0 resets before the head."""
     if not fault.started:
         reset_connection(request)
-        return answers.answer_json({})
+        return answers.build_answer({})
     request['reset_after_bytes'] = fault.after_bytes
     answer = await handler(request)
     if isinstance(answer, web.Response) and fault.after_bytes:
@@ -140,7 +146,7 @@
     part.content_length = len(body)
     await part.prepare(request)
     await part.write(body[:size])
-    await asyncio.sleep(_FLUSH_S)
+    await asyncio.sleep(_FLUSH_WAIT_S)
 
 
 async def _truncate(
@@ -148,7 +154,10 @@
     request: web.Request,
     handler: Handler,
 ) -> web.StreamResponse:
-    """End a stream in good order after ``after_chunks``, without its end."""
+    """End a stream after ``after_chunks`` without its closing event.
+
+    The HTTP response itself ends properly.
+    """
     request['truncate_after_chunks'] = fault.after_chunks
     return await handler(request)
 
@@ -158,7 +167,7 @@
     request: web.Request,
     handler: Handler,
 ) -> web.StreamResponse:
-    """Write each chunk of a stream, or the whole plain answer, twice."""
+    """Send each chunk of a stream, or the whole plain answer, twice."""
     request['duplicate'] = True
     answer = await handler(request)
     if isinstance(answer, web.Response) and request.transport:
@@ -172,12 +181,12 @@
 
 ACTIONS: Final[Mapping[str, Any]] = MappingProxyType(
     {
-        'down': _answer_down,
-        'refuse': _answer_refusal,
-        'slow': _act_slowly,
-        'late': _answer_late,
+        'down': _fail,
+        'refuse': _refuse,
+        'slow': _delay_request,
+        'late': _delay_answer,
         'hang': _hang,
-        'partition': _drop,
+        'partition': _drop_connection,
         'lose_answer': _lose_answer,
         'reset': _reset,
         'truncate': _truncate,
--- a/packages/standins/src/verbenahall_standins/calls.py
+++ b/packages/standins/src/verbenahall_standins/calls.py
@@ -1,4 +1,4 @@
-"""Completion requests as an engine stand-in reads and answers them."""
+"""Parses completion requests and encodes their answers."""
 
 import dataclasses
 from typing import Final
@@ -9,13 +9,14 @@
 from verbenahall import wire
 from verbenahall_standins import answers, cost, text
 
-_DEFAULT_OUTPUT: Final = 16
-_LOWEST_PRIORITY: Final = 9
+_DEFAULT_MAX_TOKENS: Final = 16
+#: Priority of requests without an ``X-Priority`` header, the lowest one.
+_DEFAULT_PRIORITY: Final = 9
 
 
 @dataclasses.dataclass(slots=True)
 class Call:
-    """One completion request as the engine has read it."""
+    """One parsed completion request."""
 
     attempt: str
     priority: int
@@ -32,21 +33,21 @@
 
     @property
     def seed(self) -> int:
-        """The seed of the answer's text."""
-        return text.seed_answer(self.model, self.adapter, self.prompt)
+        """The seed of the answer text."""
+        return text.compute_seed(self.model, self.adapter, self.prompt)
 
 
-async def read_call(request: web.Request) -> Call:
-    """Read a completion request."""
+async def parse_call(request: web.Request) -> Call:
+    """Parse a completion request."""
     body = orjson.loads(await request.read())
     headers = request.headers
     return Call(
         attempt=headers.get('X-Attempt-Id', ''),
-        priority=int(headers.get('X-Priority', _LOWEST_PRIORITY)),
-        prompt=text.find_prompt(body),
+        priority=int(headers.get('X-Priority', _DEFAULT_PRIORITY)),
+        prompt=text.extract_prompt(body),
         model=body.get('model', ''),
         adapter=body.get('adapter') or '',
-        output=int(body.get('max_tokens') or _DEFAULT_OUTPUT),
+        output=int(body.get('max_tokens') or _DEFAULT_MAX_TOKENS),
         stream=bool(body.get('stream')),
         resume_from=int(body.get('resume_from', 0)),
         kv_from=body.get('kv_from', ''),
@@ -56,10 +57,10 @@
     )
 
 
-def build_whole(call: Call, headers: dict[str, str]) -> web.Response:
-    """Build the plain answer to a completion request."""
+def build_completion(call: Call, headers: dict[str, str]) -> web.Response:
+    """Build the answer to a completion request that is not streamed."""
     indexes = range(call.resume_from, call.output)
-    written = ''.join(text.write_chunk(call.seed, index) for index in indexes)
+    written = ''.join(text.build_chunk(call.seed, index) for index in indexes)
     choice = {'index': 0, 'text': written, 'finish_reason': 'length'}
     if call.is_chat:
         choice['message'] = {'role': 'assistant', 'content': written}
@@ -73,14 +74,14 @@
         'choices': [choice],
         'usage': usage,
     }
-    return answers.answer_json(body, headers=headers)
+    return answers.build_answer(body, headers=headers)
 
 
-def write_event(call: Call, index: int) -> bytes:
-    """Write one chunk of a stream as a server-sent event."""
-    word = text.write_chunk(call.seed, index)
-    choice = {'text': word}
+def encode_event(call: Call, index: int) -> bytes:
+    """Encode one chunk of a stream as a server-sent event."""
+    chunk = text.build_chunk(call.seed, index)
+    choice = {'text': chunk}
     if call.is_chat:
-        choice['delta'] = {'content': word}
+        choice['delta'] = {'content': chunk}
     event = {'attempt': call.attempt, 'index': index, 'choices': [choice]}
     return b'data: %b\n\n' % wire.encode(event)
--- a/packages/standins/src/verbenahall_standins/faults.py
+++ b/packages/standins/src/verbenahall_standins/faults.py
@@ -1,8 +1,9 @@
-"""Faults that a test switches on in a stand-in, by ``POST /faults``.
+"""Fault injection: tests add faults to a stand-in with ``POST /faults``.
 
-One fault holds for the requests whose path starts with ``path`` and whose
-``X-Instance`` is among ``holders`` (all when empty), ``count`` times (without
-end when left out). ``{"name": "clear"}`` ends all of them.
+A fault applies to requests whose path starts with ``path`` and whose
+``X-Instance`` header is one of ``holders`` (every request if empty). It is
+used up after ``count`` requests, or stays active if no count is given.
+``{"name": "clear"}`` removes all faults.
 """
 
 import dataclasses
@@ -14,51 +15,51 @@
 from verbenahall_standins import answers
 from verbenahall_standins.actions import ACTIONS, Fault, Handler
 
-#: Routes that no fault touches.
+#: Routes that are exempt from faults.
 _TEST_ROUTES: Final = ('/faults', '/record')
 
 
 class Faults:
-    """The faults that are switched on in one process."""
+    """The active faults of one process."""
 
     __slots__ = ('_active', 'on_change')
 
     def __init__(self) -> None:
-        """Start without any fault."""
+        """Start without faults."""
         self._active: list[Fault] = []
         self.on_change: Callable[[], None] = _do_nothing
 
-    def switch(self, body: Mapping[str, Any]) -> None:
-        """Add the fault that a request body describes, or clear all."""
+    def apply_command(self, body: Mapping[str, Any]) -> None:
+        """Add the fault described by a request body, or clear all faults."""
         if body['name'] == 'clear':
             self._active.clear()
         else:
-            known = {field.name for field in dataclasses.fields(Fault)}
-            given = {key: body[key] for key in known.intersection(body)}
-            given['holders'] = tuple(body.get('holders', ()))
-            self._active.append(Fault(**given))
+            field_names = {field.name for field in dataclasses.fields(Fault)}
+            values = {key: body[key] for key in field_names.intersection(body)}
+            values['holders'] = tuple(body.get('holders', ()))
+            self._active.append(Fault(**values))
         self.on_change()
 
     def find(self, name: str) -> Fault | None:
-        """Return the active fault of this name, without using it up."""
+        """Return the active fault with this name, without counting a use."""
         return next(
             (fault for fault in self._active if fault.name == name),
             None,
         )
 
-    def take(self, request: web.Request) -> Fault | None:
-        """Return the request's fault, using up one of its count."""
+    def consume_matching(self, request: web.Request) -> Fault | None:
+        """Return the first fault that applies to a request, counting a use."""
         for fault in self._active:
             if fault.name in ACTIONS and _matches(fault, request):
-                return self._use(fault)
+                return self._consume(fault)
         return None
 
-    def use(self, name: str) -> Fault | None:
-        """Return the active fault of this name, using up one count."""
+    def consume(self, name: str) -> Fault | None:
+        """Return the active fault with this name, counting a use."""
         fault = self.find(name)
-        return None if fault is None else self._use(fault)
+        return None if fault is None else self._consume(fault)
 
-    def _use(self, fault: Fault) -> Fault:
+    def _consume(self, fault: Fault) -> Fault:
         fault.count -= 1
         if fault.count <= 0:
             self._active.remove(fault)
@@ -66,7 +67,7 @@
 
 
 def _do_nothing() -> None:
-    """Stand in for a hook that nobody set."""
+    """Serve as the default hook."""
 
 
 def _matches(fault: Fault, request: web.Request) -> bool:
@@ -76,54 +77,54 @@
     return not fault.holders or holder in fault.holders
 
 
-#: Faults that also end a long poll which began before them.
-_CUTS: Final = frozenset(('down', 'partition', 'hang'))
+#: Faults that also interrupt long polls which started before them.
+_POLL_FAULTS: Final = frozenset(('down', 'partition', 'hang'))
 
 
 class _FaultRoutes:
-    """The route that switches faults, and what puts them around others."""
+    """The ``/faults`` route and the middleware that applies faults."""
 
     __slots__ = ('_faults',)
 
     def __init__(self, faults: Faults) -> None:
         self._faults = faults
 
-    async def switch(self, request: web.Request) -> web.Response:
-        self._faults.switch(await request.json())
-        return answers.answer_json({})
+    async def apply_command(self, request: web.Request) -> web.Response:
+        self._faults.apply_command(await request.json())
+        return answers.build_answer({})
 
     @web.middleware
-    async def surround(
+    async def inject_fault(
         self,
         request: web.Request,
         handler: Handler,
     ) -> web.StreamResponse:
         if request.path in _TEST_ROUTES:
             return await handler(request)
-        fault = self._faults.take(request)
+        fault = self._faults.consume_matching(request)
         if fault is None:
             return await handler(request)
         return await ACTIONS[fault.name](fault, request, handler)
 
 
 def add_fault_routes(app: web.Application, faults: Faults) -> None:
-    """Serve ``POST /faults`` and put the faults around all other routes."""
+    """Add the ``POST /faults`` route and the middleware for other routes."""
     routes = _FaultRoutes(faults)
-    app.router.add_post('/faults', routes.switch)
-    app.middlewares.append(routes.surround)
+    app.router.add_post('/faults', routes.apply_command)
+    app.middlewares.append(routes.inject_fault)
 
 
-async def cut_poll(
+async def apply_poll_fault(
     faults: Faults,
     request: web.Request,
     answer: web.StreamResponse,
 ) -> web.StreamResponse:
-    """Apply a fault that was switched on while a long poll waited."""
-    fault = faults.take(request)
-    if fault is None or fault.name not in _CUTS:
+    """Apply a fault that was added while a long poll was waiting."""
+    fault = faults.consume_matching(request)
+    if fault is None or fault.name not in _POLL_FAULTS:
         return answer
     return await ACTIONS[fault.name](fault, request, _return_empty)
 
 
 async def _return_empty(request: web.Request) -> web.StreamResponse:
-    return answers.answer_json({})
+    return answers.build_answer({})
--- a/packages/standins/src/verbenahall_standins/load.py
+++ b/packages/standins/src/verbenahall_standins/load.py
@@ -1,8 +1,8 @@
-"""Sends one request over and over on kept connections, and measures.
+"""Load generator that repeats one request on keep-alive connections.
 
-``python -m verbenahall_standins.load --address IP:port`` prints one JSON line.
-It writes prepared bytes and looks only for the end of each answer, so that
-the tool itself costs little beside what it measures.
+``python -m verbenahall_standins.load --address IP:port`` prints its results as
+one line of JSON. It sends prepared bytes and only searches for the end of each
+answer, so that the tool itself uses little CPU time.
 """
 
 import argparse
@@ -28,8 +28,8 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Measured:
-    """One run: answers, chunks, failures, and times in milliseconds."""
+class LoadResult:
+    """Totals of one run, and latency percentiles in milliseconds."""
 
     seconds: float
     answers: int
@@ -40,16 +40,16 @@
 
 
 class Connection(asyncio.Protocol):
-    """Sends the next request as soon as the last answer is whole."""
+    """Sends the next request as soon as an answer is complete."""
 
-    def __init__(self, request: bytes, until: float) -> None:
-        """Go on until a monotonic time; ``times_s`` takes each answer's."""
+    def __init__(self, request: bytes, ends_at: float) -> None:
+        """Repeat until a monotonic time; ``times_s`` collects latencies."""
         self.times_s: list[float] = []
         self.chunks = 0
         self.failures = 0
         self.ended = asyncio.get_running_loop().create_future()
         self._request = request
-        self._until = until
+        self._ends_at = ends_at
         self._received = bytearray()
         self._sent_at: float = 0
         self._transport: asyncio.Transport | None = None
@@ -60,13 +60,13 @@
         self._send()
 
     def data_received(self, received: bytes) -> None:
-        """Look for the end of the answer."""
+        """Collect bytes until the answer is complete."""
         self._received += received
-        if _is_whole(self._received):
+        if _is_complete(self._received):
             self._finish()
 
     def connection_lost(self, error: Exception | None) -> None:
-        """Count what was open as failed, unless the time was over."""
+        """Count an open request as failed, unless the run has ended."""
         if not self.ended.done():
             self.failures += 1
             self.ended.set_result(None)
@@ -82,27 +82,27 @@
         self.times_s.append(now - self._sent_at)
         self.chunks += self._received.count(_EVENT)
         self.failures += not self._received.startswith(_OK)
-        if now < self._until:
+        if now < self._ends_at:
             self._send()
         elif self._transport is not None:
             self.ended.set_result(None)
             self._transport.close()
 
 
-def _is_whole(received: bytearray) -> bool:
+def _is_complete(received: bytearray) -> bool:
     head_end = received.find(_HEAD_END)
     if head_end < 0:
         return False
     head = received[:head_end].lower()
-    _, given, rest = head.partition(_LENGTH)
-    if not given:
+    _, separator, rest = head.partition(_LENGTH)
+    if not separator:
         return received.endswith(_LAST_CHUNK)
     length, _, _ = rest.partition(b'\r\n')
     return len(received) >= head_end + len(_HEAD_END) + int(length)
 
 
 def build_request(path: str, body: bytes, headers: str = '') -> bytes:
-    """Return the bytes of a POST; ``headers`` end each with CRLF."""
+    """Return the bytes of a POST; each of ``headers`` ends with CRLF."""
     head = (
         f'POST {path} HTTP/1.1\r\nHost: load\r\n{headers}'
         f'Content-Type: application/json\r\nContent-Length: {len(body)}\r\n\r\n'
@@ -115,46 +115,46 @@
     request: bytes,
     connections: int,
     seconds: float,
-) -> Measured:
-    """Send for some seconds on some connections."""
+) -> LoadResult:
+    """Send requests for a time on a number of connections."""
     host, _, port = address.partition(':')
     loop = asyncio.get_running_loop()
     started = clock.monotonic()
-    until = started + seconds
+    ends_at = started + seconds
     open_one = functools.partial(
         loop.create_connection,
-        functools.partial(Connection, request, until),
+        functools.partial(Connection, request, ends_at),
         host,
         int(port),
     )
     pairs = await asyncio.gather(*(open_one() for _ in range(connections)))
-    opened = [connection for _, connection in pairs]
-    await asyncio.gather(*(connection.ended for connection in opened))
-    return _summarise(opened, clock.monotonic() - started)
+    protocols = [connection for _, connection in pairs]
+    await asyncio.gather(*(connection.ended for connection in protocols))
+    return _summarise(protocols, clock.monotonic() - started)
 
 
-def _summarise(opened: list[Connection], seconds: float) -> Measured:
-    every = (each.times_s for each in opened)
-    times = sorted(itertools.chain.from_iterable(every)) or [0]
-    return Measured(
+def _summarise(protocols: list[Connection], seconds: float) -> LoadResult:
+    times_by_connection = (each.times_s for each in protocols)
+    times = sorted(itertools.chain.from_iterable(times_by_connection)) or [0]
+    return LoadResult(
         seconds=seconds,
         answers=len(times),
-        failures=sum(each.failures for each in opened),
-        chunks=sum(each.chunks for each in opened),
+        failures=sum(each.failures for each in protocols),
+        chunks=sum(each.chunks for each in protocols),
         p50_ms=percentile_ms(times, _MEDIAN),
         p99_ms=percentile_ms(times, _TAIL),
     )
 
 
 def percentile_ms(ordered: list[float], percent: int) -> float:
-    """Return a percentile of sorted seconds, in milliseconds."""
+    """Return a percentile, in milliseconds, of sorted times in seconds."""
     index = len(ordered) * percent // _PERCENT
     return ordered[min(len(ordered) - 1, index)] * 1000
 
 
 def main() -> None:
-    """Run the command."""
-    parser = argparse.ArgumentParser(description='Load tool')
+    """Run the load generator and print its results."""
+    parser = argparse.ArgumentParser(description='Load generator')
     parser.add_argument('--address', required=True)
     parser.add_argument('--connections', type=int, default=8)
     parser.add_argument('--seconds', type=float, default=3)
--- a/packages/standins/src/verbenahall_standins/worker.py
+++ b/packages/standins/src/verbenahall_standins/worker.py
@@ -1,4 +1,4 @@
-"""Runs one engine's batch against real time, scaled by a speed factor."""
+"""Runs an engine's batch in real time, scaled by a speed factor."""
 
 import asyncio
 import dataclasses
@@ -11,7 +11,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Load:
-    """What an engine reports: jobs running and queued, free KV share."""
+    """Reported load: running and queued jobs, free share of KV memory."""
 
     running: int
     queued: int
@@ -19,83 +19,87 @@
 
 
 class Progress:
-    """One job's way through the engine, as its request handler sees it."""
+    """Progress of one job, on which its request handler waits."""
 
     __slots__ = ('_changed', 'cancelled', 'job')
 
     def __init__(self, job: Job) -> None:
-        """Start waiting."""
+        """Track a job that has not started yet."""
         self.job = job
         self.cancelled = False
         self._changed = asyncio.Event()
 
-    async def wait_beyond(self, produced: int) -> int:
-        """Wait until more than ``produced`` tokens exist or it has ended.
+    async def wait_for_more(self, produced: int) -> int:
+        """Wait for more than ``produced`` tokens or for the end of the job.
 
-        Returns how many exist.
+        Returns the number of tokens produced.
         """
-        while self.job.produced <= produced and not self.is_over:
+        while self.job.produced <= produced and not self.is_finished:
             self._changed.clear()
             await self._changed.wait()
         return self.job.produced
 
     @property
-    def is_over(self) -> bool:
-        """Whether no more tokens will come."""
+    def is_finished(self) -> bool:
+        """Whether the job is done or cancelled."""
         return self.cancelled or self.job.is_done
 
-    def tell(self) -> None:
-        """Wake the handler."""
+    def notify(self) -> None:
+        """Wake the request handler."""
         self._changed.set()
 
 
 class Worker:
-    """Steps the batch while there is work; ``speed`` divides all times."""
+    """Steps the batch while it has jobs; ``speed`` divides durations."""
 
-    __slots__ = ('_speed', '_task', '_wake', 'batch', 'direct', 'open')
+    __slots__ = ('_speed', '_task', '_wake', 'batch', 'instant_count', 'active')
 
     def __init__(self, role: Role, speed: float) -> None:
-        """Start idle; ``direct`` counts answers made without the batch."""
+        """Start idle.
+
+        ``instant_count`` is the number of requests being answered without
+        the batch.
+        """
         self.batch = Batch(role)
-        self.open: dict[str, Progress] = {}
-        self.direct = 0
+        self.active: dict[str, Progress] = {}
+        self.instant_count = 0
         self._speed = speed
         self._wake = asyncio.Event()
         self._task: asyncio.Task[None] | None = None
 
     @property
     def is_idle(self) -> bool:
-        """Whether nothing is in flight."""
-        return self.batch.is_idle and not self.direct
+        """Whether no request is in flight."""
+        return self.batch.is_idle and not self.instant_count
 
     @property
     def load(self) -> Load:
-        """The load of this moment."""
-        running = self.batch.running + self.direct
+        """The current load."""
+        running = self.batch.running + self.instant_count
         free = round(self.batch.kv_free_share, 3)
         return Load(running, self.batch.queued, free)
 
-    async def run_lifetime(self, app: Any) -> Any:
-        """Run between the application's start-up and clean-up."""
+    async def run_in_background(self, app: Any) -> Any:
+        """Run the worker between the application's start-up and clean-up."""
         self._task = asyncio.create_task(self._run())
         yield
         self._task.cancel()
 
     def start(self, job: Job) -> Progress:
-        """Queue a job."""
+        """Queue a job and return its progress."""
         progress = Progress(job)
-        self.open[job.identity] = progress
+        self.active[job.identity] = progress
         self.batch.add(job)
         self._wake.set()
         return progress
 
-    def forget(self, progress: Progress) -> None:
-        """Cancel what is left of a job and forget it."""
-        if not progress.is_over:
+    def release(self, progress: Progress) -> None:
+        """Cancel a job if it is unfinished, and remove it."""
+        if not progress.is_finished:
             self.batch.cancel(progress.job.identity)
             progress.cancelled = True
-            progress.tell()
-        self.open.pop(progress.job.identity, None)
+            progress.notify()
+        self.active.pop(progress.job.identity, None)
 
     async def _run(self) -> None:
         ready_at = clock.monotonic()
@@ -107,10 +111,10 @@
             step = self.batch.step()
             ready_at += step.duration_s / self._speed
             await asyncio.sleep(max(0, ready_at - clock.monotonic()))
-            self._tell(step)
+            self._notify(step)
 
-    def _tell(self, step: Step) -> None:
+    def _notify(self, step: Step) -> None:
         for job in (*step.produced, *step.finished):
-            progress = self.open.get(job.identity)
+            progress = self.active.get(job.identity)
             if progress is not None:
-                progress.tell()
+                progress.notify()
