--- a/packages/verbenahall/tests/drains/test_freshness.py
+++ b/packages/verbenahall/tests/drains/test_freshness.py
@@ -1,4 +1,4 @@
-"""What is known is used while it is young; the store is asked when not."""
+"""Cached topics are used while fresh; otherwise the store is polled."""
 
 import asyncio
 
@@ -9,30 +9,30 @@
 from .simulated_clock import run_simulated
 
 
-async def wait(freshness, after_s, note):
-    """Wait until a topic may be used; something is noted meanwhile."""
+async def wait(freshness, after_s, callback):
+    """Return the seconds until a topic is usable; run a callback meanwhile."""
     loop = asyncio.get_running_loop()
     await asyncio.sleep(10)
     started = loop.time()
-    loop.call_later(after_s, note)
+    loop.call_later(after_s, callback)
     await freshness.wait_usable()
     return round(loop.time() - started, 3)
 
 
 def make_freshness(confirmed_at):
-    """Return the age of a topic that was confirmed at a time."""
+    """Return the freshness of a topic that was confirmed at a time."""
     freshness = Freshness(2)
     freshness.note_confirmed(confirmed_at)
     return freshness
 
 
 @pytest.mark.parametrize('confirmed_at', [9, 8])
-def test_young_topic_is_used_at_once(confirmed_at):
+def test_fresh_topic_is_used_at_once(confirmed_at):
     freshness = make_freshness(confirmed_at)
     assert run_simulated(wait(freshness, 0.1, bool)) == 0
 
 
-def test_old_topic_is_used_when_the_store_has_confirmed_it():
+def test_stale_topic_is_used_once_the_store_confirms_it():
     freshness = make_freshness(7)
 
     def confirm():
@@ -41,8 +41,8 @@
     assert run_simulated(wait(freshness, 0.1, confirm)) == 0.1
 
 
-def test_confirmation_that_is_too_old_itself_is_waited_past():
-    """A heartbeat that lay unread for seconds confirms an old list."""
+def test_stale_confirmation_does_not_end_the_wait():
+    """A heartbeat that was read seconds late confirms an old list."""
     freshness = make_freshness(5)
 
     def confirm():
@@ -51,14 +51,14 @@
     assert run_simulated(wait(freshness, 0.1, confirm)) == 0.5
 
 
-def test_nothing_is_waited_for_while_the_store_is_away():
-    """Requests would be held up for as long as an outage lasts."""
+def test_no_wait_while_the_store_is_unreachable():
+    """Otherwise requests would be delayed for the whole outage."""
     freshness = make_freshness(5)
     freshness.note_lost(8)
     assert run_simulated(wait(freshness, 0.1, bool)) == 0
 
 
-def test_request_waits_no_longer_when_the_store_falls_silent():
+def test_wait_ends_when_the_store_becomes_unreachable():
     freshness = make_freshness(5)
 
     def lose():
@@ -71,12 +71,12 @@
     assert run_simulated(wait(make_freshness(5), 9, bool)) == 0.5
 
 
-def test_topic_that_was_never_read_is_waited_for_elsewhere():
-    """Readiness keeps callers away until the first answer."""
+def test_topic_that_was_never_read_is_not_waited_for():
+    """Readiness already keeps callers away until the first answer."""
     assert run_simulated(wait(Freshness(2), 9, bool)) == 0
 
 
-def test_follower_asks_again_in_time_for_those_that_rely_on_it():
+def test_follower_polls_before_its_topic_turns_stale():
     freshness = make_freshness(10)
     assert freshness.limit_wait(0.4, 10.1) == 0.4
     assert freshness.limit_wait(1, 10.5) == pytest.approx(0.54)
