--- a/packages/verbenahall/tests/failures/conftest.py
+++ b/packages/verbenahall/tests/failures/conftest.py
@@ -1,4 +1,4 @@
-"""A small fleet of real processes: platform, endpoints and instances."""
+"""A small fleet of processes: platform, endpoints and instances."""
 
 import asyncio
 import contextlib
@@ -50,7 +50,7 @@
 
 @dataclasses.dataclass(frozen=True)
 class Answer:
-    """What a caller got: the status, 0 for a broken connection, and body."""
+    """An answer as its caller got it; a broken connection has status 0."""
 
     status: int
     body: str
@@ -62,17 +62,17 @@
 
 
 class Fleet:
-    """Running processes by name, and a caller's session."""
+    """Running processes by name, and a caller's HTTP session."""
 
     def __init__(self, folder, session):
         self.folder = folder
         self.session = session
-        self.running = {}
+        self.processes = {}
         self.config = CONFIG
 
     def start(self, name, module, *options):
         running = process.start(f'verbenahall_standins.{module}', *options)
-        self.running[name] = running
+        self.processes[name] = running
 
     async def start_all(self, instances, speed):
         for platform in ('log', 'registry', 'weights'):
@@ -81,8 +81,9 @@
             options = ['--name', engine, '--model', f'{MODEL}=1']
             self.start(engine, 'engine', *options, '--speed', str(speed))
         self.start('pages-1', 'service', '--name', 'pages-1')
-        # The settings name the engines and no service: an instance that
-        # waits for the engines to be listed then knows the service, too.
+        # The settings name the engines but no service. With the service
+        # registered first, an instance that has listed the engines has also
+        # listed the service.
         await self.register('pages-1', 'service')
         await asyncio.gather(
             self.register('engine-1', 'engine'),
@@ -94,8 +95,8 @@
 
     async def start_instance(self, name, log=''):
         config = self.folder / f'{name}.toml'
-        log = log or self.running['log'].address
-        registry = self.running['registry'].address
+        log = log or self.processes['log'].address
+        registry = self.processes['registry'].address
         config.write_text(
             self.config.format(name=name, log=log, registry=registry),
         )
@@ -104,7 +105,9 @@
             (*command, str(config)),
             self.folder / f'{name}.log',
         )
-        self.running[name] = await asyncio.to_thread(process.wait_ready, child)
+        self.processes[name] = await asyncio.to_thread(
+            process.wait_ready, child
+        )
         await self.register(name, 'instance')
 
     async def register(self, name, kind):
@@ -117,7 +120,7 @@
         entry = {
             'name': name,
             'kind': kind,
-            'address': self.running[name].address,
+            'address': self.processes[name].address,
             'data_centre': 'ain',
             'incarnation': incarnation,
             'service': 'pages' if kind == 'service' else '',
@@ -134,7 +137,7 @@
         await self.call('POST', 'log', '/append', json=record)
 
     async def call(self, method, name, path, **options):
-        address = self.running[name].address
+        address = self.processes[name].address
         url = f'http://{address}{path}'
         try:
             async with self.session.request(method, url, **options) as answer:
@@ -162,7 +165,7 @@
         )
 
     async def read_started(self, name):
-        """Return what an endpoint's own record says that it started."""
+        """Return the requests that an endpoint recorded as started."""
         record = await self.call('GET', name, '/record')
         return wire.decode(record.body.encode()).unwrap()['started']
 
@@ -174,15 +177,15 @@
         return len(records[0]) + len(records[1])
 
     async def count_runs(self):
-        """Return the service's runs by key."""
+        """Return the number of the service's runs by idempotency key."""
         keys = [run['key'] for run in await self.read_started('pages-1')]
         return {key: keys.count(key) for key in keys}
 
-    async def link_to(self, name):
-        link = Link(self.running[name].address)
+    async def open_link(self, name):
+        link = Link(self.processes[name].address)
         return link, await link.open()
 
-    async def switch(self, process_name, **fault):
+    async def set_fault(self, process_name, **fault):
         await self.call('POST', process_name, '/faults', json=fault)
 
     async def wait_until_ready(self, name):
@@ -192,38 +195,40 @@
 
 
 class Link:
-    """A TCP link to a process that can be cut."""
+    """A TCP proxy in front of a process; the link can be cut."""
 
     def __init__(self, target):
         self.target = target
-        self.whole = True
+        self.is_open = True
         self.writers = set()
 
     async def open(self):
-        server = await asyncio.start_server(self.join, '127.0.0.1', 0)
+        server = await asyncio.start_server(
+            self.handle_connection, '127.0.0.1', 0
+        )
         host, port = server.sockets[0].getsockname()
         return f'{host}:{port}'
 
     def cut(self):
-        self.whole = False
+        self.is_open = False
         for writer in self.writers:
             writer.transport.abort()
 
-    async def join(self, reader, writer):
+    async def handle_connection(self, reader, writer):
         self.writers.add(writer)
-        if not self.whole:
+        if not self.is_open:
             writer.transport.abort()
             return
         host, port = self.target.split(':')
-        far_reader, far_writer = await asyncio.open_connection(host, port)
-        self.writers.add(far_writer)
+        target_reader, target_writer = await asyncio.open_connection(host, port)
+        self.writers.add(target_writer)
         await asyncio.gather(
-            carry(reader, far_writer),
-            carry(far_reader, writer),
+            copy_bytes(reader, target_writer),
+            copy_bytes(target_reader, writer),
         )
 
 
-async def carry(reader, writer):
+async def copy_bytes(reader, writer):
     with contextlib.suppress(OSError):
         while chunk := await reader.read(65_536):
             writer.write(chunk)
@@ -231,9 +236,9 @@
 
 
 def run_fleet(folder, scenario, instances=('i-1', 'i-2'), speed=20):
-    """Run a scenario against a started fleet, then end every process."""
+    """Start a fleet, run a scenario against it, then kill all processes."""
 
-    async def start_and_play(fleet):
+    async def start_and_run(fleet):
         await fleet.start_all(instances, speed)
         await asyncio.wait_for(scenario(fleet), 90)
 
@@ -241,14 +246,14 @@
         async with ClientSession(connector=TCPConnector(limit=0)) as session:
             fleet = Fleet(Path(folder), session)
             try:
-                await start_and_play(fleet)
+                await start_and_run(fleet)
             finally:
-                await asyncio.to_thread(end_all, fleet.running.values())
+                await asyncio.to_thread(kill_all, fleet.processes.values())
 
     asyncio.run(main())
 
 
-def end_all(started):
+def kill_all(started):
     for running in started:
         with contextlib.suppress(ProcessLookupError):
             running.kill()
@@ -259,24 +264,24 @@
 
 
 @pytest.fixture(scope='module')
-def shared(tmp_path_factory):
-    """Give a function that runs a scenario against one fleet a module.
+def run_shared(tmp_path_factory):
+    """Return a function that runs scenarios against one fleet per module.
 
-    A scenario leaves every process running and no fault switched on.
+    A scenario must leave every process running and clear all faults.
     """
     with asyncio.Runner() as runner:
         session = runner.run(open_session())
         fleet = Fleet(tmp_path_factory.mktemp('fleet'), session)
         with contextlib.ExitStack() as stack:
             stack.callback(lambda: runner.run(session.close()))
-            stack.callback(lambda: end_all(fleet.running.values()))
+            stack.callback(lambda: kill_all(fleet.processes.values()))
             runner.run(fleet.start_all(('i-1', 'i-2'), 20))
             yield lambda scenario: runner.run(scenario(fleet))
 
 
 @pytest.fixture
 def run(tmp_path):
-    """Give a function that runs a scenario against a fleet of processes."""
+    """Return a function that runs a scenario against a new fleet."""
 
     def run_scenario(scenario, **options):
         run_fleet(tmp_path, scenario, **options)
--- a/packages/verbenahall/tests/failures/test_cut_off.py
+++ b/packages/verbenahall/tests/failures/test_cut_off.py
@@ -1,4 +1,4 @@
-"""Instances cut off from the platform, and endpoints that leave."""
+"""Instances that lose the platform, and endpoints that leave."""
 
 import asyncio
 
@@ -6,6 +6,7 @@
 
 pytestmark = pytest.mark.process
 
+#: Time after which a leaving endpoint must get no request, in seconds.
 LEAVING_S = 3
 
 
@@ -17,18 +18,19 @@
 
 
 def test_cut_off_from_the_platform(run):
-    """One instance is cut off from the log, and the list is down for all.
+    """One instance loses the log, and the instance list is down for all.
 
-    Both go on serving; the one that is cut off runs no keyed call. After the
-    healing it knows what the other has run.
+    Both instances must keep serving; the one without the log must refuse
+    keyed calls. Once the link is back it must reject a key that the other
+    instance has run.
     """
 
     async def scenario(fleet):
-        link, address = await fleet.link_to('log')
+        link, address = await fleet.open_link('log')
         await fleet.start_instance('i-3', log=address)
         await fleet.wait_until_ready('i-3')
         link.cut()
-        await fleet.switch('registry', name='down')
+        await fleet.set_fault('registry', name='down')
         await asyncio.sleep(1)
         served = await asyncio.gather(
             *(fleet.complete(name) for name in ('i-1', 'i-3') * 20),
@@ -38,8 +40,8 @@
         assert refused.error['ran'] == 'no'
         assert (await fleet.bill('i-1', 'k')).status == 200
 
-        link.whole = True
-        await fleet.switch('registry', name='clear')
+        link.is_open = True
+        await fleet.set_fault('registry', name='clear')
         async with asyncio.timeout(20):
             while (await fleet.bill('i-3', 'k')).status != 409:
                 await asyncio.sleep(0.1)
@@ -63,18 +65,19 @@
 
 
 def test_leaving_engine_gets_no_new_work(run):
-    """An engine leaves by its own word, then by the list, then falls silent.
+    """An engine announces leaving, is removed from the list, then hangs.
 
-    Three seconds later it gets nothing new, and no caller has noticed.
+    Each time it must get no new request after three seconds, and no request
+    may fail.
     """
 
     async def scenario(fleet):
         statuses = []
         calling = asyncio.create_task(keep_calling(fleet, statuses))
         await asyncio.sleep(0.5)
-        await fleet.switch('engine-2', name='leaving')
+        await fleet.set_fault('engine-2', name='leaving')
         await check_no_new_work(fleet, 'engine-2')
-        await fleet.switch('engine-2', name='clear')
+        await fleet.set_fault('engine-2', name='clear')
         await wait_for_new_work(fleet, 'engine-2')
 
         leave = {'name': 'engine-2'}
@@ -83,7 +86,7 @@
 
         await fleet.register('engine-2', 'engine')
         await wait_for_new_work(fleet, 'engine-2')
-        fleet.running['engine-2'].pause()
+        fleet.processes['engine-2'].pause()
         await asyncio.sleep(LEAVING_S)
         count = len(statuses)
         await asyncio.sleep(1)
--- a/packages/verbenahall/tests/failures/test_stop.py
+++ b/packages/verbenahall/tests/failures/test_stop.py
@@ -1,4 +1,4 @@
-"""Planned stops of real instances under load."""
+"""Planned stops and kills of real instances under load."""
 
 import asyncio
 
@@ -9,20 +9,22 @@
 STREAMS = 200
 
 
-async def call_until_told(fleet, name, outcomes):
-    """Call on kept connections, as a balancer's, until told to close."""
-    told = False
-    while not told:
+async def call_until_closed(fleet, name, outcomes):
+    """Call over a persistent connection until an answer closes it."""
+    must_close = False
+    while not must_close:
         answer = await fleet.call('GET', name, '/services/pages/1')
         outcomes.append(answer.status)
-        told = answer.headers.get('Connection') == 'close' or not answer.status
+        must_close = (
+            answer.headers.get('Connection') == 'close' or not answer.status
+        )
 
 
 def test_sigterm_under_open_streams(run):
-    """The platform stops an instance, twice, under 200 open streams.
+    """The platform sends two SIGTERMs to an instance with 200 open streams.
 
-    Each caller must get its whole answer, and those on kept connections must
-    be told to close them, never be reset.
+    Each caller must get its complete answer. Persistent connections must be
+    closed by a ``Connection: close`` header and must not be reset.
     """
 
     async def scenario(fleet):
@@ -34,15 +36,15 @@
         ]
         outcomes = []
         callers = [
-            asyncio.create_task(call_until_told(fleet, 'i-1', outcomes))
+            asyncio.create_task(call_until_closed(fleet, 'i-1', outcomes))
             for _ in range(8)
         ]
         while len(outcomes) < 40 or await fleet.count_streams() < STREAMS:
             await asyncio.sleep(0.01)
-            # All are open when the stop begins; one that ended tells how.
+            # All streams are open when the stop begins.
             ended = [one.result() for one in streams if one.done()]
             assert not ended
-        stopped = fleet.running['i-1']
+        stopped = fleet.processes['i-1']
         stopped.ask_to_stop()
         stopped.ask_to_stop()
         answers = await asyncio.gather(*streams)
@@ -56,7 +58,7 @@
 
 
 class Balancer:
-    """Sends to instances that say they are ready, as the platform's does."""
+    """Sends to the instances that are ready, as the platform's balancer."""
 
     def __init__(self, fleet, names):
         self.fleet = fleet
@@ -65,7 +67,7 @@
         self.outcomes = []
         self.stopped = False
 
-    async def watch(self):
+    async def poll_readiness(self):
         while not self.stopped:
             answers = await asyncio.gather(
                 *(self.fleet.call('GET', one, '/readyz') for one in self.names),
@@ -78,24 +80,26 @@
             await asyncio.sleep(0.1)
 
     async def send(self, number):
-        turn = number
+        index = number
         while not self.stopped:
-            turn += 1
-            name = self.ready[turn % len(self.ready)]
-            answer = await self.fleet.complete(name, 8, stream=bool(turn % 2))
-            whole = not turn % 2 or 'data: [DONE]' in answer.body
-            self.outcomes.append((answer.status, whole, answer.body[:200]))
+            index += 1
+            name = self.ready[index % len(self.ready)]
+            answer = await self.fleet.complete(name, 8, stream=bool(index % 2))
+            is_complete = not index % 2 or 'data: [DONE]' in answer.body
+            self.outcomes.append(
+                (answer.status, is_complete, answer.body[:200])
+            )
 
 
 def test_rolling_replacement(run):
     """All instances are replaced one after another under load.
 
-    No caller behind the platform's balancer may notice.
+    No request through the platform's balancer may fail.
     """
     names = ('i-1', 'i-2', 'i-3')
 
     async def replace(fleet, name):
-        stopped = fleet.running[name]
+        stopped = fleet.processes[name]
         stopped.ask_to_stop()
         await asyncio.to_thread(stopped.process.wait, 30)
         await fleet.start_instance(name)
@@ -104,7 +108,7 @@
     async def scenario(fleet):
         balancer = Balancer(fleet, names)
         senders = [balancer.send(number) for number in range(8)]
-        running = asyncio.gather(balancer.watch(), *senders)
+        running = asyncio.gather(balancer.poll_readiness(), *senders)
         await replace(fleet, 'i-1')
         await replace(fleet, 'i-2')
         await replace(fleet, 'i-3')
@@ -118,7 +122,7 @@
 
 
 def test_killed_instance_loses_only_its_own(run):
-    """An instance is killed outright while callers use all of them."""
+    """An instance is killed; requests at the other one must not fail."""
 
     async def scenario(fleet):
         names = ('i-1', 'i-2') * 30
@@ -127,11 +131,11 @@
             for name in names
         ]
         await asyncio.sleep(0.3)
-        fleet.running['i-1'].kill()
+        fleet.processes['i-1'].kill()
         answers = await asyncio.gather(*calls)
-        kept = answers[1::2]
-        assert {answer.status for answer in kept} == {200}
-        assert all('data: [DONE]' in answer.body for answer in kept)
+        surviving = answers[1::2]
+        assert {answer.status for answer in surviving} == {200}
+        assert all('data: [DONE]' in answer.body for answer in surviving)
         after = await asyncio.gather(
             *(fleet.complete('i-2') for _ in range(20))
         )
