--- a/packages/verbenahall/tests/failures/test_operators.py
+++ b/packages/verbenahall/tests/failures/test_operators.py
@@ -1,4 +1,4 @@
-"""What an operator sees of real instances through verbenactl."""
+"""verbenactl against real instances."""
 
 import asyncio
 import hashlib
@@ -19,8 +19,8 @@
 """
 
 
-def call(*arguments):
-    """Run verbenactl; return its exit code and what it wrote."""
+def run_verbenactl(*arguments):
+    """Run verbenactl; return its exit code and its output."""
     done = subprocess.run(
         [process.find_script('verbenactl'), *arguments],
         capture_output=True,
@@ -31,18 +31,21 @@
     return done.returncode, done.stdout + done.stderr
 
 
-def play(steps):
-    """Give each command in turn; check its exit code and its output."""
-    for given, code, part in steps:
-        found, output = call(*given)
-        assert (found, part in output) == (code, True), (given, output)
+def run_steps(steps):
+    """Run each command; check its exit code and its output."""
+    for command, expected_code, expected_text in steps:
+        exit_code, output = run_verbenactl(*command)
+        assert (exit_code, expected_text in output) == (expected_code, True), (
+            command,
+            output,
+        )
 
 
 def test_operator_follows_a_change_and_a_request(run):
-    """An operator drains an engine and asks what became of it.
+    """An operator drains an engine and inspects the result.
 
-    They wait until it is in force, see who did it, and read why a request
-    went where it went; an instance that is gone is told as unreachable.
+    The commands wait until the change is in force, show its author, explain
+    the routing of a request, and report an unreachable instance.
     """
 
     async def scenario(fleet):
@@ -50,8 +53,8 @@
         fleet.config += CREDENTIAL.format(sha256=sha256)
         await fleet.start_instance('i-3')
         await fleet.wait_until_ready('i-3')
-        at = ('-i', fleet.running['i-3'].address)
-        log = ('--log', fleet.running['log'].address)
+        at = ('-i', fleet.processes['i-3'].address)
+        log = ('--log', fleet.processes['log'].address)
         team = ('--team', 'fleet', '--author', 'ann')
         answer = await fleet.complete('i-3')
         request = answer.headers['X-Request-Id']
@@ -65,6 +68,6 @@
             (('explain', '--engine', 'engine-1', *at), 0, '"event":"standing'),
             (('status', '-i', '127.0.0.1:1'), 2, 'endpoint_failed'),
         ]
-        await asyncio.to_thread(play, steps)
+        await asyncio.to_thread(run_steps, steps)
 
     run(scenario)
