--- a/packages/verbenahall/tests/failures/test_settings.py
+++ b/packages/verbenahall/tests/failures/test_settings.py
@@ -1,4 +1,4 @@
-"""Settings in real instances that are replaced."""
+"""Settings survive the replacement of instances."""
 
 import asyncio
 
@@ -12,17 +12,15 @@
 
 pytestmark = pytest.mark.process
 
-KEPT = '60'
-
-
+KEPT_RECORDS = '60'
 FORBIDDEN = 403
 
 
 async def read_queues(fleet, name):
-    """Return an instance's queue of each workspace, from its snapshot."""
+    """Return the queue limit of each workspace from a snapshot."""
     answer = await fleet.call('GET', name, '/peer/v1/snapshot')
     if answer.status == FORBIDDEN:
-        # The instance's list does not show any instance of this host yet.
+        # The instance does not list an instance on this host yet.
         return {}
     snapshot = decode_packed(answer.body.encode()).bind(unpack).unwrap()
     fold = SettingsFold(SettingsState())
@@ -32,7 +30,7 @@
 
 
 async def publish(client, name, base, queue):
-    """Publish a workspace's queue; return the offset."""
+    """Publish the queue limit of a workspace; return the offset."""
     change = {
         'path': f'desk/workspaces/{name}',
         'base': base,
@@ -43,7 +41,7 @@
 
 
 async def publish_many(client, count):
-    """Publish one workspace again and again, slower than the log's rate."""
+    """Publish one workspace repeatedly, below the log's rate limit."""
     offset = 0
     queue = 0
     while queue < count:
@@ -52,30 +50,31 @@
         await asyncio.sleep(0.01)
 
 
-def accept(snapshot):
-    """Take any snapshot that is sound."""
+def accept_any(snapshot):
+    """Accept every valid snapshot."""
     return Success(None)
 
 
-async def wait_snapshot(client):
-    """Wait until a snapshot joins the records that the log still keeps."""
+async def wait_for_snapshot(client):
+    """Wait for a snapshot without a gap to the records that are kept."""
     store = SnapshotStore(client)
     joined = Failure(None)
     while joined.value_or(0) == 0:
         await asyncio.sleep(0.05)
         first = (await client.read(0, 1)).unwrap().first
-        joined = await store.take_newest(first - 1, accept)
+        joined = await store.take_newest(first - 1, accept_any)
 
 
 def test_all_instances_killed_after_retention(run):
-    """The log keeps 60 records, 200 follow the first setting, all are killed.
+    """All instances are killed after the log has dropped the first settings.
 
-    Secretaries would find the limits of their workspace gone.
+    The log keeps 60 records and 200 follow the first setting. A new instance
+    must restore the limits of all workspaces from a snapshot.
     """
 
     async def scenario(fleet):
-        fleet.start('short', 'log', '--kept', KEPT)
-        address = fleet.running['short'].address
+        fleet.start('short', 'log', '--kept', KEPT_RECORDS)
+        address = fleet.processes['short'].address
         client = LogClient(address, fleet.session, 'author')
         await asyncio.gather(
             fleet.start_instance('old-1', address),
@@ -83,9 +82,9 @@
         )
         await publish(client, 'first', 0, 7)
         await publish_many(client, 200)
-        await wait_snapshot(client)
-        fleet.running.pop('old-1').kill()
-        fleet.running.pop('old-2').kill()
+        await wait_for_snapshot(client)
+        fleet.processes.pop('old-1').kill()
+        fleet.processes.pop('old-2').kill()
         await fleet.start_instance('new-1', address)
         await fleet.wait_until_ready('new-1')
 
@@ -96,16 +95,16 @@
 
 
 def test_instance_replaced_while_the_log_is_down(run):
-    """The log is down for long and the platform replaces an instance."""
+    """An instance that starts while the log is down has the settings."""
 
     async def scenario(fleet):
-        address = fleet.running['log'].address
+        address = fleet.processes['log'].address
         client = LogClient(address, fleet.session, 'author')
         await publish(client, 'club', 0, 5)
         while 'club' not in await read_queues(fleet, 'i-1'):
             await asyncio.sleep(0.05)
-        await fleet.switch('log', name='down')
-        fleet.running.pop('i-2').kill()
+        await fleet.set_fault('log', name='down')
+        fleet.processes.pop('i-2').kill()
         await fleet.start_instance('i-3')
         await fleet.wait_until_ready('i-3')
 
