--- a/packages/standins/src/verbenahall_standins/platform/__init__.py
+++ b/packages/standins/src/verbenahall_standins/platform/__init__.py
@@ -1,4 +1,4 @@
-"""Stand-ins for the users' platform: store, engines and plain services."""
+"""Stand-ins for the users' platform: store, engines, plain services."""
 
 from verbenahall_standins.platform._duties import DutyStandIn
 from verbenahall_standins.platform._engine import EngineFaults, EngineStandIn
--- a/packages/standins/src/verbenahall_standins/platform/_duties.py
+++ b/packages/standins/src/verbenahall_standins/platform/_duties.py
@@ -1,4 +1,4 @@
-"""The platform's interface for duties: usage reports and orders for engines."""
+"""The platform's API for duties: usage reports and orders for engines."""
 
 import asyncio
 import dataclasses
@@ -18,8 +18,8 @@
 class DutyFaults:
     """Faults that a test switches on.
 
-    ``silent`` leaves calls without an answer, ``busy`` answers 429, and with
-    ``late_s`` calls get no answer and are carried out so many seconds later.
+    ``silent`` leaves calls unanswered and ``busy`` answers 429. With
+    ``late_s`` calls are unanswered and applied after that many seconds.
     """
 
     silent: bool = False
@@ -29,43 +29,43 @@
 
 @final
 class DutyStandIn:
-    """Takes usage reports and orders for the engines of a site.
+    """Accepts usage reports and orders for the engines of a site.
 
-    ``reports`` has the counts of each window, ``broken`` what must never
-    happen.
+    ``reports`` holds the counts of each window, ``broken`` a line for each
+    violated invariant.
     """
 
     def __init__(self, site: Site, boot_s: float = 0.2) -> None:
-        """Have engines that are ordered boot for so long."""
+        """Prepare the API; ordered engines boot for ``boot_s`` seconds."""
         self.faults = DutyFaults()
         self.address = ''
         self.reports: dict[int, dict[str, int]] = {}
         self.broken: list[str] = []
         self.pools = EnginePools(site, boot_s)
-        self._highest: dict[str, int] = {}
+        self._max_tokens: dict[str, int] = {}
         self._holders: dict[tuple[str, int], str] = {}
-        self._late: set[asyncio.Task[None]] = set()
+        self._late_tasks: set[asyncio.Task[None]] = set()
         self._runner: web.AppRunner | None = None
 
     async def start(self) -> None:
-        """Listen on a free port; the site's engines are on demand."""
+        """Listen on a free port; bill the site's engines as on demand."""
         self.pools.adopt()
         app = web.Application()
-        app.router.add_post('/usage', self._take)
-        app.router.add_post('/scale', self._take)
-        served = await listen(app)
-        self._runner = served.runner
-        self.address = served.address
+        app.router.add_post('/usage', self._handle_call)
+        app.router.add_post('/scale', self._handle_call)
+        running = await listen(app)
+        self._runner = running.runner
+        self.address = running.address
 
     async def stop(self) -> None:
-        """Close the listener and end the engines that were ordered."""
-        for task in tuple(self._late):
+        """Close the listener and stop the ordered engines."""
+        for task in tuple(self._late_tasks):
             task.cancel()
         if self._runner is not None:
             await self._runner.cleanup()
         await self.pools.stop()
 
-    async def _take(self, request: web.Request) -> web.Response:
+    async def _handle_call(self, request: web.Request) -> web.Response:
         body = await request.json()
         headers = dict(request.headers)
         if self.faults.silent:
@@ -73,49 +73,49 @@
         if self.faults.busy:
             return web.Response(status=429)
         if self.faults.late_s:
-            work = self._carry_out_late(request.path, headers, body)
+            work = self._apply_call_late(request.path, headers, body)
             task = asyncio.create_task(work)
-            self._late.add(task)
-            task.add_done_callback(self._late.discard)
+            self._late_tasks.add(task)
+            task.add_done_callback(self._late_tasks.discard)
             await asyncio.sleep(3600)
-        return self._carry_out(request.path, headers, body)
+        return self._apply_call(request.path, headers, body)
 
-    async def _carry_out_late(
+    async def _apply_call_late(
         self,
         path: str,
         headers: dict[str, str],
         body: dict[str, Any],
     ) -> None:
         await asyncio.sleep(self.faults.late_s)
-        self._carry_out(path, headers, body)
+        self._apply_call(path, headers, body)
 
-    def _carry_out(
+    def _apply_call(
         self,
         path: str,
         headers: dict[str, str],
         body: dict[str, Any],
     ) -> web.Response:
-        subject = path + str(body.get('zone', ''))
+        duty = path + str(body.get('zone', ''))
         token = int(headers[_TOKEN])
-        known = self._holders.setdefault((subject, token), headers[_HOLDER])
-        if known != headers[_HOLDER]:
+        holder = self._holders.setdefault((duty, token), headers[_HOLDER])
+        if holder != headers[_HOLDER]:
             self.broken.append(f'token {token} of two holders')
-        if token < self._highest.get(subject, 0):
+        if token < self._max_tokens.get(duty, 0):
             return web.Response(status=409)
-        self._highest[subject] = token
+        self._max_tokens[duty] = token
         if path == '/usage':
-            return self._take_report(body)
-        return self._take_order(body)
+            return self._accept_report(body)
+        return self._accept_order(body)
 
-    def _take_report(self, body: dict[str, Any]) -> web.Response:
+    def _accept_report(self, body: dict[str, Any]) -> web.Response:
         counts = body['counts']
         if self.reports.setdefault(body['windowId'], counts) != counts:
             self.broken.append(f'window {body["windowId"]} has two reports')
         return web.json_response({})
 
-    def _take_order(self, body: dict[str, Any]) -> web.Response:
+    def _accept_order(self, body: dict[str, Any]) -> web.Response:
         pool = EnginePool(body['zone'], spot=body.get('spot') is True)
         if self.pools.order(pool, body['desired']):
             return web.json_response({})
-        error = {'error': 'none of that kind is to be had'}
+        error = {'error': 'no engine of this kind is available'}
         return web.json_response(error, status=409)
--- a/packages/standins/src/verbenahall_standins/platform/_serving.py
+++ b/packages/standins/src/verbenahall_standins/platform/_serving.py
@@ -1,4 +1,4 @@
-"""Starts an application on a free loopback port."""
+"""Starts an application on a loopback port."""
 
 import dataclasses
 
@@ -6,17 +6,17 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Served:
+class RunningApp:
     """A running application and its address, ``127.0.0.1:port``."""
 
     runner: web.AppRunner
     address: str
 
 
-async def listen(app: web.Application, port: int = 0) -> Served:
-    """Serve an application, on a free port unless one is given.
+async def listen(app: web.Application, port: int = 0) -> RunningApp:
+    """Serve an application on a port, 0 for a free one.
 
-    Closing connections cancels its handlers.
+    A handler is cancelled when its connection is closed.
     """
     runner = web.AppRunner(
         app,
@@ -28,4 +28,4 @@
     site = web.TCPSite(runner, '127.0.0.1', port)
     await site.start()
     host, port = runner.addresses[0]
-    return Served(runner, f'{host}:{port}')
+    return RunningApp(runner, f'{host}:{port}')
