--- a/packages/standins/src/verbenahall_standins/platform/_engine.py
+++ b/packages/standins/src/verbenahall_standins/platform/_engine.py
@@ -1,4 +1,4 @@
-"""An engine of the platform: reads prompts, generates events, takes orders."""
+"""An engine of the platform: prefill, decode and orders of roles."""
 
 import asyncio
 import dataclasses
@@ -22,13 +22,14 @@
 class EngineFaults:
     """Faults that a test switches on.
 
-    ``full`` refuses everything, ``mute`` accepts and says nothing,
-    ``break_after`` resets a stream after so many events, ``half_event``
-    leaves a part of the next one behind, ``stall_after`` falls silent.
-    ``slow_read_s`` lengthens reads, ``no_orders`` leaves orders unanswered,
-    ``unsigned`` streams bear no signature, ``slow_head_s`` delays the head of
-    a stream. A request with the body ``crash_on`` crashes the engine as it
-    begins to run; it is back ``restart_s`` later under another name.
+    ``full`` refuses every request, ``mute`` accepts requests and never
+    answers. ``break_after`` closes a stream after that many events, with
+    ``half_event`` in the middle of the next event; ``stall_after`` sends no
+    more events after that many. ``slow_read_s`` is the duration of a prefill
+    and ``slow_head_s`` the delay of a stream's head, in seconds.
+    ``no_orders`` leaves orders unanswered, ``unsigned`` omits the stamp of
+    streams. A request with the body ``crash_on`` crashes the engine when it
+    starts; the engine restarts ``restart_s`` seconds later under a new name.
     """
 
     full: bool = False
@@ -46,10 +47,15 @@
 
 @final
 class EngineStandIn:
-    """One engine on loopback; ``runs`` and ``reads`` are what it did."""
+    """One engine on loopback.
+
+    ``runs`` and ``reads`` are the headers of its decodes and prefills,
+    ``freed`` the released KV handles, ``cut`` the requests whose stream was
+    cancelled.
+    """
 
     def __init__(self, name: str, role: str, events: int = 5) -> None:
-        """Prepare an engine whose streams have so many events."""
+        """Prepare an engine whose streams have ``events`` events."""
         self.name = name
         self.role = role
         self.events = events
@@ -62,47 +68,47 @@
         self.orders: list[dict[str, Any]] = []
         self.handles: dict[str, str] = {}
         self.crashes = 0
-        #: Called with the name before a crash, once the engine is back.
-        self.restarted: Callable[[EngineStandIn, str], object] = _ignore
+        #: Called with the old name when the engine has restarted.
+        self.restarted: Callable[[EngineStandIn, str], object] = _ignore_restart
         self._numbers = itertools.count(1)
-        self._restarts: set[asyncio.Task[None]] = set()
-        self._fence = 0
+        self._restart_tasks: set[asyncio.Task[None]] = set()
+        self._max_fence = 0
         self._runner: web.AppRunner | None = None
 
     async def start(self, port: int = 0) -> None:
-        """Listen, on a free port unless one is given."""
+        """Listen on a port, 0 for a free one."""
         app = web.Application()
         app.router.add_get('/-/report', self._report)
         app.router.add_post('/-/order', self._order)
-        app.router.add_delete('/-/kv-handle/{handle}', self._free)
+        app.router.add_delete('/-/kv-handle/{handle}', self._release_handle)
         app.router.add_route('*', '/{path:.*}', self._serve)
-        served = await listen(app, port)
-        self._runner = served.runner
-        self.address = served.address
+        running = await listen(app, port)
+        self._runner = running.runner
+        self.address = running.address
 
     async def stop(self) -> None:
         """Close the listener and every connection."""
-        for restart in tuple(self._restarts):
-            restart.cancel()
+        for restart_task in tuple(self._restart_tasks):
+            restart_task.cancel()
         if self._runner is not None:
             await self._runner.cleanup()
 
     async def crash(self) -> None:
-        """Drop every connection, and be back later as another start."""
+        """Reset every connection and restart later under a new name."""
         self.crashes += 1
         await _abort(self._runner)
-        restart = asyncio.create_task(self._restart())
-        self._restarts.add(restart)
-        restart.add_done_callback(self._restarts.discard)
+        restart_task = asyncio.create_task(self._restart())
+        self._restart_tasks.add(restart_task)
+        restart_task.add_done_callback(self._restart_tasks.discard)
 
     async def _restart(self) -> None:
         await asyncio.sleep(self.faults.restart_s)
         await self._runner.cleanup()
-        before = self.name
-        base, _, _ = before.partition('.')
+        old_name = self.name
+        base, _, _ = old_name.partition('.')
         self.name = f'{base}.{self.crashes}'
         await self.start(int(self.address.rpartition(':')[2]))
-        self.restarted(self, before)
+        self.restarted(self, old_name)
 
     async def _serve(self, request: web.Request) -> web.StreamResponse:
         headers = CIMultiDict(request.headers)
@@ -116,40 +122,40 @@
         if self.faults.full:
             return self._refuse(_REFUSED)
         if headers.get(f'{_PREFIX}Stage') == 'prefill':
-            return await self._read(headers)
+            return await self._prefill(headers)
         if self.role != 'decode':
             return self._refuse(_MISDIRECTED)
         if headers['body'] == self.faults.crash_on:
             self.runs.append(headers)
             await self.crash()
             await asyncio.sleep(3600)
-        return await self._generate(request, headers)
+        return await self._decode(request, headers)
 
-    async def _read(self, headers: CIMultiDict[str]) -> web.Response:
+    async def _prefill(self, headers: CIMultiDict[str]) -> web.Response:
         if self.role != 'prefill':
             return self._refuse(_MISDIRECTED)
         await asyncio.sleep(self.faults.slow_read_s)
         self.reads.append(headers)
         handle = f'{self.name}-h{next(self._numbers)}'
-        identity = headers[f'{_PREFIX}Request-Id']
-        self.handles[handle] = identity
+        request_id = headers[f'{_PREFIX}Request-Id']
+        self.handles[handle] = request_id
         tokens = headers.get(f'{_PREFIX}Token-Count', '0').partition(',')[0]
         return web.json_response(
             {'kvHandle': handle, 'tokens': int(tokens), 'version': 1},
-            headers={f'{_PREFIX}Request-Id': identity},
+            headers={f'{_PREFIX}Request-Id': request_id},
         )
 
-    async def _generate(
+    async def _decode(
         self,
         request: web.Request,
         headers: CIMultiDict[str],
     ) -> web.StreamResponse:
         self.runs.append(headers)
-        identity = headers[f'{_PREFIX}Request-Id']
+        request_id = headers[f'{_PREFIX}Request-Id']
         response = web.StreamResponse(
             headers={
                 'Content-Type': 'text/event-stream',
-                f'{_PREFIX}Request-Id': identity,
+                f'{_PREFIX}Request-Id': request_id,
                 f'{_PREFIX}Server-Stamp': f'{_STAMP}-{self.name}',
             },
         )
@@ -161,17 +167,17 @@
         try:
             for sent, number in enumerate(range(first, self.events + 1)):
                 if sent == self.faults.break_after:
-                    return self._break(request, response)
+                    return self._break_stream(request, response)
                 if sent == self.faults.stall_after:
                     await asyncio.sleep(3600)
                 await response.write(_event(number))
                 await asyncio.sleep(0)
         except asyncio.CancelledError:
-            self.cut.append(identity)
+            self.cut.append(request_id)
             raise
         return response
 
-    def _break(
+    def _break_stream(
         self,
         request: web.Request,
         response: web.StreamResponse,
@@ -186,7 +192,7 @@
         headers = {f'{_PREFIX}Not-Run': '1'}
         return web.Response(status=status, headers=headers)
 
-    async def _free(self, request: web.Request) -> web.Response:
+    async def _release_handle(self, request: web.Request) -> web.Response:
         self.freed.append(request.match_info['handle'])
         return web.Response()
 
@@ -206,11 +212,11 @@
         order = await request.json()
         if self.faults.no_orders:
             await asyncio.sleep(3600)
-        if order['fence'] < self._fence:
+        if order['fence'] < self._max_fence:
             return web.Response(status=412)
         if order['expect'] != len(self.orders):
             return web.Response(status=409)
-        self._fence = order['fence']
+        self._max_fence = order['fence']
         self.orders.append({**order, 'at': time.monotonic()})
         self.role = order['stage']
         return web.Response(status=202)
@@ -225,8 +231,8 @@
         await site.stop()
 
 
-def _ignore(engine: EngineStandIn, before: str) -> None:
-    """List a new start nowhere."""
+def _ignore_restart(engine: EngineStandIn, old_name: str) -> None:
+    """Ignore a restart of an engine that is not listed."""
 
 
 def _event(number: int) -> bytes:
