--- a/packages/standins/src/verbenahall_standins/platform/_plain.py
+++ b/packages/standins/src/verbenahall_standins/platform/_plain.py
@@ -15,15 +15,15 @@
 class PlainStandIn:
     """One plain endpoint; ``runs`` are the headers of what it ran.
 
-    ``status`` is what it answers; ``refuses`` says that it has not run a
-    request, ``mute`` accepts one and says nothing, ``delay_s`` are the seconds
-    that an answer takes, and ``rate`` is what its answers name as the requests
-    a second that it takes. ``arrivals`` are the times of all requests, in
-    monotonic seconds.
+    ``status`` is the status of its answers and ``delay_s`` the seconds that
+    an answer takes. ``refuses`` answers that the request has not run,
+    ``mute`` accepts requests and never answers, ``signs`` adds the stamp to
+    answers. ``rate`` is the rate limit that answers advertise, in requests a
+    second. ``arrivals`` are the times of all requests in monotonic seconds.
     """
 
     def __init__(self, name: str) -> None:
-        """Prepare an endpoint that answers well."""
+        """Prepare an endpoint without faults."""
         self.name = name
         self.role = ''
         self.status = 200
@@ -41,9 +41,9 @@
         """Listen on a free port."""
         app = web.Application()
         app.router.add_route('*', '/{path:.*}', self._serve)
-        served = await listen(app)
-        self._runner = served.runner
-        self.address = served.address
+        running = await listen(app)
+        self._runner = running.runner
+        self.address = running.address
 
     async def stop(self) -> None:
         """Close the listener and every connection."""
@@ -53,9 +53,9 @@
     async def _serve(self, request: web.Request) -> web.Response:
         self.arrivals.append(time.monotonic())
         body = await request.read()
-        named = {} if self.rate is None else {'Server-Limit': self.rate}
+        rate_header = {} if self.rate is None else {'Server-Limit': self.rate}
         if self.refuses:
-            headers = {f'{_PREFIX}Not-Run': '1', **named}
+            headers = {f'{_PREFIX}Not-Run': '1', **rate_header}
             return web.Response(status=503, headers=headers)
         headers = dict(request.headers)
         self.runs.append(
@@ -66,7 +66,7 @@
         await asyncio.sleep(self.delay_s)
         answer = {
             f'{_PREFIX}Request-Id': headers[f'{_PREFIX}Request-Id'],
-            **named,
+            **rate_header,
         }
         if self.signs:
             answer[f'{_PREFIX}Server-Stamp'] = f'stand-in-{self.name}'
