--- a/packages/standins/src/verbenahall_standins/platform/_pools.py
+++ b/packages/standins/src/verbenahall_standins/platform/_pools.py
@@ -1,4 +1,4 @@
-"""Engines that are ordered, boot, are billed, and are taken back."""
+"""Engines that are ordered, booted, billed and reclaimed."""
 
 import asyncio
 import dataclasses
@@ -17,15 +17,15 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class EnginePool:
-    """The engines of one kind in one data centre, the wire's zone."""
+    """The engines of one kind in one data centre (``zone`` on the wire)."""
 
     zone: str
     spot: bool
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class _Billed:
-    """One engine, and since when it is billed."""
+class _BilledEngine:
+    """One engine and the start of its billing, in monotonic seconds."""
 
     pool: EnginePool
     engine: EngineStandIn
@@ -34,56 +34,56 @@
 
 @final
 class EnginePools:
-    """The engines of a site by pool; ``empty`` pools have none to give.
+    """The engines of a site by pool; ``empty`` pools cannot grow.
 
-    ``seconds`` are those that engines which are gone were billed for.
+    ``seconds`` is the billed time of stopped engines.
     """
 
     def __init__(self, site: Site, boot_s: float) -> None:
-        """Have engines boot for so long, and leave as slowly."""
+        """Prepare pools; booting and draining take ``boot_s`` seconds each."""
         self.boot_s = boot_s
         self.empty: set[EnginePool] = set()
         self.seconds: dict[EnginePool, float] = {}
         self._site = site
-        self._engines: dict[str, _Billed] = {}
+        self._engines: dict[str, _BilledEngine] = {}
         self._numbers = itertools.count(1)
-        self._ordered: dict[EnginePool, int] = {}
+        self._desired: dict[EnginePool, int] = {}
         self._tasks: set[asyncio.Task[None]] = set()
 
     def adopt(self) -> None:
-        """Take the engines that the site has for engines on demand."""
+        """Bill the site's existing engines as on demand."""
         for engine in self._site.engines:
             self._bill(EnginePool(_ZONE, spot=False), engine)
 
     async def stop(self) -> None:
-        """End what is under way, and every engine."""
+        """Cancel open boots and drains, and stop every engine."""
         for task in tuple(self._tasks):
             task.cancel()
         for billed in self._engines.values():
             await billed.engine.stop()
 
     def count(self, pool: EnginePool) -> int:
-        """Return how many engines of a pool serve."""
-        return len(self._list(pool))
+        """Return the number of engines in a pool."""
+        return len(self._list_engines(pool))
 
     def order(self, pool: EnginePool, desired: int) -> bool:
-        """Bring a pool to a size; False when it has no engine to give."""
-        more = desired - self._ordered.get(pool, self.count(pool))
-        if more > 0 and pool in self.empty:
+        """Resize a pool; return False if it cannot grow."""
+        growth = desired - self._desired.get(pool, self.count(pool))
+        if growth > 0 and pool in self.empty:
             return False
-        self._ordered[pool] = desired
-        if more > 0:
-            self._spawn(self._boot(pool, more))
-        for engine in self._list(pool)[: max(0, -more)]:
-            self._spawn(self._drain(pool, engine))
+        self._desired[pool] = desired
+        if growth > 0:
+            self._start_task(self._boot(pool, growth))
+        for engine in self._list_engines(pool)[: max(0, -growth)]:
+            self._start_task(self._drain(pool, engine))
         return True
 
     async def reclaim(self, zone: str, notice_s: float) -> None:
-        """Take all spot instances of a data centre back, with a notice."""
+        """Reclaim all spot engines of a data centre after a notice."""
         pool = EnginePool(zone, spot=True)
         self.empty.add(pool)
-        gone = self._list(pool)
-        for engine in gone:
+        reclaimed = self._list_engines(pool)
+        for engine in reclaimed:
             self._site.list_endpoint(
                 engine,
                 zone=zone,
@@ -92,8 +92,8 @@
                 leaves_ms=int(notice_s * _MS),
             )
         await asyncio.sleep(notice_s)
-        for engine in gone:
-            await self._end(pool, engine)
+        for engine in reclaimed:
+            await self._stop_engine(pool, engine)
 
     async def _boot(self, pool: EnginePool, count: int) -> None:
         await asyncio.sleep(self.boot_s)
@@ -113,9 +113,11 @@
             state='draining',
         )
         await asyncio.sleep(self.boot_s)
-        await self._end(pool, engine)
+        await self._stop_engine(pool, engine)
 
-    async def _end(self, pool: EnginePool, engine: EngineStandIn) -> None:
+    async def _stop_engine(
+        self, pool: EnginePool, engine: EngineStandIn
+    ) -> None:
         billed = self._engines.pop(engine.name)
         seconds = time.monotonic() - billed.since
         self.seconds[pool] = self.seconds.get(pool, 0) + seconds
@@ -123,16 +125,18 @@
         await engine.stop()
 
     def _bill(self, pool: EnginePool, engine: EngineStandIn) -> None:
-        self._engines[engine.name] = _Billed(pool, engine, time.monotonic())
+        self._engines[engine.name] = _BilledEngine(
+            pool, engine, time.monotonic()
+        )
 
-    def _list(self, pool: EnginePool) -> list[EngineStandIn]:
+    def _list_engines(self, pool: EnginePool) -> list[EngineStandIn]:
         return [
             billed.engine
             for billed in self._engines.values()
             if billed.pool == pool
         ]
 
-    def _spawn(self, work: Coroutine[Any, Any, None]) -> None:
+    def _start_task(self, work: Coroutine[Any, Any, None]) -> None:
         task = asyncio.create_task(work)
         self._tasks.add(task)
         task.add_done_callback(self._tasks.discard)
