--- a/packages/standins/src/verbenahall_standins/platform/_raw.py
+++ b/packages/standins/src/verbenahall_standins/platform/_raw.py
@@ -1,4 +1,4 @@
-"""An endpoint that answers with bytes of a test's own making."""
+"""An endpoint that answers with raw bytes given by the test."""
 
 import asyncio
 import socket
@@ -6,16 +6,16 @@
 from collections.abc import Sequence
 from typing import Final, final
 
-#: Lingering for no time: the close is a reset.
+#: Linger time of zero: closing the socket resets the connection.
 _NO_LINGER: Final = struct.pack('ii', 1, 0)
 
 
 @final
 class RawEndpoint:
-    """Answers each request with the next of the given pieces of bytes.
+    """Answers each request with the next of the given answers.
 
-    ``None`` in place of bytes resets the connection, an empty piece closes
-    it. A tuple is sent piece by piece.
+    An answer is a sequence of pieces that are sent one by one. ``None`` in
+    place of a piece resets the connection, an empty piece closes it.
     """
 
     def __init__(self, *answers: Sequence[bytes | None]) -> None:
@@ -47,15 +47,15 @@
         writer: asyncio.StreamWriter,
     ) -> None:
         self.connections += 1
-        goes_on = True
-        while goes_on:
+        keep_open = True
+        while keep_open:
             try:
-                goes_on = await self._answer(reader, writer)
+                keep_open = await self._send_answer(reader, writer)
             except (ConnectionError, asyncio.IncompleteReadError):
-                goes_on = False
+                keep_open = False
         writer.close()
 
-    async def _answer(
+    async def _send_answer(
         self,
         reader: asyncio.StreamReader,
         writer: asyncio.StreamWriter,
