--- a/packages/standins/src/verbenahall_standins/platform/_site.py
+++ b/packages/standins/src/verbenahall_standins/platform/_site.py
@@ -1,4 +1,4 @@
-"""A small deployment: a store, engines and plain endpoints, one manifest."""
+"""A small deployment: a store, engines, plain endpoints and a manifest."""
 
 import contextlib
 import itertools
@@ -15,14 +15,14 @@
 
 HOST: Final = 'desk.example'
 _TOPIC: Final = 'keyed.servers'
-#: The kernel gives ports from 32768 on to whoever asks for any.
+#: The range of ports; the kernel assigns ephemeral ports from 32768 on.
 _FIRST_PORT: Final = 20_000
 _LAST_PORT: Final = 32_000
 
 
 @final
 class Site:
-    """Stand-ins that are listed in the store, and the operator's manifest."""
+    """Stand-ins with their entries in the store, and a manifest."""
 
     def __init__(
         self,
@@ -32,19 +32,19 @@
     ) -> None:
         """Prepare; nothing listens before ``start``.
 
-        ``manifest`` holds what every version has besides routes and services.
+        ``manifest`` holds fields that are added to every version.
         """
         self.manifest = manifest or {}
         self.version = 0
         self.store = StoreStandIn()
         self.engines = list(engines)
         for engine in self.engines:
-            engine.restarted = self._relist
+            engine.restarted = self._replace_entry
         self.plain = list(plain)
         self._changes = itertools.count(1)
 
     async def start(self) -> None:
-        """Start all, list them, and publish the manifest."""
+        """Start and list the stand-ins, and publish the manifest."""
         await self.store.start()
         for endpoint in (*self.engines, *self.plain):
             await endpoint.start()
@@ -52,12 +52,12 @@
         self.publish()
 
     async def stop(self) -> None:
-        """Stop all."""
+        """Stop the stand-ins."""
         for endpoint in (*self.engines, *self.plain, self.store):
             await endpoint.stop()
 
     def list_endpoint(self, endpoint: Any, **changes: Any) -> None:
-        """Write an endpoint's entry."""
+        """Write an endpoint's entry, with fields changed or added."""
         entry = {
             'service': 'drafter' if endpoint.role else 'pages',
             'address': endpoint.address,
@@ -83,7 +83,7 @@
         added: Sequence[dict[str, Any]] = (),
         **changes: Any,
     ) -> None:
-        """Publish the next version of the manifest, with routes added."""
+        """Publish the next version of the manifest, with additional routes."""
         self.version += 1
         manifest = {
             **make_manifest(self.version),
@@ -95,7 +95,7 @@
         self.store.put('keyed.op', 'config', record)
 
     def list_services(self, **scaled: Any) -> list[dict[str, Any]]:
-        """Return the services, with the bounds of those that are scaled."""
+        """Return the services, with the scaling bounds given by name."""
         return [
             {**row, 'autoscale': scaled[row['name']]}
             if row['name'] in scaled
@@ -103,9 +103,9 @@
             for row in make_manifest(0)['services']
         ]
 
-    def _relist(self, engine: EngineStandIn, before: str) -> None:
-        """Put a new start of an engine in the place of the one before."""
-        self.unlist(before)
+    def _replace_entry(self, engine: EngineStandIn, old_name: str) -> None:
+        """Replace the entry of an engine that restarted under a new name."""
+        self.unlist(old_name)
         self.list_endpoint(engine)
 
 
@@ -151,7 +151,7 @@
     service: str,
     **changes: Any,
 ) -> dict[str, Any]:
-    """Return a route of a manifest with usual bounds."""
+    """Return a route of a manifest with default bounds."""
     row = {
         'name': prefix.strip('/'),
         'host': HOST,
@@ -176,7 +176,7 @@
 ) -> Path:
     """Write a process's settings on loopback; return the file.
 
-    With ``duty_api`` the process has duties, and usage windows of a second.
+    With ``duty_api`` the process has duties; usage windows last a second.
     """
     path = folder / f'{name}.toml'
     callers, ready, control = (_find_port() for _ in range(3))
@@ -220,7 +220,7 @@
     return path
 
 
-#: Ports in an order of this process's own, none of them twice.
+#: Ports in a random order per process, so that processes rarely collide.
 _ports: Final = itertools.cycle(
     random.SystemRandom().sample(
         range(_FIRST_PORT, _LAST_PORT),
@@ -230,28 +230,29 @@
 
 
 def _find_port() -> int:
-    """Return a port below those that the kernel gives to others.
+    """Return a free port below the kernel's ephemeral range.
 
-    One of the kernel's own range, closed again, may be given to another test
-    process before the gateway binds it. Nor may two gateways of one process
-    get the same one, which no probe shows before they listen.
+    A port of the ephemeral range may be assigned to another test process
+    before the gateway binds it. A port is not returned again until all others
+    were: until the first gateway listens, no probe would show that the port
+    is in use.
     """
     return next(port for port in _ports if _is_free(port))
 
 
 def _is_free(port: int) -> bool:
-    """Whether nobody listens on a port, by TCP and by UDP."""
+    """Whether no socket is bound to a port, by TCP or by UDP."""
     with socket.socket() as probe:
         if not probe.connect_ex(('127.0.0.1', port)):
             return False
     return all(
-        _is_bound(port, kind)
+        _can_bind(port, kind)
         for kind in (socket.SOCK_STREAM, socket.SOCK_DGRAM)
     )
 
 
-def _is_bound(port: int, kind: socket.SocketKind) -> bool:
-    with socket.socket(type=kind) as holder, contextlib.suppress(OSError):
-        holder.bind(('127.0.0.1', port))
+def _can_bind(port: int, kind: socket.SocketKind) -> bool:
+    with socket.socket(type=kind) as bound_socket, contextlib.suppress(OSError):
+        bound_socket.bind(('127.0.0.1', port))
         return True
     return False
