--- a/packages/standins/src/verbenahall_standins/platform/_store.py
+++ b/packages/standins/src/verbenahall_standins/platform/_store.py
@@ -22,8 +22,8 @@
     """Faults that a test switches on.
 
     ``down`` is a status that every call gets, ``silent`` leaves calls
-    without an answer, ``lose_appends`` carries appends out and answers
-    nothing, ``deaf`` lets a poll miss records that come while it waits.
+    unanswered, ``lose_appends`` applies appends without answering, ``deaf``
+    lets a long poll miss the records that are appended while it waits.
     """
 
     down: int = 0
@@ -34,19 +34,19 @@
 
 @final
 class _Topic:
-    """One partition: its records, and how many of the oldest are gone.
+    """One topic: its records from the offset ``first`` on.
 
-    ``newest`` has the offset and the content of each key's newest record,
-    which outlives the deletion of old records.
+    ``newest`` has the offset and the content of each key's newest record; it
+    is kept when old records are deleted.
     """
 
-    __slots__ = ('records', 'first', 'grown', 'newest')
+    __slots__ = ('records', 'first', 'appended', 'newest')
 
     def __init__(self) -> None:
         self.records: list[bytes] = []
         self.first = 0
         self.newest: dict[str, tuple[int, bytes]] = {}
-        self.grown = asyncio.Event()
+        self.appended = asyncio.Event()
 
     @property
     def end(self) -> int:
@@ -55,13 +55,13 @@
     def append(self, records: list[bytes]) -> int:
         offset = self.end
         for number, record in enumerate(records):
-            self._keep(offset + number, record)
+            self._update_newest(offset + number, record)
         self.records.extend(records)
-        self.grown.set()
-        self.grown = asyncio.Event()
+        self.appended.set()
+        self.appended = asyncio.Event()
         return offset
 
-    def _keep(self, offset: int, record: bytes) -> None:
+    def _update_newest(self, offset: int, record: bytes) -> None:
         key, content = _split(record)
         self.newest.pop(key, None)
         if content:
@@ -70,10 +70,10 @@
 
 @final
 class StoreStandIn:
-    """The store on loopback; ``calls`` counts what was asked, by path."""
+    """The store on loopback; ``calls`` counts the requests by path."""
 
     def __init__(self) -> None:
-        """Start without topics."""
+        """Prepare a store without topics."""
         self.faults = StoreFaults()
         self.address = ''
         self.calls: dict[str, int] = {}
@@ -82,13 +82,13 @@
 
     async def start(self) -> None:
         """Listen on a free port."""
-        app = web.Application(middlewares=[self._misbehave])
+        app = web.Application(middlewares=[self._inject_faults])
         app.router.add_post('/-/log-append', self._append)
         app.router.add_get('/-/log-read', self._read)
         app.router.add_get('/-/log-newest', self._newest)
-        served = await listen(app)
-        self._runner = served.runner
-        self.address = served.address
+        running = await listen(app)
+        self._runner = running.runner
+        self.address = running.address
 
     async def stop(self) -> None:
         """Close the listener."""
@@ -96,25 +96,25 @@
             await self._runner.cleanup()
 
     def put(self, topic: str, key: str, content: bytes) -> int:
-        """Write a keyed record as the operator or an endpoint does."""
+        """Append a keyed record, as the operator or an endpoint does."""
         encoded = key.encode()
         record = bytes([len(encoded)]) + encoded + content
-        return self._topic(topic).append([record])
+        return self._get_topic(topic).append([record])
 
     def forget(self, topic: str) -> None:
         """Delete all records but the last one."""
-        found = self._topic(topic)
+        found = self._get_topic(topic)
         kept = found.records[-1:]
         found.first = found.end - len(kept)
         found.records = kept
 
     def newest(self, topic: str) -> dict[str, bytes]:
         """Return the newest content of each key."""
-        kept = self._topic(topic).newest
+        kept = self._get_topic(topic).newest
         return {key: content for key, (_, content) in kept.items()}
 
     @web.middleware
-    async def _misbehave(
+    async def _inject_faults(
         self,
         request: web.Request,
         handler: object,
@@ -130,7 +130,7 @@
         return response
 
     async def _append(self, request: web.Request) -> web.Response:
-        topic = self._topic(request.query['topic'])
+        topic = self._get_topic(request.query['topic'])
         at = request.query.get('at')
         if at is not None and int(at) != topic.end:
             return web.json_response({'end': topic.end}, status=412)
@@ -139,15 +139,15 @@
         return web.json_response({'offset': offset, 'end': topic.end})
 
     async def _read(self, request: web.Request) -> web.Response:
-        topic = self._topic(request.query['topic'])
+        topic = self._get_topic(request.query['topic'])
         start = int(request.query['from'])
         wait_s = int(request.query.get('waitMs', '0')) / _MS
         if start >= topic.end and wait_s:
-            grown = asyncio.Event() if self.faults.deaf else topic.grown
-            # A poll may end without a record.
+            appended = asyncio.Event() if self.faults.deaf else topic.appended
+            # A long poll without a new record returns an empty answer.
             with contextlib.suppress(TimeoutError):
-                await asyncio.wait_for(grown.wait(), wait_s)
-        # Looked at after the wait, in which records may have been deleted.
+                await asyncio.wait_for(appended.wait(), wait_s)
+        # Checked after the wait, since records may be deleted meanwhile.
         if start < topic.first:
             return web.json_response({'first': topic.first}, status=410)
         records = topic.records[start - topic.first :]
@@ -155,7 +155,7 @@
         return web.Response(body=_BOUNDS.pack(topic.end, topic.first) + framed)
 
     async def _newest(self, request: web.Request) -> web.Response:
-        topic = self._topic(request.query['topic'])
+        topic = self._get_topic(request.query['topic'])
         kept = sorted(topic.newest.items())
         after = request.query.get('after', '')
         later = [item for item in kept if item[0] > after]
@@ -174,7 +174,7 @@
             },
         )
 
-    def _topic(self, name: str) -> _Topic:
+    def _get_topic(self, name: str) -> _Topic:
         return self._topics.setdefault(name, _Topic())
 
 
