--- a/packages/standins/src/verbenahall_standins/soak/__init__.py
+++ b/packages/standins/src/verbenahall_standins/soak/__init__.py
@@ -1,6 +1,6 @@
-"""A soak: real instances under drawn faults, and promises checked meanwhile."""
+"""Soak test: real instances under random faults, with checked guarantees."""
 
-from verbenahall_standins.soak._checks import Record, find_broken
+from verbenahall_standins.soak._checks import Record, find_violations
 from verbenahall_standins.soak._plan import Event, Kind, draw_plan
 from verbenahall_standins.soak._proxy import Link, Proxy
 from verbenahall_standins.soak._run import run_soak
@@ -12,6 +12,6 @@
     'Proxy',
     'Record',
     'draw_plan',
-    'find_broken',
+    'find_violations',
     'run_soak',
 )
--- a/packages/standins/src/verbenahall_standins/soak/__main__.py
+++ b/packages/standins/src/verbenahall_standins/soak/__main__.py
@@ -1,7 +1,7 @@
-"""``python -m verbenahall_standins.soak SEED [COUNT] [SECONDS]``: plays seeds.
+"""Soak test: ``python -m verbenahall_standins.soak SEED [COUNT] [SECONDS]``.
 
-Prints a line for each seed, and what was broken. A seed draws the same faults
-each time; what comes of them also depends on the machine.
+Prints a line for each seed with the violations found. A seed always draws the
+same faults; their effects also depend on the machine's timing.
 """
 
 import argparse
@@ -14,40 +14,42 @@
 from verbenahall_standins.soak import run_soak
 
 _SECONDS: Final = 20.0
-_AT_ONCE: Final = 3
+_MAX_PARALLEL: Final = 3
 
 
-async def play(seed: int, seconds: float, places: asyncio.Semaphore) -> bool:
-    """Play a seed when there is a place; tell whether all held."""
-    async with places:
+async def run_seed(seed: int, seconds: float, slots: asyncio.Semaphore) -> bool:
+    """Run a seed in a free slot; return whether it had no violation."""
+    async with slots:
         with tempfile.TemporaryDirectory() as folder:
-            broken = await run_soak(seed, seconds, Path(folder))
-    told = '\n  '.join(broken) if broken else 'all held'
-    sys.stdout.write(f'seed {seed}: {told}\n')
+            violations = await run_soak(seed, seconds, Path(folder))
+    outcome = '\n  '.join(violations) if violations else 'no violations'
+    sys.stdout.write(f'seed {seed}: {outcome}\n')
     sys.stdout.flush()
-    return not broken
+    return not violations
 
 
-async def play_all(first: int, count: int, seconds: float) -> int:
-    """Play seeds, a few at once; return how many broke something."""
-    places = asyncio.Semaphore(_AT_ONCE)
+async def run_seeds(first: int, count: int, seconds: float) -> int:
+    """Run seeds, a few in parallel; return how many had violations."""
+    slots = asyncio.Semaphore(_MAX_PARALLEL)
     seeds = range(first, first + count)
-    plays = (play(seed, seconds, places) for seed in seeds)
-    held = await asyncio.gather(*plays)
-    return held.count(False)
+    runs = (run_seed(seed, seconds, slots) for seed in seeds)
+    results = await asyncio.gather(*runs)
+    return results.count(False)
 
 
 def main() -> int:
-    """Play what the command line asks for."""
+    """Run the seeds given on the command line; return the exit code."""
     parser = argparse.ArgumentParser()
     parser.add_argument('first', type=int)
     parser.add_argument('count', type=int, nargs='?', default=1)
     parser.add_argument('seconds', type=float, nargs='?', default=_SECONDS)
-    given = parser.parse_args()
-    plays = play_all(given.first, given.count, given.seconds)
-    broken = asyncio.run(plays)
-    sys.stdout.write(f'{broken} of {given.count} seeds broke something\n')
-    return int(broken > 0)
+    arguments = parser.parse_args()
+    runs = run_seeds(arguments.first, arguments.count, arguments.seconds)
+    violations = asyncio.run(runs)
+    sys.stdout.write(
+        f'{violations} of {arguments.count} seeds had violations\n'
+    )
+    return int(violations > 0)
 
 
 if __name__ == '__main__':
--- a/packages/standins/src/verbenahall_standins/soak/_callers.py
+++ b/packages/standins/src/verbenahall_standins/soak/_callers.py
@@ -1,4 +1,4 @@
-"""Callers of one instance, and what each of them got."""
+"""Callers of one instance, and records of their requests."""
 
 import asyncio
 import itertools
@@ -13,15 +13,15 @@
 from verbenahall_standins.soak._instances import Instance
 
 _PREFIX: Final = 'X-Verbenahall-'
-_WAIT_S: Final = 2.0
-_WAIT_MS: Final = '2000'
-#: After this long a caller has surely no answer, in seconds.
-_PATIENCE_S: Final = 6.0
+_DEADLINE_S: Final = 2.0
+_DEADLINE_MS: Final = '2000'
+#: Timeout of a caller, in seconds; far beyond the request's deadline.
+_TIMEOUT_S: Final = 6.0
 _PAUSE_S: Final = 0.1
-#: A caller's answer was cut after its head.
-CUT: Final = -1
-#: What is asked in turn: method, path, whether it may run more than once.
-_ASKED: Final = (
+#: Status of an answer that broke off after its head.
+TRUNCATED: Final = -1
+#: Requests sent in turn: method, path, whether they may run repeatedly.
+_REQUESTS: Final = (
     ('GET', '/archive/1', True),
     ('POST', '/proof/1', False),
     ('POST', '/summary/1', True),
@@ -32,66 +32,67 @@
 
 @final
 class Callers:
-    """Asks one instance again and again over connections that stay open."""
+    """Sends requests to one instance over persistent connections."""
 
     def __init__(
         self,
         instance: Instance,
         numbers: 'itertools.count[int]',
-        read_version: Callable[[], int],
-        read_key: Callable[[], str],
+        get_version: Callable[[], int],
+        get_key: Callable[[], str],
     ) -> None:
-        """Ask ``instance``; ``read_version`` tells the newest manifest's.
+        """Send to ``instance``, with request ids from ``numbers``.
 
-        ``read_key`` returns the API key that is in force.
+        ``get_version`` returns the version of the newest manifest, ``get_key``
+        the API key that is in force.
         """
         self.records: list[Record] = []
         self._instance = instance
         self._numbers = numbers
-        self._read_version = read_version
-        self._read_key = read_key
+        self._get_version = get_version
+        self._get_key = get_key
         self._session: aiohttp.ClientSession | None = None
-        self._open: set[asyncio.Task[Record]] = set()
+        self._open_requests: set[asyncio.Task[Record]] = set()
 
     async def start(self) -> None:
         """Open the session."""
         self._session = aiohttp.ClientSession()
-        # A call that the library sends again by itself would look as if the
-        # instance had run it twice.
+        # A request that aiohttp repeats by itself would be counted as run
+        # twice by the instance.
         self._session._retry_connection = False  # noqa: SLF001, WPS437
 
     async def run(self) -> None:
-        """Ask until cancelled."""
-        for method, path, repeatable in itertools.cycle(_ASKED):
-            self._spawn(method, path, repeatable=repeatable)
-            version = self._read_version()
+        """Send requests until cancelled."""
+        for method, path, repeatable in itertools.cycle(_REQUESTS):
+            self._start_request(method, path, repeatable=repeatable)
+            version = self._get_version()
             if version > 1:
-                self._spawn('GET', f'/v{version}/1', version=version)
+                self._start_request('GET', f'/v{version}/1', version=version)
             await asyncio.sleep(_PAUSE_S)
 
     async def stop(self) -> None:
-        """Wait for what is open, and close the session."""
-        await asyncio.gather(*self._open)
+        """Wait for open requests and close the session."""
+        await asyncio.gather(*self._open_requests)
         if self._session is not None:
             await self._session.close()
 
-    async def ask_with(self, key: str) -> Record:
-        """Ask once with a key."""
-        return await self._ask('GET', '/archive/1', key=key)
+    async def send_with_key(self, key: str) -> Record:
+        """Send one request with a key."""
+        return await self._send('GET', '/archive/1', key=key)
 
-    async def ask_all(self) -> list[Record]:
-        """Ask once for everything that the instance serves."""
+    async def send_all(self) -> list[Record]:
+        """Send one request by each route that the instance serves."""
         records = [
-            await self._ask(method, path, repeatable=repeatable)
-            for method, path, repeatable in _ASKED
+            await self._send(method, path, repeatable=repeatable)
+            for method, path, repeatable in _REQUESTS
         ]
-        version = self._read_version()
+        version = self._get_version()
         if version > 1:
             path = f'/v{version}/1'
-            records.append(await self._ask('GET', path, version=version))
+            records.append(await self._send('GET', path, version=version))
         return records
 
-    def _spawn(
+    def _start_request(
         self,
         method: str,
         path: str,
@@ -99,12 +100,14 @@
         repeatable: bool = True,
         version: int = 0,
     ) -> None:
-        asking = self._ask(method, path, repeatable=repeatable, version=version)
-        task = asyncio.create_task(asking)
-        self._open.add(task)
-        task.add_done_callback(self._open.discard)
+        sending = self._send(
+            method, path, repeatable=repeatable, version=version
+        )
+        task = asyncio.create_task(sending)
+        self._open_requests.add(task)
+        task.add_done_callback(self._open_requests.discard)
 
-    async def _ask(
+    async def _send(
         self,
         method: str,
         path: str,
@@ -113,21 +116,21 @@
         version: int = 0,
         key: str = '',
     ) -> Record:
-        identity = f'{next(self._numbers):016x}'
+        request_id = f'{next(self._numbers):016x}'
         sent_at = time.monotonic()
-        key = key or self._read_key()
-        status, whole = await self._exchange(method, path, identity, key)
+        key = key or self._get_key()
+        status, complete = await self._exchange(method, path, request_id, key)
         ended_at = time.monotonic()
         record = Record(
-            identity=identity,
+            request_id=request_id,
             instance=self._instance.name,
             sent_at=sent_at,
             ended_at=ended_at,
-            wait_s=_WAIT_S,
+            wait_s=_DEADLINE_S,
             status=status,
-            whole=whole,
+            complete=complete,
             repeatable=repeatable,
-            excused=self._instance.was_disturbed(sent_at, ended_at, status),
+            disturbed=self._instance.was_disturbed(sent_at, ended_at, status),
             version=version,
         )
         self.records.append(record)
@@ -137,13 +140,13 @@
         self,
         method: str,
         path: str,
-        identity: str,
+        request_id: str,
         key: str,
     ) -> tuple[int, bool]:
         url = f'http://{self._instance.settings.callers}{path}'
         headers = {
             'Host': HOST,
-            f'{_PREFIX}Request-Id': identity,
+            f'{_PREFIX}Request-Id': request_id,
             f'{_PREFIX}Deadline-Ms': '2000',
             f'{_PREFIX}Model': 'm',
             f'{_PREFIX}Token-Count': '1000,50',
@@ -153,23 +156,25 @@
         }
         status = 0
         try:
-            async with asyncio.timeout(_PATIENCE_S):
+            async with asyncio.timeout(_TIMEOUT_S):
                 async with self._session.request(
                     method,
                     url,
                     headers=headers,
                 ) as response:
-                    status = CUT
+                    status = TRUNCATED
                     body = await response.text()
-                    return response.status, _is_whole(response.headers, body)
+                    return response.status, _is_complete(response.headers, body)
         except (aiohttp.ClientError, OSError, TimeoutError):
             return status, False
 
 
-def _is_whole(headers: object, body: str) -> bool:
+def _is_complete(headers: object, body: str) -> bool:
     if f'{_PREFIX}Server-Stamp' not in headers:
         return False
     if body.startswith('id: '):
-        found = [line for line in body.splitlines() if line.startswith('id: ')]
-        return tuple(found) == _EVENTS
+        event_ids = [
+            line for line in body.splitlines() if line.startswith('id: ')
+        ]
+        return tuple(event_ids) == _EVENTS
     return body.startswith('page from ')
--- a/packages/standins/src/verbenahall_standins/soak/_checks.py
+++ b/packages/standins/src/verbenahall_standins/soak/_checks.py
@@ -1,20 +1,20 @@
-"""What callers and endpoints saw, held against what is promised."""
+"""Checks the records of callers and endpoints against the guarantees."""
 
 import collections
 import dataclasses
 from collections.abc import Iterable, Iterator, Mapping, Sequence
 from typing import Any, Final
 
-#: Answers that say that nothing has run.
+#: Statuses that state that the request has not run.
 _REFUSALS: Final = frozenset((429, 503))
 _GOOD: Final = 200
 _UNKNOWN_ROUTE: Final = 404
-#: How much later than the deadline an answer may be, in seconds: the machine
-#: that runs all of it is busy.
+#: Allowed delay of an answer after its deadline, in seconds: one busy machine
+#: runs all processes.
 _GRACE_S: Final = 1.5
 
 
-#: The orders that one engine accepted, as it got them.
+#: The orders that one engine accepted, in order of arrival.
 _Accepted = Sequence[Mapping[str, Any]]
 
 
@@ -22,33 +22,33 @@
 class Record:
     """One request as its caller saw it.
 
-    ``status`` is 0 without an answer. ``whole`` tells that the answer was
-    signed and complete, ``excused`` that its instance was stopped, frozen or
-    killed meanwhile. ``version`` is that of the manifest whose route it took,
-    0 for a route that is always there.
+    ``status`` is 0 without an answer. ``complete`` is true for a signed and
+    complete answer, ``disturbed`` if the instance was stopped, frozen or
+    killed meanwhile. ``version`` is the manifest version that added the
+    request's route, 0 for a route that every version has.
     """
 
-    identity: str
+    request_id: str
     instance: str
     sent_at: float
     ended_at: float
     wait_s: float
     status: int
-    whole: bool
+    complete: bool
     repeatable: bool
-    excused: bool
+    disturbed: bool
     version: int = 0
 
 
-def find_broken(
+def find_violations(
     records: Sequence[Record],
     runs: Mapping[str, int],
     orders: Iterable[_Accepted],
 ) -> list[str]:
-    """Return what was broken, one line each; nothing when all held.
+    """Return the violated guarantees, one line each.
 
-    ``runs`` counts by request what endpoints ran, ``orders`` has what each
-    engine accepted, in order.
+    ``runs`` counts the runs at endpoints by request id, ``orders`` has the
+    accepted orders of each engine, in order.
     """
     return [
         *_check_answers(records),
@@ -60,19 +60,19 @@
 
 def _check_answers(records: Sequence[Record]) -> Iterator[str]:
     for record in records:
-        fault = '' if record.excused else _find_fault(record)
+        fault = '' if record.disturbed else _describe_fault(record)
         if fault:
-            yield f'{record.identity} of {record.instance}: {fault}'
+            yield f'{record.request_id} of {record.instance}: {fault}'
 
 
-def _find_fault(record: Record) -> str:
+def _describe_fault(record: Record) -> str:
     late_s = record.ended_at - record.sent_at - record.wait_s
     if late_s > _GRACE_S:
-        return f'answered {late_s:.1f} s late'
+        return f'answered {late_s:.1f} s after its deadline'
     if not record.status:
         return 'no answer'
-    if record.status == _GOOD and not record.whole:
-        return 'a good status on half an answer'
+    if record.status == _GOOD and not record.complete:
+        return 'status 200 on an incomplete answer'
     return ''
 
 
@@ -81,24 +81,27 @@
     runs: Mapping[str, int],
 ) -> Iterator[str]:
     for record in records:
-        count = runs.get(record.identity, 0)
+        count = runs.get(record.request_id, 0)
         if count > 1 and not record.repeatable:
-            yield f'{record.identity}: ran {count} times'
+            yield f'{record.request_id}: ran {count} times'
         if count and record.status in _REFUSALS:
-            yield f'{record.identity}: said not to have run, and had'
+            yield f'{record.request_id}: ran, but was answered as not run'
 
 
 def _check_versions(records: Sequence[Record]) -> Iterator[str]:
-    """No instance goes back behind a manifest that it has served by."""
+    """No instance returns to a manifest older than one it has used."""
     served: collections.Counter[str] = collections.Counter()
     for record in sorted(records, key=lambda one: one.ended_at):
-        known = served[record.instance]
+        newest = served[record.instance]
         if record.status == _GOOD and record.version:
-            served[record.instance] = max(known, record.version)
-        # Sent before the newer one was seen, it may have been judged before.
-        is_back = record.status == _UNKNOWN_ROUTE and record.version <= known
-        if is_back and not record.excused:
-            yield f'{record.identity}: {record.instance} went back'
+            served[record.instance] = max(newest, record.version)
+        # A 404 for a newer version is allowed: the instance may have handled
+        # the request before it received that manifest.
+        is_reverted = (
+            record.status == _UNKNOWN_ROUTE and record.version <= newest
+        )
+        if is_reverted and not record.disturbed:
+            yield f'{record.request_id}: {record.instance} lost a manifest'
 
 
 def _check_orders(
@@ -108,8 +111,8 @@
     for accepted in orders:
         tokens = [order['fence'] for order in accepted]
         if tokens != sorted(tokens):
-            yield f'fencing tokens fell: {tokens}'
+            yield f'fencing tokens decreased: {tokens}'
         for order in accepted:
             holder = holders.setdefault(order['fence'], order['holder'])
             if holder != order['holder']:
-                yield f'two holders under the token {order["fence"]}'
+                yield f'two holders with the token {order["fence"]}'
--- a/packages/standins/src/verbenahall_standins/soak/_deployment.py
+++ b/packages/standins/src/verbenahall_standins/soak/_deployment.py
@@ -1,4 +1,4 @@
-"""What a soak disturbs: stand-ins, the links to them, and instances."""
+"""The deployment under test: stand-ins, proxies to them, and instances."""
 
 import asyncio
 import itertools
@@ -21,21 +21,22 @@
 
 _INSTANCES: Final = 3
 _PLAIN: Final = 2
-#: Engines of each role that the planner would give them.
+#: Engines of each role, as the planner would assign them.
 _ENGINES: Final[Mapping[str, int]] = MappingProxyType(
     {'prefill': 3, 'decode': 2},
 )
-_LOOK_S: Final = 0.1
-#: Whose requests the callers' are, and whose key is never replaced.
+_POLL_S: Final = 0.1
+#: Workspace of the callers.
 WORKSPACE: Final = 'desk'
-_OTHER: Final = 'council'
+#: Workspace whose key is never replaced.
+_OTHER_WORKSPACE: Final = 'council'
 
 
 @final
 class Deployment:
     """One site on loopback; ``version`` is that of its newest manifest.
 
-    ``key`` is the callers' API key, and ``retired`` the one before it.
+    ``key`` is the callers' API key, ``revoked_key`` their previous one.
     """
 
     def __init__(self, folder: Path) -> None:
@@ -47,8 +48,8 @@
         ]
         plain = [PlainStandIn(f'page-{number}') for number in range(_PLAIN)]
         self.key = 'key-1'
-        self.retired = ''
-        self.site = Site(engines, plain, self._list_tenants())
+        self.revoked_key = ''
+        self.site = Site(engines, plain, self._make_tenants())
         self.duties = DutyStandIn(self.site)
         self.version = 1
         self.links: dict[str, Proxy] = {}
@@ -56,7 +57,7 @@
         self.instances: list[Instance] = []
         self.callers: list[Callers] = []
         self._folder = folder
-        self._listed: dict[str, str] = {}
+        self._listed_roles: dict[str, str] = {}
         self._numbers = itertools.count(1)
 
     @property
@@ -65,35 +66,35 @@
         return (*self.site.engines, *self.site.plain)
 
     async def start(self) -> None:
-        """Start all, and wait until callers may come."""
+        """Start all components and wait until the instances are ready."""
         await self.site.start()
         await self.duties.start()
         for endpoint in self.endpoints:
             link = Proxy(endpoint.address)
             await link.start()
             self.links[endpoint.name] = link
-            self._list(endpoint)
+            self._list_endpoint(endpoint)
         for number in range(_INSTANCES):
             await self._start_instance(f'front-{number}')
         await asyncio.gather(*(one.wait_ready() for one in self.instances))
 
     async def stop(self) -> None:
-        """End all."""
+        """Wait for the callers and stop all components."""
         await asyncio.gather(*(one.stop() for one in self.callers))
         links = (*self.links.values(), *self.store_links)
-        for part in (*self.instances, *links, self.duties, self.site):
-            await part.stop()
+        for component in (*self.instances, *links, self.duties, self.site):
+            await component.stop()
 
-    async def follow_roles(self) -> None:
-        """Write an engine's entry anew when its role has changed."""
+    async def update_entries(self) -> None:
+        """Rewrite an engine's entry whenever its role has changed."""
         while True:
             for engine in self.site.engines:
-                if self._listed[engine.name] != engine.role:
-                    self._list(engine)
-            await asyncio.sleep(_LOOK_S)
+                if self._listed_roles[engine.name] != engine.role:
+                    self._list_endpoint(engine)
+            await asyncio.sleep(_POLL_S)
 
     def publish(self) -> None:
-        """Publish a manifest with one route more."""
+        """Publish a manifest with one more route."""
         self.version += 1
         self.site.publish(
             added=[
@@ -103,14 +104,14 @@
         )
 
     def replace_key(self) -> None:
-        """Give the callers another key, and take theirs away."""
-        self.retired = self.key
+        """Replace the callers' API key and revoke the previous one."""
+        self.revoked_key = self.key
         self.key = f'key-{self.site.version + 1}'
-        self.site.manifest = self._list_tenants()
+        self.site.manifest = self._make_tenants()
         self.publish()
 
-    def _list_tenants(self) -> dict[str, Any]:
-        tenants = ((WORKSPACE, self.key), (_OTHER, 'other-key'))
+    def _make_tenants(self) -> dict[str, Any]:
+        tenants = ((WORKSPACE, self.key), (_OTHER_WORKSPACE, 'other-key'))
         return {
             'tenants': [
                 {'name': name, 'apiKeys': [key]} for name, key in tenants
@@ -139,7 +140,7 @@
         await callers.start()
         self.callers.append(callers)
 
-    def _list(self, endpoint: EngineStandIn | PlainStandIn) -> None:
-        self._listed[endpoint.name] = endpoint.role
+    def _list_endpoint(self, endpoint: EngineStandIn | PlainStandIn) -> None:
+        self._listed_roles[endpoint.name] = endpoint.role
         address = self.links[endpoint.name].address
         self.site.list_endpoint(endpoint, address=address)
--- a/packages/standins/src/verbenahall_standins/soak/_instances.py
+++ b/packages/standins/src/verbenahall_standins/soak/_instances.py
@@ -1,4 +1,4 @@
-"""The entry instances as processes that are stopped, frozen and restarted."""
+"""Entry instances as processes that are frozen, killed and restarted."""
 
 import asyncio
 import dataclasses
@@ -14,45 +14,48 @@
 
 from verbenahall.platform import READY, ProcessSettings, read_settings
 
-#: Calls that end so long after a disturbance may still suffer from it: what
-#: waited in the meantime is worked off, in seconds.
-_AFTER_S: Final = 1.0
-#: Bound on a start, in seconds; the store may be away for three of them.
-_READY_S: Final = 30.0
-_LOOK_S: Final = 0.05
+#: Time after a disturbance in which requests may still fail or be late, in
+#: seconds: the requests that waited meanwhile are handled first.
+_RECOVERY_S: Final = 1.0
+#: Timeout of a start, in seconds; the store may be down for three of them.
+_READY_TIMEOUT_S: Final = 30.0
+_POLL_S: Final = 0.05
 
 
 @dataclasses.dataclass(slots=True)
-class _Window:
-    """When a process cannot be relied on; ``gently`` by new callers only."""
+class _Disturbance:
+    """A time in which requests to a process may fail.
 
-    began: float
-    gently: bool
-    until: float = float('inf')
+    If it is ``graceful``, only new connections may fail.
+    """
+
+    started_at: float
+    graceful: bool
+    ended_at: float = float('inf')
 
 
 @final
 class Instance:
-    """One gateway process, started again under the same settings."""
+    """One gateway process, restarted with the same settings."""
 
     def __init__(self, name: str, path: Path) -> None:
-        """Prepare to start it with the settings at ``path``."""
+        """Prepare a process with the settings at ``path``."""
         self.name = name
         self.settings: ProcessSettings = read_settings(path).unwrap()
-        self.exits: list[int] = []
+        self.exit_codes: list[int] = []
         self._path = path
         self._output = path.with_suffix('.log')
         self._process: asyncio.subprocess.Process | None = None
         self._restarting = False
-        self._windows: list[_Window] = []
+        self._disturbances: list[_Disturbance] = []
 
     @property
-    def runs(self) -> bool:
-        """Whether the process is there."""
+    def is_running(self) -> bool:
+        """Whether the process is running."""
         return self._process is not None and self._process.returncode is None
 
     async def start(self) -> None:
-        """Start the process; its output is kept beside its settings."""
+        """Start the process; its output goes to a file beside the settings."""
         with self._output.open('ab') as stdout:
             self._process = await asyncio.create_subprocess_exec(
                 sys.executable,
@@ -63,66 +66,68 @@
             )
 
     async def wait_ready(self) -> None:
-        """Wait until the balancer would send callers here."""
+        """Wait until the readiness endpoint answers 200."""
         url = f'http://{self.settings.readiness}{READY}'
         async with (
-            asyncio.timeout(_READY_S),
+            asyncio.timeout(_READY_TIMEOUT_S),
             aiohttp.ClientSession() as session,
         ):
             while await _read_status(session, url) != HTTPStatus.OK:
-                await asyncio.sleep(_LOOK_S)
+                await asyncio.sleep(_POLL_S)
 
     async def stop(self) -> None:
-        """Kill the process at the soak's end."""
-        if self.runs:
+        """Kill the process at the end of the soak."""
+        if self.is_running:
             self._process.kill()
             await self._process.wait()
 
-    def send(self, number: signal.Signals) -> None:
-        """Send a signal, unless the process is being started again."""
-        if self.runs:
-            self._process.send_signal(number)
+    def send(self, signal_number: signal.Signals) -> None:
+        """Send a signal if the process is running."""
+        if self.is_running:
+            self._process.send_signal(signal_number)
 
     async def freeze(self, for_s: float) -> None:
-        """Stop the process for a while, as a suspended machine is."""
-        window = self._open_window(gently=False)
+        """Suspend the process for ``for_s`` seconds, like a paused machine."""
+        disturbance = self._add_disturbance(graceful=False)
         self.send(signal.SIGSTOP)
         await asyncio.sleep(for_s)
         self.send(signal.SIGCONT)
-        window.until = time.monotonic()
+        disturbance.ended_at = time.monotonic()
 
-    async def restart(self, number: signal.Signals) -> None:
-        """End the process by a signal and start it anew."""
-        if not self.runs or self._restarting:
-            # Two starts would fight for the ports.
+    async def restart(self, signal_number: signal.Signals) -> None:
+        """End the process with a signal and restart it."""
+        if not self.is_running or self._restarting:
+            # Two concurrent starts would bind the same ports.
             return
         self._restarting = True
-        gently = number is signal.SIGTERM
-        window = self._open_window(gently=gently)
-        self.send(number)
+        graceful = signal_number is signal.SIGTERM
+        disturbance = self._add_disturbance(graceful=graceful)
+        self.send(signal_number)
         exit_code = await self._process.wait()
-        if gently:
-            self.exits.append(exit_code)
+        if graceful:
+            self.exit_codes.append(exit_code)
         await self.start()
         await self.wait_ready()
         self._restarting = False
-        window.until = time.monotonic()
+        disturbance.ended_at = time.monotonic()
 
     def was_disturbed(self, start: float, end: float, status: int) -> bool:
-        """Tell whether a call may have suffered from what was done here.
+        """Return whether a disturbance may have affected a request.
 
-        A process that ends gently answers all that it has taken in.
+        A process that ends gracefully answers all accepted requests, so that
+        only requests without an answer (``status`` 0) count as affected.
         """
         return any(
-            window.began <= end and start <= window.until + _AFTER_S
-            for window in self._windows
-            if not window.gently or not status
+            disturbance.started_at <= end
+            and start <= disturbance.ended_at + _RECOVERY_S
+            for disturbance in self._disturbances
+            if not disturbance.graceful or not status
         )
 
-    def _open_window(self, *, gently: bool) -> _Window:
-        window = _Window(time.monotonic(), gently)
-        self._windows.append(window)
-        return window
+    def _add_disturbance(self, *, graceful: bool) -> _Disturbance:
+        disturbance = _Disturbance(time.monotonic(), graceful)
+        self._disturbances.append(disturbance)
+        return disturbance
 
 
 async def _read_status(session: aiohttp.ClientSession, url: str) -> int:
--- a/packages/standins/src/verbenahall_standins/soak/_plan.py
+++ b/packages/standins/src/verbenahall_standins/soak/_plan.py
@@ -1,4 +1,4 @@
-"""What goes wrong when, drawn from a seed."""
+"""The plan of a soak: random faults and their times, from a seed."""
 
 import dataclasses
 import enum
@@ -7,18 +7,19 @@
 from types import MappingProxyType
 from typing import Final, final
 
-#: Seconds without faults at the start and at the end: to get going, and for
-#: what must hold again after the last fault.
+#: Time without faults at the start, for warming up, and at the end, to check
+#: the recovery from the last fault; in seconds.
 _QUIET_S: Final = 1.5
-_SHORTEST_S: Final = 0.4
-_LONGEST_S: Final = 3.0
-#: Faults that overlap or follow each other, by second of the soak.
-_FAULTS_A_SECOND: Final = 0.7
+#: Bounds of a fault's length, in seconds.
+_MIN_FAULT_S: Final = 0.4
+_MAX_FAULT_S: Final = 3.0
+#: Faults that start per second of the soak; they may overlap.
+_FAULTS_PER_S: Final = 0.7
 
 
 @final
 class Kind(enum.Enum):
-    """Kinds of events; most end after a while by themselves."""
+    """Kinds of events; most last for the length of the event."""
 
     ENDPOINT_LINK = 'endpoint_link'
     STORE_LINK = 'store_link'
@@ -37,7 +38,7 @@
     DUTIES_SILENT = 'duties_silent'
 
 
-#: How often each kind is drawn against the others.
+#: Relative frequency of each kind.
 _WEIGHTS: Final[Mapping[Kind, int]] = MappingProxyType(
     {
         Kind.ENDPOINT_LINK: 4,
@@ -57,46 +58,46 @@
         Kind.DUTIES_SILENT: 1,
     },
 )
-#: Bound of the drawn numbers; much larger than any number of targets.
-_DRAWN: Final = 65_536
+#: Upper bound of drawn numbers; far above the number of targets.
+_DRAW_LIMIT: Final = 65_536
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Event:
     """One fault: its start and length in seconds.
 
-    ``place`` and ``shape`` are drawn numbers; whoever carries the event out
-    takes them modulo the number of targets and of variants there are.
+    ``target_draw`` and ``shape`` are random numbers that select the target
+    and the variant, modulo the number of targets and of variants.
     """
 
     at: float
     kind: Kind
     for_s: float
-    place: int
+    target_draw: int
     shape: int
 
 
 def draw_plan(seed: int, seconds: float) -> list[Event]:
-    """Draw the events of a soak; the same seed gives the same ones.
+    """Draw the events of a soak; the same seed gives the same events.
 
     An example::
 
         draw_plan(seed=1, seconds=20)[0].kind
     """
-    source = random.Random(seed)
-    last = max(_QUIET_S, seconds - _QUIET_S - _LONGEST_S)
-    count = max(1, round((last - _QUIET_S) * _FAULTS_A_SECOND))
-    drawn = [_draw(source, last) for _ in range(count)]
-    return sorted(drawn, key=lambda event: event.at)
+    rng = random.Random(seed)
+    latest_start = max(_QUIET_S, seconds - _QUIET_S - _MAX_FAULT_S)
+    count = max(1, round((latest_start - _QUIET_S) * _FAULTS_PER_S))
+    events = [_draw_event(rng, latest_start) for _ in range(count)]
+    return sorted(events, key=lambda event: event.at)
 
 
-def _draw(source: random.Random, last: float) -> Event:
+def _draw_event(rng: random.Random, latest_start: float) -> Event:
     kinds = list(_WEIGHTS)
     weights = list(_WEIGHTS.values())
     return Event(
-        at=source.uniform(_QUIET_S, last),
-        kind=source.choices(kinds, weights)[0],
-        for_s=source.uniform(_SHORTEST_S, _LONGEST_S),
-        place=source.randrange(_DRAWN),
-        shape=source.randrange(_DRAWN),
+        at=rng.uniform(_QUIET_S, latest_start),
+        kind=rng.choices(kinds, weights)[0],
+        for_s=rng.uniform(_MIN_FAULT_S, _MAX_FAULT_S),
+        target_draw=rng.randrange(_DRAW_LIMIT),
+        shape=rng.randrange(_DRAW_LIMIT),
     )
--- a/packages/standins/src/verbenahall_standins/soak/_proxy.py
+++ b/packages/standins/src/verbenahall_standins/soak/_proxy.py
@@ -1,4 +1,4 @@
-"""A loopback link that delays, resets, holds back or loses one direction."""
+"""A loopback proxy that can delay, reset or hold back traffic."""
 
 import asyncio
 import contextlib
@@ -7,32 +7,33 @@
 
 _CHUNK: Final = 65_536
 _DELAY_S: Final = 0.15
-_LOOK_S: Final = 0.02
+_POLL_S: Final = 0.02
 
 
 @final
 class Link(enum.Enum):
-    """What the link does to what goes over it."""
+    """State of a link: how it handles traffic."""
 
     GOOD = 'good'
     SLOW = 'slow'
     RESET = 'reset'
-    #: Calls arrive and their answers do not, until the link is good again.
+    #: Requests pass; answers are held back until the link is good again.
     ONE_WAY = 'one_way'
-    #: Nothing arrives until then; what was sent is not lost, as by resending.
+    #: Both directions are held back until the link is good again; nothing is
+    #: lost, as with TCP retransmission.
     SILENT = 'silent'
 
 
-_HOLDS_CALLS: Final = frozenset((Link.SILENT,))
-_HOLDS_ANSWERS: Final = frozenset((Link.SILENT, Link.ONE_WAY))
+_HOLDING_CALLS: Final = frozenset((Link.SILENT,))
+_HOLDING_ANSWERS: Final = frozenset((Link.SILENT, Link.ONE_WAY))
 
 
 @final
 class Proxy:
-    """Listens on a free port and passes connections on to ``target``."""
+    """Listens on a free port and forwards connections to ``target``."""
 
     def __init__(self, target: str) -> None:
-        """Prepare a good link."""
+        """Prepare a link in the state ``GOOD``."""
         self.target = target
         self.link = Link.GOOD
         self.address = ''
@@ -40,7 +41,7 @@
         self._writers: set[asyncio.StreamWriter] = set()
 
     async def start(self) -> None:
-        """Listen."""
+        """Listen on a free port."""
         self._server = await asyncio.start_server(self._serve, '127.0.0.1', 0)
         host, port = self._server.sockets[0].getsockname()
         self.address = f'{host}:{port}'
@@ -52,7 +53,7 @@
         self._abort()
 
     def set(self, link: Link) -> None:
-        """Change the link; a reset one drops what is open."""
+        """Set the state; ``RESET`` also resets open connections."""
         self.link = link
         if link is Link.RESET:
             self._abort()
@@ -70,7 +71,7 @@
         try:
             await self._connect(reader, writer)
         except (OSError, asyncio.IncompleteReadError):
-            # An end is gone: the other one learns it by the abort below.
+            # One end is gone: resetting the connection notifies the other end.
             writer.transport.abort()
         finally:
             self._writers.discard(writer)
@@ -85,30 +86,36 @@
             writer.transport.abort()
             return
         host, _, port = self.target.rpartition(':')
-        answers, calls = await asyncio.open_connection(host, int(port))
-        self._writers.add(calls)
+        target_reader, target_writer = await asyncio.open_connection(
+            host, int(port)
+        )
+        self._writers.add(target_writer)
         try:
             async with asyncio.TaskGroup() as group:
-                group.create_task(self._pump(reader, calls, _HOLDS_CALLS))
-                group.create_task(self._pump(answers, writer, _HOLDS_ANSWERS))
+                group.create_task(
+                    self._pump(reader, target_writer, _HOLDING_CALLS)
+                )
+                group.create_task(
+                    self._pump(target_reader, writer, _HOLDING_ANSWERS)
+                )
         except* (OSError, asyncio.IncompleteReadError):
-            calls.transport.abort()
+            target_writer.transport.abort()
             writer.transport.abort()
         finally:
-            self._writers.discard(calls)
-            calls.close()
+            self._writers.discard(target_writer)
+            target_writer.close()
 
     async def _pump(
         self,
         reader: asyncio.StreamReader,
         writer: asyncio.StreamWriter,
-        holds: frozenset[Link],
+        holding: frozenset[Link],
     ) -> None:
         while chunk := await reader.read(_CHUNK):
             if self.link is Link.SLOW:
                 await asyncio.sleep(_DELAY_S)
-            while self.link in holds:
-                await asyncio.sleep(_LOOK_S)
+            while self.link in holding:
+                await asyncio.sleep(_POLL_S)
             writer.write(chunk)
             await writer.drain()
         with contextlib.suppress(OSError):
--- a/packages/standins/src/verbenahall_standins/soak/_run.py
+++ b/packages/standins/src/verbenahall_standins/soak/_run.py
@@ -1,4 +1,4 @@
-"""Plays one plan and judges what was seen."""
+"""Runs one plan and checks the outcome."""
 
 import asyncio
 import contextlib
@@ -10,48 +10,48 @@
 from pathlib import Path
 from typing import Final
 
-from verbenahall_standins.soak._actions import act
-from verbenahall_standins.soak._checks import Record, find_broken
+from verbenahall_standins.soak._actions import run_event
+from verbenahall_standins.soak._checks import Record, find_violations
 from verbenahall_standins.soak._deployment import WORKSPACE, Deployment
 from verbenahall_standins.soak._plan import Event, draw_plan
 
-_REQUEST: Final = 'X-Verbenahall-Request-Id'
-_WORKSPACE: Final = 'X-Verbenahall-Tenant'
-_KEY: Final = 'X-Verbenahall-Key'
-#: Time for all to hold again after the last fault: entries are back and
+_REQUEST_ID_HEADER: Final = 'X-Verbenahall-Request-Id'
+_WORKSPACE_HEADER: Final = 'X-Verbenahall-Tenant'
+_KEY_HEADER: Final = 'X-Verbenahall-Key'
+#: Time for the recovery from the last fault, in seconds: entries are back and
 #: settings in force within two to three seconds.
-_SETTLE_S: Final = 3.5
+_RECOVERY_S: Final = 3.5
 
 
 async def run_soak(seed: int, seconds: float, folder: Path) -> list[str]:
-    """Play one seed; return what was broken, nothing when all held."""
+    """Run one seed; return the violations, one line each."""
     deployment = Deployment(folder)
-    async with _ask_throughout(deployment):
-        await _play(deployment, draw_plan(seed, seconds), seconds)
-        await asyncio.sleep(_SETTLE_S)
-        last = [await one.ask_all() for one in deployment.callers]
-        retired = [
-            await one.ask_with(deployment.retired)
+    async with _run_callers(deployment):
+        await _run_events(deployment, draw_plan(seed, seconds), seconds)
+        await asyncio.sleep(_RECOVERY_S)
+        final_records = [await one.send_all() for one in deployment.callers]
+        revoked = [
+            await one.send_with_key(deployment.revoked_key)
             for one in deployment.callers
-            if deployment.retired
+            if deployment.revoked_key
         ]
     return [
-        *_judge(deployment),
-        *_judge_end(last),
-        *_judge_retired(retired),
-        *_judge_workspaces(deployment),
+        *_check_requests(deployment),
+        *_check_recovery(final_records),
+        *_check_revoked_key(revoked),
+        *_check_workspaces(deployment),
         *deployment.duties.broken,
     ]
 
 
 @contextlib.asynccontextmanager
-async def _ask_throughout(deployment: Deployment) -> AsyncIterator[None]:
-    """Have callers ask all the time; end what was started in any case."""
+async def _run_callers(deployment: Deployment) -> AsyncIterator[None]:
+    """Run the deployment and its callers; stop them in any case."""
     tasks: list[asyncio.Task[None]] = []
     try:
         await deployment.start()
         tasks = [asyncio.create_task(one.run()) for one in deployment.callers]
-        tasks.append(asyncio.create_task(deployment.follow_roles()))
+        tasks.append(asyncio.create_task(deployment.update_entries()))
         yield
     finally:
         for task in tasks:
@@ -59,7 +59,7 @@
         await deployment.stop()
 
 
-async def _play(
+async def _run_events(
     deployment: Deployment,
     events: Sequence[Event],
     seconds: float,
@@ -68,7 +68,7 @@
     async with asyncio.TaskGroup() as group:
         for event in events:
             await _sleep_until(started + event.at)
-            group.create_task(act(deployment, event))
+            group.create_task(run_event(deployment, event))
         await _sleep_until(started + seconds)
 
 
@@ -76,50 +76,51 @@
     await asyncio.sleep(max(0, moment - time.monotonic()))
 
 
-def _judge(deployment: Deployment) -> list[str]:
+def _check_requests(deployment: Deployment) -> list[str]:
     records = [one for calls in deployment.callers for one in calls.records]
     runs = Counter(
-        run[_REQUEST]
+        run[_REQUEST_ID_HEADER]
         for endpoint in deployment.endpoints
         for run in endpoint.runs
     )
     orders = [engine.orders for engine in deployment.site.engines]
     ends = [
-        f'{instance.name}: SIGTERM ended with {code}'
+        f'{instance.name}: exit code {code} after SIGTERM'
         for instance in deployment.instances
-        for code in instance.exits
+        for code in instance.exit_codes
         if code
     ]
-    return [*find_broken(records, runs, orders), *ends]
+    return [*find_violations(records, runs, orders), *ends]
 
 
-def _judge_retired(asked: Sequence[Record]) -> list[str]:
+def _check_revoked_key(answered: Sequence[Record]) -> list[str]:
     return [
-        f'{record.identity}: {record.instance} answers {record.status}'
-        ' to a key that was taken away'
-        for record in asked
+        f'{record.request_id}: {record.instance} answers {record.status}'
+        ' to a revoked key'
+        for record in answered
         if record.status != HTTPStatus.UNAUTHORIZED
     ]
 
 
-def _judge_workspaces(deployment: Deployment) -> list[str]:
-    """Every send names the key's workspace, and holds no key."""
+def _check_workspaces(deployment: Deployment) -> list[str]:
+    """Check that sends name the key's workspace and hold no key."""
     sends = itertools.chain(
         *(endpoint.runs for endpoint in deployment.endpoints),
         *(engine.reads for engine in deployment.site.engines),
     )
     return [
-        f'{send[_REQUEST]}: sent for {send.get(_WORKSPACE)} or with its key'
+        f'{send[_REQUEST_ID_HEADER]}: sent for'
+        f' {send.get(_WORKSPACE_HEADER)} or with a key'
         for send in sends
-        if send.get(_WORKSPACE) != WORKSPACE or _KEY in send
+        if send.get(_WORKSPACE_HEADER) != WORKSPACE or _KEY_HEADER in send
     ]
 
 
-def _judge_end(last: Sequence[Sequence[Record]]) -> list[str]:
+def _check_recovery(final_records: Sequence[Sequence[Record]]) -> list[str]:
     return [
-        f'{record.identity}: {record.instance} answers {record.status}'
-        f' when all is well again (version {record.version})'
-        for records in last
+        f'{record.request_id}: {record.instance} answers {record.status}'
+        f' after recovery (version {record.version})'
+        for records in final_records
         for record in records
-        if record.status != HTTPStatus.OK or not record.whole
+        if record.status != HTTPStatus.OK or not record.complete
     ]
--- a/packages/standins/tests/soak/test_soak.py
+++ b/packages/standins/tests/soak/test_soak.py
@@ -1,4 +1,4 @@
-"""The soak: its plan, its links, its checks, and a short one of each."""
+"""Tests of the soak: plan, proxy, checks, and short runs."""
 
 import asyncio
 import dataclasses
@@ -10,25 +10,25 @@
     Proxy,
     Record,
     draw_plan,
-    find_broken,
+    find_violations,
     run_soak,
 )
 
 GOOD = Record(
-    identity='r-1',
+    request_id='r-1',
     instance='front-1',
     sent_at=0,
     ended_at=1,
     wait_s=2,
     status=200,
-    whole=True,
+    complete=True,
     repeatable=False,
-    excused=False,
+    disturbed=False,
 )
 
 
 def change(**changes):
-    """Return the good record with other fields."""
+    """Return the good record with changed fields."""
     return dataclasses.replace(GOOD, **changes)
 
 
@@ -42,15 +42,15 @@
     [
         (change(ended_at=9), 1),
         (change(status=0), 1),
-        (change(whole=False), 1),
+        (change(complete=False), 1),
         (GOOD, 2),
         (change(status=503), 1),
         (change(status=429), 1),
     ],
 )
-def test_each_broken_promise_is_found(record, runs):
-    # A check that cannot fail would let every soak pass.
-    assert find_broken([record], {'r-1': runs}, [])
+def test_each_violation_is_found(record, runs):
+    # A check that never reports a violation would let every soak pass.
+    assert find_violations([record], {'r-1': runs}, [])
 
 
 @pytest.mark.parametrize(
@@ -58,21 +58,21 @@
     [
         (GOOD, 1),
         (change(repeatable=True), 2),
-        (change(status=502, whole=False), 1),
-        (change(status=-1, whole=False), 1),
-        (change(status=0, whole=False, excused=True), 1),
+        (change(status=502, complete=False), 1),
+        (change(status=-1, complete=False), 1),
+        (change(status=0, complete=False, disturbed=True), 1),
     ],
 )
-def test_kept_promise_is_not_blamed(record, runs):
-    assert not find_broken([record], {'r-1': runs}, [])
+def test_allowed_outcome_is_no_violation(record, runs):
+    assert not find_violations([record], {'r-1': runs}, [])
 
 
-def test_manifest_that_is_taken_back_is_found():
+def test_return_to_an_older_manifest_is_found():
     newer = change(version=3)
-    older = change(identity='r-2', ended_at=2, status=404, version=2)
-    assert find_broken([newer, older], {}, [])
+    older = change(request_id='r-2', ended_at=2, status=404, version=2)
+    assert find_violations([newer, older], {}, [])
     elsewhere = dataclasses.replace(older, instance='front-2')
-    assert not find_broken([newer, elsewhere], {}, [])
+    assert not find_violations([newer, elsewhere], {}, [])
 
 
 @pytest.mark.parametrize(
@@ -83,7 +83,7 @@
     ],
 )
 def test_orders_of_two_holders_are_found(orders):
-    assert find_broken([], {}, orders)
+    assert find_violations([], {}, orders)
 
 
 @pytest.mark.parametrize(
@@ -95,7 +95,7 @@
         (Link.RESET, False, False),
     ],
 )
-def test_links_do_what_they_are_set_to(link, arrives, returns):
+def test_proxy_applies_its_link_state(link, arrives, returns):
     async def check():
         got = []
 
@@ -109,18 +109,18 @@
         await proxy.start()
         proxy.set(link)
         expected = b'back' if returns else b''
-        assert await ask(proxy, 0.3) == expected
+        assert await exchange(proxy, 0.3) == expected
         assert bool(got) == arrives
         proxy.set(Link.GOOD)
-        assert await ask(proxy, 2) == b'back'
+        assert await exchange(proxy, 2) == b'back'
         await proxy.stop()
         server.close()
 
     asyncio.run(check())
 
 
-async def ask(proxy, within_s):
-    """Send over a link; return what comes back in time."""
+async def exchange(proxy, within_s):
+    """Send over a proxy; return the answer, or ``b''`` after the timeout."""
     host, _, port = proxy.address.rpartition(':')
     reader, writer = await asyncio.open_connection(host, int(port))
     try:
@@ -135,7 +135,7 @@
 
 @pytest.mark.process
 @pytest.mark.parametrize('seed', [1, 7])
-def test_promises_hold_in_a_short_soak(tmp_path, seed):
-    # Links, the store, endpoints and processes fail in a drawn order, some of
-    # them together. A longer soak is played by hand, with more seeds.
+def test_short_soak_has_no_violations(tmp_path, seed):
+    # Links, the store, endpoints and processes fail in a random order, some
+    # of them at the same time. Longer soaks with more seeds are run by hand.
     assert asyncio.run(run_soak(seed, 9, tmp_path)) == []
