--- a/packages/standins/tests/explorer/test_processes.py
+++ b/packages/standins/tests/explorer/test_processes.py
@@ -1,4 +1,4 @@
-"""Holders paused and killed around an order, with real processes."""
+"""Lease holders paused and killed around an order, as real processes."""
 
 import json
 import time
@@ -11,19 +11,19 @@
 pytestmark = pytest.mark.process
 
 HOLDER = 'verbenahall_standins.holder'
-#: The first holder's: its claim is the log's first record.
+#: Fencing token of the first holder, whose claim is the log's first record.
 LOST_TOKEN = 1
 
 
 def read_record(standin):
-    """Return a stand-in's own record of what it started."""
+    """Return the record that a stand-in keeps of its requests."""
     url = f'http://{standin.address}/record'
     with requests.urlopen(url, timeout=10) as answer:
         return json.load(answer)
 
 
 class Fleet:
-    """A log, an engine and the holders that a test starts."""
+    """A log, an engine, and the lease holders that a test starts."""
 
     def __init__(self, *, ignores):
         self.log = process.start('verbenahall_standins.log')
@@ -38,7 +38,7 @@
         self.holders = []
 
     def start(self, name, *options, version):
-        """Start a holder that wants a version of the model."""
+        """Start a holder that orders a version of the model."""
         holder = process.start(
             HOLDER,
             '--name',
@@ -56,7 +56,7 @@
         return holder
 
     def read_orders(self, event, token=None):
-        """Return the engine's own record of one kind of event."""
+        """Return the events of one kind from the engine's record."""
         orders = read_record(self.engine)['orders']
         return [
             order
@@ -65,7 +65,7 @@
         ]
 
     def list_versions(self):
-        """Return the versions that came into force, in order."""
+        """Return the model versions that took effect, in order."""
         in_force = self.read_orders('in_force')
         return [order['target']['models']['drafter'] for order in in_force]
 
@@ -79,8 +79,8 @@
             and record['body']['holder'] == name
         ]
 
-    def tell(self):
-        """Return what engine and log have seen, for a failure's report."""
+    def describe(self):
+        """Return the records of the processes as JSON, for messages."""
         orders = read_record(self.engine)['orders']
         records = read_record(self.log)['started']
         states = [read_state(holder) for holder in self.holders]
@@ -90,11 +90,13 @@
         )
 
     def wait_versions(self, *versions):
-        """Wait until just these versions have come into force, in order."""
-        wait_until(lambda: self.list_versions() == list(versions), self.tell)
+        """Wait until exactly these versions have taken effect, in order."""
+        wait_until(
+            lambda: self.list_versions() == list(versions), self.describe
+        )
 
     def end(self):
-        """Kill everything that was started."""
+        """Kill all started processes."""
         for running in (*self.holders, self.engine, self.log):
             running.kill()
 
@@ -107,30 +109,34 @@
     started.end()
 
 
-def wait_until(condition, tell=str, bound_s=40):
-    """Wait for a condition with a generous bound."""
-    until = time.monotonic() + bound_s
+def wait_until(condition, describe=str, timeout_s=40):
+    """Wait until a condition is true, or fail after the timeout."""
+    until = time.monotonic() + timeout_s
     while not condition():
-        assert time.monotonic() < until, f'the condition never came: {tell()}'
+        assert time.monotonic() < until, (
+            f'the condition stayed false: {describe()}'
+        )
         time.sleep(0.02)
 
 
 def read_state(holder):
-    """Return the process's state as the kernel names it."""
+    """Return the process's state letter from ``/proc``."""
     with open(f'/proc/{holder.pid}/stat', encoding='ascii') as stat:
         return stat.read().rpartition(')')[2].split()[0]
 
 
 def is_stopped(holder):
-    """Tell whether the process stopped itself."""
+    """Return whether the process is stopped."""
     return read_state(holder) == 'T'
 
 
 @pytest.mark.parametrize('fleet', [False, True], indirect=True)
 def test_paused_before_its_check(fleet):
-    """A holder is stopped before its check and wakes when another leads.
+    """A holder resumed after losing its lease sends no order.
 
-    Had it gone on, the engine would have got a model of a lost authority.
+    It is stopped before its lease check and resumed when another process
+    holds the lease. Without the check the engine would get an order of a
+    former holder.
     """
     first = fleet.start('a', '--stop', 'before', version='1')
     wait_until(lambda: is_stopped(first))
@@ -144,9 +150,10 @@
 
 @pytest.mark.parametrize('fleet', [False], indirect=True)
 def test_paused_after_its_check_checking_engine(fleet):
-    """A holder is stopped between check and write, across its lease's end.
+    """An engine that checks tokens refuses the order of a former holder.
 
-    It writes the checked order on waking; the engine refuses its token.
+    The holder is stopped between lease check and write until its lease has
+    ended, and sends the checked order when it resumes.
     """
     first = fleet.start('a', '--stop', 'after', version='1')
     wait_until(lambda: is_stopped(first))
@@ -162,21 +169,23 @@
 
 @pytest.mark.parametrize('fleet', [True], indirect=True)
 def test_paused_after_its_check_ignoring_engine(fleet):
-    """The same pause, within the longest one that the settings name.
+    """A pause within ``longest_pause_s`` is safe if the engine ignores tokens.
 
-    The engine obeys the woken holder; the new one has waited for that, and
-    its own order comes last.
+    The engine executes the order of the resumed holder. The new holder has
+    waited for the longest pause, so its own order comes last.
     """
     first = fleet.start('a', '--stop', 'after', version='1')
     wait_until(lambda: is_stopped(first))
     fleet.start('b', version='2')
     wait_until(lambda: fleet.find_claims('b'))
-    # Half of the longest pause: time enough for a holder that does not wait.
+    # Half of the longest pause, in which a holder that does not wait would
+    # send its order.
     resume_at = time.monotonic() + 2
     wait_until(lambda: fleet.list_versions() or time.monotonic() > resume_at)
     first.resume()
     wait_until(lambda: '1' in fleet.list_versions())
-    # Left alive it could lead again, if the other were late with a renewal.
+    # Left running it could take the lease again after a late renewal of the
+    # other holder.
     first.kill()
     wait_until(lambda: fleet.list_versions()[-1:] == ['2'])
 
@@ -185,10 +194,10 @@
 
 @pytest.mark.parametrize('fleet', [True], indirect=True)
 def test_paused_for_longer_than_the_settings_name(fleet):
-    """The pause outlasts the longest one named, against the settings.
+    """The new holder repairs an engine after a pause beyond the setting.
 
-    This is what remains for an engine that ignores tokens: it obeys the
-    woken holder last. The new one sees that and orders its target again.
+    An engine that ignores tokens executes the order of the resumed holder
+    last. The new holder sees this and orders its target again.
     """
     first = fleet.start('a', '--stop', 'after', version='1')
     wait_until(lambda: is_stopped(first))
@@ -204,10 +213,10 @@
 
 @pytest.mark.parametrize('fleet', [False, True], indirect=True)
 def test_killed_in_mid_order(fleet):
-    """A holder is killed while the engine changes on its order.
+    """The successor of a killed holder does not repeat its order.
 
-    Its successor wants the same and finds it done: the engine is not taken
-    away a second time.
+    The holder is killed while the engine changes. The successor has the same
+    target and finds it applied, so the engine is not interrupted again.
     """
     first = fleet.start('a', version='1')
     wait_until(lambda: fleet.read_orders('received'))
