--- a/packages/standins/src/verbenahall_standins/capacity/__main__.py
+++ b/packages/standins/src/verbenahall_standins/capacity/__main__.py
@@ -1,4 +1,4 @@
-"""Command line of the slopes."""
+"""Command line of the capacity measurements."""
 
 import argparse
 from types import MappingProxyType
@@ -6,25 +6,27 @@
 
 from verbenahall_standins.capacity._fleet import measure_fleet
 from verbenahall_standins.capacity._folds import measure_folds
-from verbenahall_standins.capacity._report import tell
-from verbenahall_standins.capacity._rest import measure_rest
+from verbenahall_standins.capacity._report import print_series
+from verbenahall_standins.capacity._rest import measure_idle
 
 _MEASUREMENTS: Final = MappingProxyType(
     {
         'fleet': measure_fleet,
         'folds': measure_folds,
-        'rest': measure_rest,
+        'rest': measure_idle,
     },
 )
 
 
 def main() -> None:
-    """Measure what is named and print each series."""
-    parser = argparse.ArgumentParser(description='Measure slopes')
+    """Run the named measurement and print each series."""
+    parser = argparse.ArgumentParser(
+        description='Measure how cost grows with size'
+    )
     parser.add_argument('measurement', choices=tuple(_MEASUREMENTS))
     options = parser.parse_args()
     for series in _MEASUREMENTS[options.measurement]():
-        tell(series)
+        print_series(series)
 
 
 if __name__ == '__main__':
--- a/packages/standins/src/verbenahall_standins/capacity/_fleet.py
+++ b/packages/standins/src/verbenahall_standins/capacity/_fleet.py
@@ -1,4 +1,4 @@
-"""What an instance keeps and decides about a fleet, at growing sizes."""
+"""Memory and processor time of fleet state and decisions, by fleet size."""
 
 import functools
 import random
@@ -32,24 +32,24 @@
 from verbenahall_standins.capacity._report import Point, Series
 from verbenahall_standins.capacity._timing import (
     Row,
-    take_column,
+    make_series,
+    measure_bytes,
     time_us,
-    trace,
 )
 
 _ENDPOINTS: Final = (10, 100, 1000, 3000)
 _FIRST_PORT: Final = 8000
 _PROMPT_TOKENS: Final = 900
 _OUTPUT_TOKENS: Final = 100
-_HELD: Final = Target(Role.MIXED, (('draft', '1'),))
+_TARGET: Final = Target(Role.MIXED, (('draft', '1'),))
 
 
 def measure_fleet() -> Iterator[Series]:
-    """Yield the series of membership, routing, rollout and standings."""
+    """Yield the series of membership, routing, rollout and endpoint status."""
     yield from _measure_membership()
     yield from _measure_routing()
     yield _measure_plan()
-    yield _measure_standings()
+    yield _measure_statuses()
 
 
 def _measure_membership() -> Iterator[Series]:
@@ -59,69 +59,71 @@
         ('membership list fold (us)', 1),
         ('membership list message (B)', 2),
     ):
-        yield take_column(name, 'endpoints', rows, column)
+        yield make_series(name, 'endpoints', rows, column)
 
 
 def _measure_list(size: int) -> Row:
     state = MembershipState(notify=_ignore)
-    entries = [ListEntry(_engine(number)) for number in range(size)]
-    used = trace(functools.partial(apply_list, state, entries, 0))
-    spent = time_us(functools.partial(apply_list, state, entries, 1))
-    return size, (used, spent, len(wire.encode(entries)))
+    entries = [ListEntry(_build_engine(number)) for number in range(size)]
+    used_bytes = measure_bytes(functools.partial(apply_list, state, entries, 0))
+    spent_us = time_us(functools.partial(apply_list, state, entries, 1))
+    return size, (used_bytes, spent_us, len(wire.encode(entries)))
 
 
 def _measure_routing() -> Iterator[Series]:
     rows = [_measure_choice(size) for size in _ENDPOINTS]
-    yield take_column('load memory (B)', 'endpoints', rows, 0)
-    yield take_column('routing choice (us)', 'endpoints', rows, 1)
+    yield make_series('load memory (B)', 'endpoints', rows, 0)
+    yield make_series('routing choice (us)', 'endpoints', rows, 1)
 
 
 def _measure_choice(size: int) -> Row:
     load = LoadState()
     candidates = [
-        Candidate(_engine(number), Role.MIXED) for number in range(size)
+        Candidate(_build_engine(number), Role.MIXED) for number in range(size)
     ]
-    used = trace(functools.partial(_report, load, candidates))
+    used_bytes = measure_bytes(
+        functools.partial(_record_reports, load, candidates)
+    )
     state = RoutingState('entry', 'aber', random.Random(1))
     question = Question('r', _PROMPT_TOKENS, _OUTPUT_TOKENS)
-    spent = time_us(
+    spent_us = time_us(
         functools.partial(choose, state, question, candidates, load, 1),
     )
-    return size, (used, spent)
+    return size, (used_bytes, spent_us)
 
 
 def _measure_plan() -> Series:
     points = []
     for size in _ENDPOINTS:
-        settings = _publish_pool(size)
+        settings = _build_settings(size)
         views = [
-            EngineView(f'engine-{number}', str(number), _HELD)
+            EngineView(f'engine-{number}', str(number), _TARGET)
             for number in range(size)
         ]
-        spent = time_us(functools.partial(plan, settings, 'aber', views))
-        points.append(Point(size, spent))
+        spent_us = time_us(functools.partial(plan, settings, 'aber', views))
+        points.append(Point(size, spent_us))
     return Series('rollout plan (us)', 'engines', points)
 
 
-def _measure_standings() -> Series:
+def _measure_statuses() -> Series:
     points = []
     for size in _ENDPOINTS:
         state = MembershipState(notify=_ignore)
-        entries = [ListEntry(_engine(number)) for number in range(size)]
+        entries = [ListEntry(_build_engine(number)) for number in range(size)]
         apply_list(state, entries, 0)
-        spent = time_us(functools.partial(_read_standings, state))
-        points.append(Point(size, spent))
+        spent_us = time_us(functools.partial(_list_statuses, state))
+        points.append(Point(size, spent_us))
     return Series('standings of a step (us)', 'endpoints', points)
 
 
-def _read_standings(state: MembershipState) -> list[Standing]:
+def _list_statuses(state: MembershipState) -> list[Standing]:
     return [
         standing_of(state, endpoint.name, 1)
         for endpoint in all_endpoints(state)
     ]
 
 
-def _publish_pool(size: int) -> EffectiveSettings:
+def _build_settings(size: int) -> EffectiveSettings:
     settings = EffectiveSettings()
     settings.models['draft'] = ModelSettings('draft', '1', 1, 1, 'desk')
     settings.pools['all'] = PoolSettings(
@@ -138,7 +140,7 @@
     return settings
 
 
-def _engine(number: int) -> Endpoint:
+def _build_engine(number: int) -> Endpoint:
     port = _FIRST_PORT + number
     return Endpoint(
         name=f'engine-{number}',
@@ -149,11 +151,11 @@
     )
 
 
-def _report(load: LoadState, candidates: list[Candidate]) -> None:
+def _record_reports(load: LoadState, candidates: list[Candidate]) -> None:
     for candidate in candidates:
         report = Report(running=3, queued=0, kv_free_share=1)
         observe_report(load, candidate.endpoint.name, report, 0)
 
 
 def _ignore(change: StandingChange) -> None:
-    """Write no decision line; the fold alone is measured."""
+    """Write no decision line, so that only the state change is measured."""
--- a/packages/standins/src/verbenahall_standins/capacity/_folds.py
+++ b/packages/standins/src/verbenahall_standins/capacity/_folds.py
@@ -1,4 +1,4 @@
-"""State and processor time of the folds of the log, at growing sizes."""
+"""Memory and processor time of the states built from the log, by size."""
 
 import functools
 import itertools
@@ -19,9 +19,9 @@
 from verbenahall_standins.capacity._report import Point, Series
 from verbenahall_standins.capacity._timing import (
     Row,
-    take_column,
+    make_series,
+    measure_bytes,
     time_us,
-    trace,
 )
 
 _WORKSPACES: Final = (100, 1000, 4000, 16_000)
@@ -45,30 +45,32 @@
         ('settings apply (us)', 1),
         ('settings snapshot (B)', 2),
     ):
-        yield take_column(name, 'workspaces', rows, column)
+        yield make_series(name, 'workspaces', rows, column)
 
 
 def _measure_tree(size: int) -> Row:
-    """Publish workspaces one by one; time the last changes of the tree."""
+    """Publish workspaces in batches, then time single changes of the tree."""
     fold = SettingsFold(SettingsState())
-    used = trace(functools.partial(_publish, fold, size))
+    used_bytes = measure_bytes(functools.partial(_publish, fold, size))
     offsets = itertools.count(size + 1)
     bases = itertools.chain((1,), itertools.count(size + 1))
     changes = (
-        _publication(offset, [_workspace(0, base=base, share=2)])
+        _build_publication(offset, [_build_workspace(0, base=base, share=2)])
         for offset, base in zip(offsets, bases, strict=False)
     )
-    spent = time_us(lambda: fold.apply_record(next(changes)))
-    return size, (used, spent, len(wire.encode(fold.dump())))
+    spent_us = time_us(lambda: fold.apply_record(next(changes)))
+    return size, (used_bytes, spent_us, len(wire.encode(fold.dump())))
 
 
 def _publish(fold: SettingsFold, size: int) -> None:
     for start in range(0, size, _BATCH):
-        changes = [_workspace(start + step) for step in range(_BATCH)]
-        fold.apply_record(_publication(start + 1, changes))
+        changes = [_build_workspace(start + step) for step in range(_BATCH)]
+        fold.apply_record(_build_publication(start + 1, changes))
 
 
-def _workspace(number: int, base: int = 0, share: int = 1) -> dict[str, Any]:
+def _build_workspace(
+    number: int, base: int = 0, share: int = 1
+) -> dict[str, Any]:
     return {
         'path': f'desk/workspaces/club-{number}',
         'base': base,
@@ -76,7 +78,7 @@
     }
 
 
-def _publication(offset: int, changes: list[dict[str, Any]]) -> Record:
+def _build_publication(offset: int, changes: list[dict[str, Any]]) -> Record:
     body = {'team': 'desk', 'author': 'meinir', 'changes': changes}
     return Record(offset, SETTINGS_STREAM, f'id-{offset}', body)
 
@@ -86,12 +88,14 @@
     for size in _SCOPES:
         state = AuthorityState()
         for number in range(size):
-            apply_authority(state, _claim(number + 1, f'dc-{number}', 0), 0)
+            apply_authority(
+                state, _build_lease_claim(number + 1, f'dc-{number}', 0), 0
+            )
         offsets = itertools.count(size + 1)
-        spent = time_us(
+        spent_us = time_us(
             functools.partial(_apply_next, state, offsets),
         )
-        points.append(Point(size, spent))
+        points.append(Point(size, spent_us))
     return Series('authority record (us)', 'scopes', points)
 
 
@@ -99,27 +103,27 @@
     points = []
     for size in _CLAIMS:
         fold = Claims(None, 'entry')
-        used = trace(functools.partial(_apply_claims, fold, size))
-        points.append(Point(size, used))
+        used_bytes = measure_bytes(functools.partial(_apply_claims, fold, size))
+        points.append(Point(size, used_bytes))
     return Series('claims memory (B)', 'claims', points)
 
 
 def _apply_claims(fold: Claims, size: int) -> None:
     for number in range(1, size + 1):
-        fold.apply_record(_claim_key(number))
+        fold.apply_record(_build_key_claim(number))
 
 
-def _claim_key(number: int) -> Record:
+def _build_key_claim(number: int) -> Record:
     body = {'holder': 'entry-2', 'keys': [str(number).zfill(_KEY_LETTERS)]}
     return Record(number, CLAIMS_STREAM, f'id-{number}', body)
 
 
 def _apply_next(state: AuthorityState, offsets: Iterator[int]) -> None:
     offset = next(offsets)
-    apply_authority(state, _claim(offset, f'new-{offset}', 0), 0)
+    apply_authority(state, _build_lease_claim(offset, f'new-{offset}', 0), 0)
 
 
-def _claim(offset: int, scope: str, after: int) -> Record:
+def _build_lease_claim(offset: int, scope: str, after: int) -> Record:
     body = {
         'kind': 'claim',
         'scope': scope,
--- a/packages/standins/src/verbenahall_standins/capacity/_relay.py
+++ b/packages/standins/src/verbenahall_standins/capacity/_relay.py
@@ -1,28 +1,33 @@
-"""A relay that counts the bytes between a client and an address."""
+"""A TCP relay that counts bytes in both directions."""
 
 import asyncio
 from typing import Final
 
-_CHUNK: Final = 65_536
+_CHUNK_BYTES: Final = 65_536
 
 
 class Relay:
-    """Listens on a port of its own and passes bytes to ``address``."""
+    """Listens on a free port and forwards connections to an address.
 
-    __slots__ = ('address', 'carried', '_host', '_port', '_server')
+    ``address`` is the one that it listens on, empty until ``open``.
+    """
+
+    __slots__ = ('address', 'byte_count', '_host', '_port', '_server')
 
     def __init__(self, address: str) -> None:
-        """Prepare a relay to ``address`` (``IP:port``)."""
+        """Set the target address (``IP:port``)."""
         host, _, port = address.rpartition(':')
         self._host = host
         self._port = int(port)
         self._server: asyncio.Server | None = None
         self.address = ''
-        self.carried = 0
+        self.byte_count = 0
 
     async def open(self) -> None:
         """Listen on a free port."""
-        self._server = await asyncio.start_server(self._carry, self._host, 0)
+        self._server = await asyncio.start_server(
+            self._handle_connection, self._host, 0
+        )
         host, port = self._server.sockets[0].getsockname()
         self.address = f'{host}:{port}'
 
@@ -31,13 +36,13 @@
         if self._server is not None:
             self._server.close()
 
-    async def _carry(
+    async def _handle_connection(
         self,
         reader: asyncio.StreamReader,
         writer: asyncio.StreamWriter,
     ) -> None:
         try:
-            far_reader, far_writer = await asyncio.open_connection(
+            upstream_reader, upstream_writer = await asyncio.open_connection(
                 self._host,
                 self._port,
             )
@@ -46,25 +51,25 @@
             return
         try:
             await asyncio.gather(
-                self._pump(reader, far_writer),
-                self._pump(far_reader, writer),
+                self._forward(reader, upstream_writer),
+                self._forward(upstream_reader, writer),
             )
         except asyncio.CancelledError:
-            # The measurement is over and the loop ends.
+            # The event loop stops at the end of the measurement.
             return
 
-    async def _pump(
+    async def _forward(
         self,
         reader: asyncio.StreamReader,
         writer: asyncio.StreamWriter,
     ) -> None:
         try:
-            while chunk := await reader.read(_CHUNK):
-                self.carried += len(chunk)
+            while chunk := await reader.read(_CHUNK_BYTES):
+                self.byte_count += len(chunk)
                 writer.write(chunk)
                 await writer.drain()
         except OSError:
-            # The other side went away; the connection's end is all it means.
+            # The peer closed the connection, which ends this direction.
             return
         finally:
             writer.close()
--- a/packages/standins/src/verbenahall_standins/capacity/_report.py
+++ b/packages/standins/src/verbenahall_standins/capacity/_report.py
@@ -1,4 +1,4 @@
-"""Measured points, and the slope between the first and the last of them."""
+"""Measured points and the slope from the first to the last."""
 
 import dataclasses
 import sys
@@ -7,7 +7,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Point:
-    """One measured value at one size."""
+    """The value measured at one size."""
 
     size: int
     value: float
@@ -15,7 +15,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Series:
-    """A measure with its unit; ``per`` names what the size counts."""
+    """A measure, whose name has the unit; ``per`` is what the size counts."""
 
     measure: str
     per: str
@@ -23,20 +23,20 @@
 
     @property
     def slope(self) -> float:
-        """The growth of the value with one more of the size."""
+        """The mean growth of the value when the size grows by one."""
         first, last = self.points[0], self.points[-1]
         return (last.value - first.value) / (last.size - first.size)
 
 
-def tell(series: Series) -> None:
-    """Print the points and the slope of a measure, one line each."""
+def print_series(series: Series) -> None:
+    """Print a line for each point and one for the slope."""
     measure, per = series.measure, series.per
     for point in series.points:
-        _say(measure, f'{point.size} {per}', point.value)
-    _say(measure, f'slope over {per}', series.slope)
+        _print_line(measure, f'{point.size} {per}', point.value)
+    _print_line(measure, f'slope over {per}', series.slope)
 
 
-def _say(measure: str, at: str, value: float) -> None:
-    shown = format(value, '.4g')
-    sys.stdout.write(f'{measure}, {at}, {shown}\n')
+def _print_line(measure: str, at: str, value: float) -> None:
+    formatted = format(value, '.4g')
+    sys.stdout.write(f'{measure}, {at}, {formatted}\n')
     sys.stdout.flush()
--- a/packages/standins/src/verbenahall_standins/capacity/_rest.py
+++ b/packages/standins/src/verbenahall_standins/capacity/_rest.py
@@ -1,4 +1,4 @@
-"""What instances cost that serve nothing: processor, memory, bytes."""
+"""Processor time, memory and traffic of idle instances."""
 
 import asyncio
 import os
@@ -19,15 +19,16 @@
 _ENGINES: Final = (4, 12, 24)
 _FEW_INSTANCES: Final = 3
 _FEW_ENGINES: Final = 4
-_SETTLE_S: Final = 8.0
+_WARM_UP_S: Final = 8.0
 _WINDOW_S: Final = 10.0
-_READY_S: Final = 60.0
+_READY_TIMEOUT_S: Final = 60.0
 _POLL_S: Final = 0.1
 _OK: Final = 200
 _PERCENT: Final = 100
 _MEGA: Final = 1e6
-#: User and system time in the stat file, counted after the name.
-_TIMES: Final = slice(11, 13)
+#: User and system ticks among the fields of ``/proc/PID/stat`` that follow
+#: the command name.
+_CPU_TICK_FIELDS: Final = slice(11, 13)
 _CONFIG: Final = """
 [instance]
 name = "{name}"
@@ -48,27 +49,27 @@
 )
 
 
-class Rig:
-    """One data centre's processes, with a counting relay before each."""
+class IdleDeployment:
+    """The processes of one data centre, each behind a counting relay."""
 
     def __init__(self, folder: Path) -> None:
-        """Keep settings files under ``folder``."""
+        """Write configuration files to ``folder``."""
         self._folder = folder
         self._started: list[process.Running] = []
         self._relays: dict[str, list[Relay]] = {}
         self.instances: list[process.Running] = []
 
     async def start(self, instances: int, engines: int) -> None:
-        """Start everything and wait until each instance is ready."""
+        """Start all processes and wait until each instance is ready."""
         log = process.start('verbenahall_standins.log')
         registry = process.start('verbenahall_standins.registry')
         self._started += [log, registry]
         platform = [
-            await self._relay('platform', running.address)
+            await self._open_relay('platform', running.address)
             for running in (log, registry)
         ]
         children = [
-            self._launch(f'entry-{number}', *platform)
+            self._launch_instance(f'entry-{number}', *platform)
             for number in range(instances)
         ]
         self.instances = [process.wait_ready(child) for child in children]
@@ -78,19 +79,19 @@
             for running in self.instances:
                 await _wait_ready(session, running.address)
 
-    def carried(self, kind: str) -> int:
-        """Return the bytes that relays of a kind have carried."""
-        return sum(relay.carried for relay in self._relays.get(kind, ()))
+    def count_bytes(self, kind: str) -> int:
+        """Return the bytes forwarded by the relays of one kind."""
+        return sum(relay.byte_count for relay in self._relays.get(kind, ()))
 
     def stop(self) -> None:
-        """Stop all processes."""
+        """Stop all relays and processes."""
         for relays in self._relays.values():
             for relay in relays:
                 relay.close()
         process.stop_all(self.instances)
         process.stop_all(self._started)
 
-    def _launch(self, name: str, log: str, registry: str):
+    def _launch_instance(self, name: str, log: str, registry: str):
         config = self._folder / f'{name}.toml'
         config.write_text(
             _CONFIG.format(name=name, log=log, registry=registry),
@@ -100,7 +101,7 @@
             (script, 'serve', '--config', str(config), '--no-decisions'),
         )
 
-    async def _relay(self, kind: str, address: str) -> str:
+    async def _open_relay(self, kind: str, address: str) -> str:
         relay = Relay(address)
         await relay.open()
         self._relays.setdefault(kind, []).append(relay)
@@ -125,7 +126,7 @@
             url = f'http://{running.address}/state'
             async with session.get(url) as answer:
                 incarnation = (await answer.json())['incarnation']
-            address = await self._relay('engine', running.address)
+            address = await self._open_relay('engine', running.address)
             await _register(
                 session,
                 registry,
@@ -141,7 +142,7 @@
         registry: str,
     ) -> None:
         for number, running in enumerate(self.instances):
-            address = await self._relay('peer', running.address)
+            address = await self._open_relay('peer', running.address)
             await _register(
                 session,
                 registry,
@@ -173,8 +174,8 @@
 
 
 async def _wait_ready(session: aiohttp.ClientSession, address: str) -> None:
-    limit = clock.monotonic() + _READY_S
-    while clock.monotonic() < limit:
+    deadline = clock.monotonic() + _READY_TIMEOUT_S
+    while clock.monotonic() < deadline:
         async with session.get(f'http://{address}/readyz') as answer:
             if answer.status == _OK:
                 return
@@ -182,8 +183,8 @@
     raise TimeoutError(f'{address} is not ready')
 
 
-def measure_rest() -> Iterator[Series]:
-    """Yield the series over instances, then those over engines."""
+def measure_idle() -> Iterator[Series]:
+    """Yield the series by number of instances, then by number of engines."""
     by_instances = [_measure(size, _FEW_ENGINES) for size in _INSTANCES]
     yield from _build_series(_INSTANCES, by_instances, 'instances')
     by_engines = [_measure(_FEW_INSTANCES, size) for size in _ENGINES]
@@ -209,50 +210,54 @@
 
 
 async def _run(folder: Path, instances: int, engines: int) -> list[float]:
-    rig = Rig(folder)
+    deployment = IdleDeployment(folder)
     try:
-        return await _start_and_watch(rig, instances, engines)
+        return await _start_and_measure(deployment, instances, engines)
     finally:
-        rig.stop()
+        deployment.stop()
 
 
-async def _start_and_watch(
-    rig: Rig,
+async def _start_and_measure(
+    deployment: IdleDeployment,
     instances: int,
     engines: int,
 ) -> list[float]:
-    await rig.start(instances, engines)
-    await asyncio.sleep(_SETTLE_S)
-    before = _read_counters(rig)
+    await deployment.start(instances, engines)
+    await asyncio.sleep(_WARM_UP_S)
+    before = _read_counters(deployment)
     started = clock.monotonic()
     await asyncio.sleep(_WINDOW_S)
-    watched_s = (clock.monotonic() - started) * instances
-    spent, *carried = (
-        (after - earlier) / watched_s
-        for earlier, after in zip(before, _read_counters(rig), strict=True)
+    instance_s = (clock.monotonic() - started) * instances
+    cpu_s, *traffic = (
+        (after - earlier) / instance_s
+        for earlier, after in zip(
+            before, _read_counters(deployment), strict=True
+        )
     )
-    memory = sum(map(_resident_bytes, rig.instances)) / instances
-    return [_PERCENT * spent, memory / _MEGA, *carried]
+    memory = sum(map(_read_resident_bytes, deployment.instances)) / instances
+    return [_PERCENT * cpu_s, memory / _MEGA, *traffic]
 
 
-def _read_counters(rig: Rig) -> list[float]:
-    """Return processor seconds, then the bytes that each relay kind took."""
-    carried = [rig.carried(kind) for kind in ('platform', 'peer', 'engine')]
-    return [_processor_s(rig.instances), *carried]
+def _read_counters(deployment: IdleDeployment) -> list[float]:
+    """Return processor seconds, then the bytes of each kind of relay."""
+    byte_counts = [
+        deployment.count_bytes(kind) for kind in ('platform', 'peer', 'engine')
+    ]
+    return [_read_cpu_s(deployment.instances), *byte_counts]
 
 
-def _processor_s(processes: Sequence[process.Running]) -> float:
-    ticks = sum(map(_processor_ticks, processes))
+def _read_cpu_s(processes: Sequence[process.Running]) -> float:
+    ticks = sum(map(_read_cpu_ticks, processes))
     return ticks / os.sysconf('SC_CLK_TCK')
 
 
-def _processor_ticks(running: process.Running) -> int:
-    """Return user and system time."""
+def _read_cpu_ticks(running: process.Running) -> int:
+    """Return user and system time in clock ticks."""
     stat = Path(f'/proc/{running.pid}/stat').read_text()
     fields = stat.rpartition(')')[-1].split()
-    return sum(map(int, fields[_TIMES]))
+    return sum(map(int, fields[_CPU_TICK_FIELDS]))
 
 
-def _resident_bytes(running: process.Running) -> int:
+def _read_resident_bytes(running: process.Running) -> int:
     pages = Path(f'/proc/{running.pid}/statm').read_text().split()[1]
     return int(pages) * os.sysconf('SC_PAGE_SIZE')
--- a/packages/standins/src/verbenahall_standins/capacity/_timing.py
+++ b/packages/standins/src/verbenahall_standins/capacity/_timing.py
@@ -1,4 +1,4 @@
-"""What a piece of work takes: bytes left allocated and microseconds."""
+"""Memory and time of a function call."""
 
 import gc
 import time
@@ -11,23 +11,23 @@
 _REPEATS: Final = 200
 _MICRO: Final = 1e6
 
-#: A size and what was measured at it.
+#: A size and the values measured at it.
 Row = tuple[int, tuple[float, ...]]
 
 
-def trace(work: Callable[[], None]) -> float:
-    """Return the bytes that the work has left allocated."""
+def measure_bytes(work: Callable[[], None]) -> float:
+    """Return the bytes still allocated after ``work`` has returned."""
     gc.collect()
     tracemalloc.start()
     work()
     gc.collect()
-    used, _ = tracemalloc.get_traced_memory()
+    used_bytes, _ = tracemalloc.get_traced_memory()
     tracemalloc.stop()
-    return used
+    return used_bytes
 
 
 def time_us(work: Callable[[], object]) -> float:
-    """Return the least of several timings, which noise can only raise."""
+    """Return the minimum of several timings: noise only adds time."""
     return min(_time_once_us(work) for _ in range(_REPEATS))
 
 
@@ -37,12 +37,12 @@
     return (time.perf_counter() - started) * _MICRO
 
 
-def take_column(
+def make_series(
     name: str,
     per: str,
     rows: Sequence[Row],
     column: int,
 ) -> Series:
-    """Return one measured column of the rows as a series."""
+    """Return one column of the rows as a series."""
     points = [Point(size, measured[column]) for size, measured in rows]
     return Series(name, per, points)
