--- a/packages/standins/src/verbenahall_standins/bench.py
+++ b/packages/standins/src/verbenahall_standins/bench.py
@@ -1,7 +1,8 @@
-"""The bench: ``python -m verbenahall_standins.bench --seed N``.
+"""Compares routing policies and measures the overhead of an instance.
 
-Each line reads: measure, value, unit, baseline's value, ratio. Policies run
-on the trace of the seed and on two further seeds that are for reporting only.
+``python -m verbenahall_standins.bench --seed N`` prints lines of measure,
+value, unit, value of the baseline, and ratio. Policies run on the traces of
+the seed and of two further seeds that serve for reporting only.
 """
 
 import argparse
@@ -12,23 +13,24 @@
 from verbenahall_standins.lines import say_line
 from verbenahall_standins.overhead import measure_overhead
 
-#: Added to the seed for the traces on which nothing is ever tuned.
-_REPORTING: Final = (100, 101)
-_REPORT: Final = Path('reports')
+#: Added to the seed for the traces that are only reported: no policy is
+#: tuned on them.
+_SEED_OFFSETS: Final = (100, 101)
+_REPORT_FOLDER: Final = Path('reports')
 
 
 def compare_policies(seed: int) -> None:
-    """Print every figure of every policy, and draw the seed's own trace."""
+    """Print the figures of all policies, and plot the traces of ``seed``."""
     runs = list(comparison.compare(seed))
-    plots.draw_report(runs, _REPORT / f'policies-{seed}.svg')
-    for added in _REPORTING:
-        runs.extend(comparison.compare(seed + added))
-    for line in comparison.write_lines(runs):
+    plots.draw_report(runs, _REPORT_FOLDER / f'policies-{seed}.svg')
+    for offset in _SEED_OFFSETS:
+        runs.extend(comparison.compare(seed + offset))
+    for line in comparison.build_lines(runs):
         say_line(line)
 
 
 def main() -> None:
-    """Run the command."""
+    """Parse the command line and print the measures."""
     parser = argparse.ArgumentParser(description='Measures of one run')
     parser.add_argument('--seed', type=int, default=1)
     parser.add_argument('--only', choices=('overhead', 'policies'))
--- a/packages/standins/src/verbenahall_standins/bound.py
+++ b/packages/standins/src/verbenahall_standins/bound.py
@@ -1,10 +1,11 @@
-"""An upper bound with perfect knowledge, worked out by arithmetic.
+"""Upper bound on the number of requests answered in time.
 
-All engines are taken as one server of their joint speed whose batches are
-always full, whose roles cost nothing to change and which may stop and resume
-any request. It serves what is due first; where a request cannot be whole in
-time it gives up the dearest of those that are open, which leaves most
-requests whole. No policy on real engines reaches it.
+The bound models all engines as one server with their total speed, whose
+batches are always full, whose role changes are free and which can preempt
+any request. The server schedules by earliest due time. When a request would
+be late, it drops the open request with the most work left, which keeps the
+number of answered requests highest. No policy on real engines reaches this
+bound.
 """
 
 import heapq
@@ -13,56 +14,58 @@
 from verbenahall_standins.traces import Arrival, Workload, work_s
 
 
-class Server:
-    """Requests open on the joint server: seconds of work left and due time."""
+class JointServer:
+    """The open requests, with their due times and remaining work in seconds."""
 
-    __slots__ = ('_due', '_left', '_now', '_speed', 'good')
+    __slots__ = ('_queue', '_remaining_s', '_now', '_speed', 'good_count')
 
     def __init__(self, speed: float) -> None:
-        """Start idle; ``speed`` is in engines."""
+        """Start idle; ``speed`` is the number of engines."""
         self._speed = speed
         self._now: float = 0
-        self._due: list[tuple[float, int]] = []
-        self._left: dict[int, float] = {}
-        self.good = 0
+        self._queue: list[tuple[float, int]] = []
+        self._remaining_s: dict[int, float] = {}
+        self.good_count = 0
 
     def add(self, arrival: Arrival) -> None:
-        """Take a request, then give up the dearest while any would be late."""
+        """Add a request and drop the longest ones until none would be late."""
         self.advance(arrival.at)
-        self._left[arrival.number] = work_s(arrival.prompt, arrival.output)
-        heapq.heappush(self._due, (arrival.due, arrival.number))
-        while self._is_any_late():
-            dearest = max(self._left, key=self._left.__getitem__)
-            self._left.pop(dearest)
+        self._remaining_s[arrival.number] = work_s(
+            arrival.prompt, arrival.output
+        )
+        heapq.heappush(self._queue, (arrival.due_at, arrival.number))
+        while self._has_late_request():
+            longest = max(self._remaining_s, key=self._remaining_s.__getitem__)
+            self._remaining_s.pop(longest)
 
     def advance(self, until: float) -> None:
-        """Work, on what is due first, until a time."""
-        room = (until - self._now) * self._speed
+        """Work on the requests that are due first until a time."""
+        capacity_s = (until - self._now) * self._speed
         self._now = until
-        while self._due and room > 0:
-            _, number = self._due[0]
-            left = self._left.get(number, 0)
-            if left > room:
-                self._left[number] = left - room
+        while self._queue and capacity_s > 0:
+            _, number = self._queue[0]
+            left = self._remaining_s.get(number, 0)
+            if left > capacity_s:
+                self._remaining_s[number] = left - capacity_s
                 return
-            room -= left
-            heapq.heappop(self._due)
-            self.good += self._left.pop(number, None) is not None
+            capacity_s -= left
+            heapq.heappop(self._queue)
+            self.good_count += self._remaining_s.pop(number, None) is not None
 
-    def _is_any_late(self) -> bool:
+    def _has_late_request(self) -> bool:
         total: float = 0
-        for due, number in sorted(self._due):
-            total += self._left.get(number, 0)
+        for due_at, number in sorted(self._queue):
+            total += self._remaining_s.get(number, 0)
             ready_at = self._now + total / self._speed
-            if number in self._left and ready_at > due:
+            if number in self._remaining_s and ready_at > due_at:
                 return True
         return False
 
 
 def count_bound(workload: Workload, trace: Sequence[Arrival]) -> int:
-    """Return how many requests perfect knowledge would answer in time."""
-    server = Server(workload.engine_count)
+    """Return the upper bound on requests of the trace answered in time."""
+    server = JointServer(workload.engine_count)
     for arrival in trace:
         server.add(arrival)
-    server.advance(trace[-1].due + 1)
-    return server.good
+    server.advance(trace[-1].due_at + 1)
+    return server.good_count
--- a/packages/standins/src/verbenahall_standins/comparison.py
+++ b/packages/standins/src/verbenahall_standins/comparison.py
@@ -1,4 +1,4 @@
-"""Runs every policy on the same traces and works out the figures."""
+"""Runs all policies on the same traces and computes their figures."""
 
 import collections
 import dataclasses
@@ -10,31 +10,32 @@
 from verbenahall_standins import bound, policies
 from verbenahall_standins.lines import Line
 from verbenahall_standins.load import percentile_ms
-from verbenahall_standins.ours import Ours
+from verbenahall_standins.product_policy import ProductPolicy
 from verbenahall_standins.simulation import Outcome, Policy, Simulation
 from verbenahall_standins.traces import WORKLOADS, Workload, write_trace
 
 _NAIVE: Final = 'naive'
 _P95: Final = 95
 _P99: Final = 99
-#: Requests of this priority and above are urgent: flags and caption checks.
-_URGENT: Final = 1
+#: Requests with this priority number or a lower one are urgent: flags and
+#: captions.
+_URGENT_PRIORITY: Final = 1
 
-Build = Callable[[Workload, int], Policy]
+PolicyFactory = Callable[[Workload, int], Policy]
 
-POLICIES: Final[Mapping[str, Build]] = MappingProxyType(
+POLICIES: Final[Mapping[str, PolicyFactory]] = MappingProxyType(
     {
-        _NAIVE: lambda workload, seed: policies.Naive(),
+        _NAIVE: lambda workload, seed: policies.RoundRobin(),
         'least load': lambda workload, seed: policies.LeastLoad(),
         'reactive': lambda workload, seed: policies.Reactive(),
-        'ours': Ours,
+        'ours': ProductPolicy,
     },
 )
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Figures:
-    """One policy on one trace; times in milliseconds."""
+    """Figures of one policy on one trace; times are in milliseconds."""
 
     goodput: float
     bound_share: float
@@ -45,7 +46,7 @@
     queued: float
 
 
-#: Each figure's name on a line, and its unit.
+#: Unit of each figure, by its name in the output.
 _UNITS: Final = MappingProxyType(
     {
         'goodput': '1/s',
@@ -61,7 +62,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Run:
-    """One policy's run, kept for the report."""
+    """The run of one policy on one trace."""
 
     workload: str
     policy: str
@@ -71,24 +72,24 @@
 
     @property
     def trace(self) -> str:
-        """The trace's name on a line."""
+        """Name of the trace in the output."""
         return f'{self.workload} seed {self.seed}'
 
 
 def compare(seed: int) -> Iterator[Run]:
-    """Yield the run of every policy on every workload's trace."""
+    """Run each policy on the trace of each workload."""
     for workload in WORKLOADS.values():
         trace = write_trace(workload, seed)
-        best = bound.count_bound(workload, trace)
+        bound_count = bound.count_bound(workload, trace)
         for name, build in POLICIES.items():
             simulation = Simulation(workload, build(workload, seed))
             simulation.run(trace)
-            figures = work_out(simulation, best, trace[-1].at)
+            figures = compute_figures(simulation, bound_count, trace[-1].at)
             yield Run(workload.name, name, seed, figures, simulation)
 
 
-def write_lines(runs: Sequence[Run]) -> Iterator[Line]:
-    """Yield a line for each figure, with the naive policy as baseline."""
+def build_lines(runs: Sequence[Run]) -> Iterator[Line]:
+    """Yield a line for each figure, with round robin as the baseline."""
     naive = {run.trace: run for run in runs if run.policy == _NAIVE}
     for run, key in itertools.product(runs, _UNITS):
         baseline = naive[run.trace].figures
@@ -100,40 +101,52 @@
         )
 
 
-def work_out(simulation: Simulation, best: int, seconds: float) -> Figures:
-    """Work out the figures of a run that lasted for some seconds."""
+def compute_figures(
+    simulation: Simulation, bound_count: int, seconds: float
+) -> Figures:
+    """Compute the figures of a run.
+
+    ``bound_count`` is the upper bound on requests answered in time, and
+    ``seconds`` the duration of the trace.
+    """
     outcomes = simulation.outcomes
     good = collections.Counter(outcome.is_good for outcome in outcomes)[True]
-    urgent = [row for row in outcomes if row.arrival.priority <= _URGENT]
+    urgent = [
+        row for row in outcomes if row.arrival.priority <= _URGENT_PRIORITY
+    ]
     queued = [sample.queued for sample in simulation.samples]
     return Figures(
         goodput=good / seconds,
-        bound_share=good / best,
+        bound_share=good / bound_count,
         changes=simulation.changes,
-        urgent_p99=_percentile(map(_answer_s, urgent), _P99),
-        first_p95=_percentile(map(_first_s, outcomes), _P95),
-        between_p95=_percentile(_between_s(outcomes), _P95),
+        urgent_p99=_percentile(map(_compute_answer_s, urgent), _P99),
+        first_p95=_percentile(map(_compute_first_token_s, outcomes), _P95),
+        between_p95=_percentile(_list_token_gaps_s(outcomes), _P95),
         queued=sum(queued) / len(queued),
     )
 
 
-def _answer_s(outcome: Outcome) -> float:
-    """Seconds to the whole answer; to giving up where there was none."""
-    ended = outcome.last_at or outcome.arrival.due
+def _compute_answer_s(outcome: Outcome) -> float:
+    """Return the seconds to the whole answer, or to the due time without it."""
+    ended = outcome.last_token_at or outcome.arrival.due_at
     return ended - outcome.arrival.at
 
 
-def _first_s(outcome: Outcome) -> float:
-    """Seconds to the first token; to giving up where there was none."""
-    began = outcome.first_at or outcome.arrival.due
+def _compute_first_token_s(outcome: Outcome) -> float:
+    """Return the seconds to the first token, or to the due time without it."""
+    began = outcome.first_token_at or outcome.arrival.due_at
     return began - outcome.arrival.at
 
 
-def _between_s(outcomes: Sequence[Outcome]) -> Iterator[float]:
-    """Mean seconds between tokens of each whole answer."""
+def _list_token_gaps_s(outcomes: Sequence[Outcome]) -> Iterator[float]:
+    """Yield the mean seconds between tokens of each complete answer."""
     for outcome in outcomes:
-        if outcome.last_at and outcome.first_at and outcome.arrival.output > 1:
-            spent_s = outcome.last_at - outcome.first_at
+        if (
+            outcome.last_token_at
+            and outcome.first_token_at
+            and outcome.arrival.output > 1
+        ):
+            spent_s = outcome.last_token_at - outcome.first_token_at
             yield spent_s / (outcome.arrival.output - 1)
 
 
--- a/packages/standins/src/verbenahall_standins/plots.py
+++ b/packages/standins/src/verbenahall_standins/plots.py
@@ -1,4 +1,4 @@
-"""Plots of goodput, queues and roles over time, as one SVG."""
+"""Plots of goodput, queues and roles over time in one SVG file."""
 
 import collections
 from collections.abc import Sequence
@@ -14,18 +14,18 @@
 _ROWS: Final = 3
 _WIDTH: Final = 7
 _HEIGHT: Final = 3
-_PLANNED: Final = 'ours'
+_PRODUCT_POLICY: Final = 'ours'
 
 
 def draw_report(runs: Sequence[Run], path: Path) -> None:
-    """Draw a column for each workload; the roles are those of ours."""
+    """Draw a column for each workload; roles are those of the product."""
     names = list(dict.fromkeys(run.workload for run in runs))
     size = (_WIDTH * len(names), _HEIGHT * _ROWS)
     figure = Figure(figsize=size, layout='constrained')
     grid = figure.subplots(_ROWS, len(names), sharex='col', squeeze=False)
     for column, name in enumerate(names):
-        own = [run for run in runs if run.workload == name]
-        _draw_column([row[column] for row in grid], own)
+        workload_runs = [run for run in runs if run.workload == name]
+        _draw_column([row[column] for row in grid], workload_runs)
     path.parent.mkdir(parents=True, exist_ok=True)
     figure.savefig(path, format='svg')
 
@@ -48,19 +48,19 @@
 
 
 def _count_good(run: Run) -> tuple[list[float], list[float]]:
-    """Return bins of time and the good answers a second that end there."""
+    """Return the start of each time bin and its good answers a second."""
     bins = collections.Counter(
-        outcome.last_at // _BIN_S * _BIN_S
+        outcome.last_token_at // _BIN_S * _BIN_S
         for outcome in run.simulation.outcomes
-        if outcome.is_good and outcome.last_at is not None
+        if outcome.is_good and outcome.last_token_at is not None
     )
     times = sorted(bins)
     return times, [bins[time] / _BIN_S for time in times]
 
 
 def _draw_roles(axis: Any, runs: Sequence[Run]) -> None:
-    planned = [run for run in runs if run.policy == _PLANNED]
-    samples = planned[0].simulation.samples
+    product_runs = [run for run in runs if run.policy == _PRODUCT_POLICY]
+    samples = product_runs[0].simulation.samples
     counts = [[sample.roles.count(role) for sample in samples] for role in Role]
     times = [sample.at for sample in samples]
     axis.stackplot(times, counts, labels=[role.value for role in Role])
--- a/packages/standins/src/verbenahall_standins/policies.py
+++ b/packages/standins/src/verbenahall_standins/policies.py
@@ -1,4 +1,4 @@
-"""The simple policies that the bench compares ours with."""
+"""Simple policies as baselines for the product's."""
 
 import itertools
 from collections.abc import Mapping, Sequence
@@ -11,14 +11,14 @@
 
 _FULL_BATCH: Final = 32
 _TYPICAL_CONTEXT: Final = 1000
-#: The reactive policy acts when prefill's share leaves this band around the
-#: share of engines that are in the prefill role.
-_BAND: Final = 0.1
+#: The reactive policy changes a role when the prefill share of the work
+#: differs by more than this from the share of prefill engines.
+_TOLERANCE: Final = 0.1
 _WINDOW_S: Final = 5.0
 
 
-class Naive:
-    """Round robin over all engines, roles as they are."""
+class RoundRobin:
+    """Round robin over all engines, without role changes."""
 
     def __init__(self) -> None:
         """Start at the first engine."""
@@ -31,14 +31,16 @@
         engines: Sequence[Engine],
         now: float,
     ) -> str:
-        """Take the next engine."""
+        """Return the next engine."""
         return engines[next(self._numbers) % len(engines)].name
 
-    def finish(self, instance: int, outcome: Outcome, now: float) -> None:
-        """Learn nothing."""
+    def handle_finished(
+        self, instance: int, outcome: Outcome, now: float
+    ) -> None:
+        """Ignore the outcome."""
 
-    def report(self, loads: Loads, now: float) -> None:
-        """Learn nothing."""
+    def handle_reports(self, loads: Loads, now: float) -> None:
+        """Ignore the reports."""
 
     def plan(
         self,
@@ -49,8 +51,8 @@
         return {}
 
 
-class LeastLoad(Naive):
-    """The least reported load, roles as they are."""
+class LeastLoad(RoundRobin):
+    """Least reported load, without role changes."""
 
     def __init__(self) -> None:
         """Start without reports."""
@@ -64,26 +66,27 @@
         engines: Sequence[Engine],
         now: float,
     ) -> str:
-        """Take the engine with the least reported load, the first of equals."""
-        return min(engines, key=self._read_load).name
+        """Return the first engine with the least reported load."""
+        return min(engines, key=self._get_load).name
 
-    def report(self, loads: Loads, now: float) -> None:
-        """Keep the reports."""
+    def handle_reports(self, loads: Loads, now: float) -> None:
+        """Store the reports."""
         self._loads = loads
 
-    def _read_load(self, engine: Engine) -> int:
+    def _get_load(self, engine: Engine) -> int:
         return sum(self._loads.get(engine.name, ()))
 
 
 class Reactive(LeastLoad):
-    """Least load within roles that follow the recent mix at once.
+    """Least load within roles that follow the recent mix immediately.
 
-    Each second one engine changes when prefill's share of the last five
-    seconds' work has left the share of prefill engines by a tenth.
+    Each second one engine changes its role if the prefill share of the work
+    of the last five seconds and the share of prefill engines differ by more
+    than a tenth.
     """
 
     def __init__(self) -> None:
-        """Start with no arrivals seen."""
+        """Start without arrivals."""
         super().__init__()
         self._recent: list[tuple[float, float, float]] = []
 
@@ -94,12 +97,14 @@
         engines: Sequence[Engine],
         now: float,
     ) -> str:
-        """Keep long prompts on prefill engines and the rest off them."""
+        """Send prefill-heavy requests to prefill engines, others elsewhere."""
         prefill_s = cost.prefill_s(arrival.prompt)
-        decode_s = arrival.output / _decode_rate()
+        decode_s = arrival.output / _compute_decode_rate()
         self._recent.append((now, prefill_s, decode_s))
-        wanted = Role.PREFILL if prefill_s > decode_s else Role.MIXED
-        fitting = [engine for engine in engines if engine.batch.role is wanted]
+        fitting_role = Role.PREFILL if prefill_s > decode_s else Role.MIXED
+        fitting = [
+            engine for engine in engines if engine.batch.role is fitting_role
+        ]
         return super().choose(instance, arrival, fitting or engines, now)
 
     def plan(
@@ -107,30 +112,32 @@
         engines: Sequence[Engine],
         now: float,
     ) -> Mapping[str, Role]:
-        """Change one engine towards the recent mix."""
+        """Change the role of at most one engine to match the recent mix."""
         oldest = now - _WINDOW_S
         self._recent = [row for row in self._recent if row[0] > oldest]
         prefilling = [engine for engine in engines if _is_prefill(engine)]
         others = [engine for engine in engines if engine not in prefilling]
-        off = self._find_share() - len(prefilling) / len(engines)
-        if off < -_BAND and prefilling:
+        difference = self._compute_prefill_share() - len(prefilling) / len(
+            engines
+        )
+        if difference < -_TOLERANCE and prefilling:
             return {prefilling[0].name: Role.MIXED}
-        if off > _BAND and len(others) > 1:
+        if difference > _TOLERANCE and len(others) > 1:
             return {others[0].name: Role.PREFILL}
         return {}
 
-    def _find_share(self) -> float:
-        """Return prefill's share of the recent work."""
+    def _compute_prefill_share(self) -> float:
+        """Return the prefill share of the recent work."""
         prefill_s = sum(row[1] for row in self._recent)
         decode_s = sum(row[2] for row in self._recent)
         return prefill_s / (prefill_s + decode_s or 1)
 
 
 def _is_prefill(engine: Engine) -> bool:
-    return (engine.wanted or engine.batch.role) is Role.PREFILL
+    return (engine.next_role or engine.batch.role) is Role.PREFILL
 
 
-def _decode_rate() -> float:
-    """Return tokens a second of one engine that only decodes."""
+def _compute_decode_rate() -> float:
+    """Return the tokens a second of an engine that only decodes."""
     context = _FULL_BATCH * _TYPICAL_CONTEXT
     return _FULL_BATCH / cost.step_s(_FULL_BATCH, context)
--- a/packages/standins/src/verbenahall_standins/ours.py
+++ b/packages/standins/src/verbenahall_standins/product_policy.py
@@ -1,8 +1,8 @@
-"""The product's own decisions, behind the interface of the policies.
+"""The decisions of the product, behind the policy interface.
 
-``Ours`` decides nothing itself: it calls ``verbenahall.routing``,
+``ProductPolicy`` makes no decisions itself: it calls ``verbenahall.routing``,
 ``verbenahall.load`` and ``verbenahall.roles`` as an instance does, with one
-state for each instance and one planner for each data centre.
+state for each instance and one role planner for each data centre.
 """
 
 import random
@@ -19,40 +19,46 @@
     observe_report,
 )
 from verbenahall_standins.simulation import (
-    INSTANCES_PER_SITE,
+    INSTANCES_PER_DATA_CENTRE,
     Engine,
     Loads,
     Outcome,
-    list_sites,
+    list_data_centres,
 )
 from verbenahall_standins.traces import Arrival, Workload
 
-#: Prompt and output tokens that make one typical request.
+#: Tokens of a typical prompt and output, in which work is counted.
 _TYPICAL_PROMPT: Final = 512
 _TYPICAL_OUTPUT: Final = 128
 
 
-class Ours:
-    """The product's own decision functions."""
+class ProductPolicy:
+    """Routes and plans roles with the product's decision functions."""
 
     def __init__(self, workload: Workload, seed: int) -> None:
-        """Make the states that each instance and each planner has."""
+        """Create the state of each instance and of each planner."""
         self._workload = workload
-        sites = list(workload.engines)
-        self._sites = [
-            site for site in sites for _ in range(INSTANCES_PER_SITE)
+        data_centres = list(workload.engines)
+        self._data_centres = [
+            data_centre
+            for data_centre in data_centres
+            for _ in range(INSTANCES_PER_DATA_CENTRE)
         ]
         self._routers = [
             routing.RoutingState(
-                f'{site}-{number}',
-                site,
+                f'{data_centre}-{number}',
+                data_centre,
                 random.Random(f'{seed}-{number}'),
             )
-            for number, site in enumerate(self._sites)
+            for number, data_centre in enumerate(self._data_centres)
         ]
-        self._loads = [LoadState() for _ in self._sites]
-        self._demands = {site: roles.DemandState(0) for site in sites}
-        self._planners = {site: roles.PlannerState(0) for site in sites}
+        self._loads = [LoadState() for _ in self._data_centres]
+        self._demands = {
+            data_centre: roles.DemandState(0) for data_centre in data_centres
+        }
+        self._planners = {
+            data_centre: roles.PlannerState(0) for data_centre in data_centres
+        }
 
     def choose(
         self,
@@ -61,7 +67,7 @@
         engines: Sequence[Engine],
         now: float,
     ) -> str:
-        """Choose as the instance's front does."""
+        """Choose an engine as the instance does for a request."""
         question = routing.Question(
             str(arrival.number),
             arrival.prompt,
@@ -84,14 +90,16 @@
         roles.note_arrival(demand, arrival.prompt, arrival.output, now)
         return name
 
-    def finish(self, instance: int, outcome: Outcome, now: float) -> None:
-        """Count the attempt as over."""
+    def handle_finished(
+        self, instance: int, outcome: Outcome, now: float
+    ) -> None:
+        """Record the end of the request in the load of its engine."""
         identity = str(outcome.arrival.number)
         state = self._loads[instance]
         note_finished(state, outcome.engine, identity, now)
 
-    def report(self, loads: Loads, now: float) -> None:
-        """Hand the reports to every instance."""
+    def handle_reports(self, loads: Loads, now: float) -> None:
+        """Record the reports at every instance."""
         for name, (running, queued) in loads.items():
             found = Report(running, queued)
             for state in self._loads:
@@ -102,28 +110,32 @@
         engines: Sequence[Engine],
         now: float,
     ) -> Mapping[str, Role]:
-        """Let each data centre's planner decide."""
-        wanted: dict[str, Role] = {}
-        for site in list_sites(engines):
-            own = [engine for engine in engines if engine.site == site]
-            wanted.update(self._plan_site(site, own, now))
-        return wanted
-
-    def _plan_site(
+        """Return the roles planned by each data centre's planner."""
+        planned: dict[str, Role] = {}
+        for data_centre in list_data_centres(engines):
+            own = [
+                engine
+                for engine in engines
+                if engine.data_centre == data_centre
+            ]
+            planned.update(self._plan_data_centre(data_centre, own, now))
+        return planned
+
+    def _plan_data_centre(
         self,
-        site: str,
+        data_centre: str,
         engines: Sequence[Engine],
         now: float,
     ) -> Mapping[str, Role]:
         seen = roles.Observation(
-            pool=site,
-            demand=roles.read_demand(self._demands[site], now),
+            pool=data_centre,
+            demand=roles.read_demand(self._demands[data_centre], now),
             engines=tuple(map(_observe, engines)),
             goodput_weight=self._workload.goodput_weight,
             change_weight=self._workload.change_weight,
         )
         plan = roles.decide(
-            self._planners[site],
+            self._planners[data_centre],
             seen,
             roles.DEFAULT_PROFILE,
             now,
@@ -132,7 +144,7 @@
 
 
 def _observe(engine: Engine) -> roles.EngineNow:
-    role = engine.wanted or engine.batch.role
+    role = engine.next_role or engine.batch.role
     return roles.EngineNow(engine.name, role, engine.batch.running)
 
 
@@ -141,7 +153,7 @@
         engine.name,
         EndpointKind.ENGINE,
         '',
-        engine.site,
+        engine.data_centre,
         '1',
     )
     return routing.Candidate(endpoint, engine.batch.role)
--- a/packages/standins/src/verbenahall_standins/simulation.py
+++ b/packages/standins/src/verbenahall_standins/simulation.py
@@ -1,7 +1,7 @@
-"""A small event loop over batches, to compare policies on one trace.
+"""Discrete-event simulation of engines to compare policies on one trace.
 
-It is no simulator of a cluster: there is no network and nothing fails. Each
-engine is the same ``Batch`` that the engine stand-in runs.
+It models neither a network nor failures. Each engine runs the same ``Batch``
+as the engine stand-in.
 """
 
 import dataclasses
@@ -17,53 +17,56 @@
 
 REPORT_S: Final = 0.5
 PLAN_S: Final = 1.0
-INSTANCES_PER_SITE: Final = 3
+INSTANCES_PER_DATA_CENTRE: Final = 3
 
 
 #: Jobs running and queued, by engine.
 Loads = Mapping[str, tuple[int, int]]
-#: When, a tie-breaking number, what is called, and what it is given.
+#: Time, tie-breaking number, callback, and its argument.
 _Event = tuple[float, int, Any, Any]
 
 
 class Engine:
-    """One engine: its batch, and whether a role change is under way."""
+    """One engine with its batch and a possible role change."""
 
-    __slots__ = ('batch', 'busy', 'name', 'site', 'wanted')
+    __slots__ = ('batch', 'busy', 'name', 'data_centre', 'next_role')
 
-    def __init__(self, name: str, site: str) -> None:
-        """Start mixed and idle."""
+    def __init__(self, name: str, data_centre: str) -> None:
+        """Start idle in the mixed role."""
         self.name = name
-        self.site = site
+        self.data_centre = data_centre
         self.batch = Batch(Role.MIXED)
         self.busy = False
-        #: The role that a change leads to, None while none is under way.
-        self.wanted: Role | None = None
+        #: The new role while a role change is under way, else None.
+        self.next_role: Role | None = None
 
     @property
     def load(self) -> int:
-        """Jobs running and queued."""
+        """Number of jobs running and queued."""
         return self.batch.running + self.batch.queued
 
 
 @dataclasses.dataclass(slots=True)
 class Outcome:
-    """What became of one request; times are None until they are known."""
+    """The outcome of one request; times are None until they are known."""
 
     arrival: Arrival
     engine: str
-    first_at: float | None = None
-    last_at: float | None = None
+    first_token_at: float | None = None
+    last_token_at: float | None = None
 
     @property
     def is_good(self) -> bool:
-        """Whether the whole answer came in time."""
-        return self.last_at is not None and self.last_at <= self.arrival.due
+        """Whether the answer was complete by the due time."""
+        return (
+            self.last_token_at is not None
+            and self.last_token_at <= self.arrival.due_at
+        )
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Sample:
-    """The fleet at one moment."""
+    """Roles and queue length of the fleet at one time."""
 
     at: float
     roles: tuple[Role, ...]
@@ -80,31 +83,33 @@
         engines: Sequence[Engine],
         now: float,
     ) -> str:
-        """Return the engine's name; ``engines`` are those in service."""
+        """Return the name of one of ``engines``, which are in service."""
 
-    def finish(self, instance: int, outcome: Outcome, now: float) -> None:
-        """Note that a request is over."""
+    def handle_finished(
+        self, instance: int, outcome: Outcome, now: float
+    ) -> None:
+        """Handle the end of a request, answered or expired."""
 
-    def report(self, loads: Loads, now: float) -> None:
-        """Take reports, which are ``REPORT_S`` old, by engine."""
+    def handle_reports(self, loads: Loads, now: float) -> None:
+        """Handle reports by engine, which are ``REPORT_S`` old."""
 
     def plan(
         self,
         engines: Sequence[Engine],
         now: float,
     ) -> Mapping[str, Role]:
-        """Return wanted roles; engines left out keep theirs."""
+        """Return new roles by engine; engines left out keep their role."""
 
 
 class Simulation:
-    """One policy's run over one trace."""
+    """Runs one policy on one trace."""
 
     __slots__ = (
         '_engines',
         '_events',
         '_instances',
         '_numbers',
-        '_open',
+        '_in_flight',
         '_policy',
         '_reports',
         'changes',
@@ -113,42 +118,46 @@
     )
 
     def __init__(self, workload: Workload, policy: Policy) -> None:
-        """Start with every engine mixed and idle."""
+        """Start with all engines idle in the mixed role."""
         self._engines = {
             engine.name: engine for engine in build_engines(workload)
         }
         self._policy = policy
-        self._instances = INSTANCES_PER_SITE * len(workload.engines)
+        self._instances = INSTANCES_PER_DATA_CENTRE * len(workload.engines)
         self._events: list[_Event] = []
         self._numbers = itertools.count()
-        self._open: dict[str, Outcome] = {}
+        self._in_flight: dict[str, Outcome] = {}
         self._reports = self._read_loads()
         self.changes = 0
         self.outcomes: list[Outcome] = []
         self.samples: list[Sample] = []
 
     def run(self, trace: Sequence[Arrival]) -> None:
-        """Run until every request is answered or given up."""
+        """Run until every request is answered or expired."""
         for arrival in trace:
-            self._at(arrival.at, self._arrive, arrival)
-        end = trace[-1].due
-        self._at(0, self._report, end)
-        self._at(0, self._plan, end)
+            self._schedule(arrival.at, self._handle_arrival, arrival)
+        end = trace[-1].due_at
+        self._schedule(0, self._deliver_reports, end)
+        self._schedule(0, self._change_roles, end)
         while self._events:
-            now, _, act, given = heapq.heappop(self._events)
-            act(given, now)
-
-    def _at(self, at: float, act: Callable[..., None], given: Any) -> None:
-        heapq.heappush(self._events, (at, next(self._numbers), act, given))
+            now, _, callback, argument = heapq.heappop(self._events)
+            callback(argument, now)
+
+    def _schedule(
+        self, at: float, callback: Callable[..., None], argument: Any
+    ) -> None:
+        heapq.heappush(
+            self._events, (at, next(self._numbers), callback, argument)
+        )
 
-    def _arrive(self, arrival: Arrival, now: float) -> None:
-        every = tuple(self._engines.values())
-        serving = [engine for engine in every if engine.wanted is None]
+    def _handle_arrival(self, arrival: Arrival, now: float) -> None:
+        engines = tuple(self._engines.values())
+        serving = [engine for engine in engines if engine.next_role is None]
         instance = arrival.number % self._instances
-        name = self._policy.choose(instance, arrival, serving or every, now)
+        name = self._policy.choose(instance, arrival, serving or engines, now)
         outcome = Outcome(arrival, name)
         self.outcomes.append(outcome)
-        self._open[str(arrival.number)] = outcome
+        self._in_flight[str(arrival.number)] = outcome
         job = Job(
             str(arrival.number),
             arrival.priority,
@@ -156,19 +165,19 @@
             arrival.output,
         )
         self._engines[name].batch.add(job)
-        self._at(arrival.due, self._expire, outcome)
+        self._schedule(arrival.due_at, self._expire, outcome)
         self._start_step(self._engines[name], now)
 
     def _expire(self, outcome: Outcome, now: float) -> None:
-        """Give up: the caller has gone, and the engine's work is cancelled."""
+        """Cancel a request that is not answered at its due time."""
         identity = str(outcome.arrival.number)
-        if self._open.pop(identity, None):
+        if self._in_flight.pop(identity, None):
             self._engines[outcome.engine].batch.cancel(identity)
             self._finish(outcome, now)
 
     def _finish(self, outcome: Outcome, now: float) -> None:
         instance = outcome.arrival.number % self._instances
-        self._policy.finish(instance, outcome, now)
+        self._policy.handle_finished(instance, outcome, now)
 
     def _start_step(self, engine: Engine, now: float) -> None:
         if engine.busy:
@@ -176,35 +185,39 @@
         if not engine.batch.is_idle:
             engine.busy = True
             step = engine.batch.step()
-            self._at(now + step.duration_s, self._end_step, (engine, step))
-        elif engine.wanted is not None:
+            self._schedule(
+                now + step.duration_s, self._end_step, (engine, step)
+            )
+        elif engine.next_role is not None:
             engine.busy = True
-            self._at(now + cost.ROLE_CHANGE_S, self._end_change, engine)
+            self._schedule(
+                now + cost.ROLE_CHANGE_S, self._end_role_change, engine
+            )
 
-    def _end_step(self, given: tuple[Engine, Step], now: float) -> None:
-        engine, step = given
+    def _end_step(self, argument: tuple[Engine, Step], now: float) -> None:
+        engine, step = argument
         for job in step.produced:
-            if job.produced == 1 and job.identity in self._open:
-                self._open[job.identity].first_at = now
+            if job.produced == 1 and job.identity in self._in_flight:
+                self._in_flight[job.identity].first_token_at = now
         for done in step.finished:
-            outcome = self._open.pop(done.identity, None)
+            outcome = self._in_flight.pop(done.identity, None)
             if outcome is not None:
-                outcome.last_at = now
+                outcome.last_token_at = now
                 self._finish(outcome, now)
         engine.busy = False
         self._start_step(engine, now)
 
-    def _end_change(self, engine: Engine, now: float) -> None:
-        engine.batch.role = engine.wanted or engine.batch.role
-        engine.wanted = None
+    def _end_role_change(self, engine: Engine, now: float) -> None:
+        engine.batch.role = engine.next_role or engine.batch.role
+        engine.next_role = None
         engine.busy = False
         self._start_step(engine, now)
 
-    def _report(self, end: float, now: float) -> None:
-        self._policy.report(self._reports, now)
+    def _deliver_reports(self, end: float, now: float) -> None:
+        self._policy.handle_reports(self._reports, now)
         self._reports = self._read_loads()
         if now < end:
-            self._at(now + REPORT_S, self._report, end)
+            self._schedule(now + REPORT_S, self._deliver_reports, end)
 
     def _read_loads(self) -> dict[str, tuple[int, int]]:
         return {
@@ -212,36 +225,36 @@
             for name, engine in self._engines.items()
         }
 
-    def _plan(self, end: float, now: float) -> None:
-        every = tuple(self._engines.values())
-        wanted = self._policy.plan(every, now)
-        for engine in every:
-            role = wanted.get(engine.name, engine.batch.role)
-            if engine.wanted is None and role is not engine.batch.role:
-                engine.wanted = role
+    def _change_roles(self, end: float, now: float) -> None:
+        engines = tuple(self._engines.values())
+        planned = self._policy.plan(engines, now)
+        for engine in engines:
+            role = planned.get(engine.name, engine.batch.role)
+            if engine.next_role is None and role is not engine.batch.role:
+                engine.next_role = role
                 self.changes += 1
                 self._start_step(engine, now)
-        self.samples.append(take_sample(every, now))
+        self.samples.append(take_sample(engines, now))
         if now < end:
-            self._at(now + PLAN_S, self._plan, end)
+            self._schedule(now + PLAN_S, self._change_roles, end)
 
 
 def take_sample(engines: Sequence[Engine], now: float) -> Sample:
-    """Return what the fleet looks like."""
+    """Return a sample of the engines."""
     roles = tuple(engine.batch.role for engine in engines)
     queued = sum(engine.batch.queued for engine in engines)
     return Sample(now, roles, queued)
 
 
 def build_engines(workload: Workload) -> list[Engine]:
-    """Return the engines of a workload, by data centre."""
+    """Return the engines of a workload, grouped by data centre."""
     engines = []
-    for site, count in workload.engines.items():
-        names = [f'{site}-engine-{number}' for number in range(count)]
-        engines.extend(Engine(name, site) for name in names)
+    for data_centre, count in workload.engines.items():
+        names = [f'{data_centre}-engine-{number}' for number in range(count)]
+        engines.extend(Engine(name, data_centre) for name in names)
     return engines
 
 
-def list_sites(engines: Sequence[Engine]) -> list[str]:
-    """Return the data centres in order."""
-    return list(dict.fromkeys(engine.site for engine in engines))
+def list_data_centres(engines: Sequence[Engine]) -> list[str]:
+    """Return the data centres in order of first appearance."""
+    return list(dict.fromkeys(engine.data_centre for engine in engines))
--- a/packages/standins/src/verbenahall_standins/traces.py
+++ b/packages/standins/src/verbenahall_standins/traces.py
@@ -1,8 +1,9 @@
-"""Seeded traces of both deployments, whose mix swings within minutes.
+"""Seeded traces of both deployments, whose mix changes within minutes.
 
-A phase names the share of the whole fleet's time that each kind of request
-asks for; arrivals are Poisson at the rate which that gives. Seeds shift the
-lengths and shares of phases, so that a policy cannot fit one trace.
+A phase sets the share of the fleet's engine time that each kind of request
+needs; arrivals follow a Poisson process at the resulting rate. The seed
+varies the lengths and shares of the phases, so that a policy cannot be
+fitted to one trace.
 """
 
 import dataclasses
@@ -13,17 +14,17 @@
 
 from verbenahall_standins import cost
 
-#: A decoding engine is planned at this batch when its cost is worked out.
-_PLANNED_SEQUENCES: Final = 32
-_SWING: Final = 0.25
+#: Batch size that is assumed for the engine time of a request.
+_TYPICAL_BATCH: Final = 32
+_VARIATION: Final = 0.25
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Kind:
-    """One kind of request: tokens from and to, and when it must be whole.
+class RequestKind:
+    """One kind of request: ranges of token counts, and time limits.
 
-    ``deadline_s`` is for the prompt and the queue, ``token_s`` for each
-    token of the output.
+    An answer is due ``deadline_s`` after its arrival, plus ``token_s`` for
+    each output token.
     """
 
     name: str
@@ -35,7 +36,7 @@
 
     @property
     def engine_s(self) -> float:
-        """Seconds of one engine's time that a typical request takes."""
+        """Engine time in seconds of a request with mean token counts."""
         prompt = sum(self.prompt) // len(self.prompt)
         output = sum(self.output) // len(self.output)
         return work_s(prompt, output)
@@ -43,7 +44,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Arrival:
-    """One request; ``due`` is when its whole answer must be there."""
+    """One request; its whole answer is due at ``due_at``."""
 
     number: int
     at: float
@@ -51,12 +52,12 @@
     priority: int
     prompt: int
     output: int
-    due: float
+    due_at: float
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Phase:
-    """How long a mix lasts, and each kind's share of the fleet's time."""
+    """Duration of a mix and the share of engine time of each kind."""
 
     seconds: float
     shares: Mapping[str, float]
@@ -64,40 +65,40 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Workload:
-    """One deployment: engines in each data centre, kinds, phases."""
+    """One deployment: engines by data centre, kinds of request, phases."""
 
     name: str
     engines: Mapping[str, int]
-    kinds: tuple[Kind, ...]
+    kinds: tuple[RequestKind, ...]
     phases: tuple[Phase, ...]
     goodput_weight: float
     change_weight: float
 
     @property
     def engine_count(self) -> int:
-        """All engines of the deployment."""
+        """Number of engines of the deployment."""
         return sum(self.engines.values())
 
 
 def work_s(prompt: int, output: int) -> float:
-    """Return the engine time of a request in a full batch."""
-    context = _PLANNED_SEQUENCES * (prompt + output // 2)
-    step_s = cost.step_s(_PLANNED_SEQUENCES, context)
-    return cost.prefill_s(prompt) + output * step_s / _PLANNED_SEQUENCES
+    """Return the engine time in seconds of a request in a typical batch."""
+    context = _TYPICAL_BATCH * (prompt + output // 2)
+    step_s = cost.step_s(_TYPICAL_BATCH, context)
+    return cost.prefill_s(prompt) + output * step_s / _TYPICAL_BATCH
 
 
-#: The Desk: blurbs on a quiet day, an archive rush before the print slot,
-#: both at once, then blurbs again. Atlas: shift summaries, a storm with trip
-#: questions, a quiet hour, summaries at the change of shift.
+#: ``desk``: mostly blurbs, then a surge of archive summaries, both at once, and
+#: the first two again. ``atlas``: shift summaries, a surge of trip questions
+#: in a storm, low load, and summaries at the change of shift.
 WORKLOADS: Final[Mapping[str, Workload]] = MappingProxyType(
     {
         'desk': Workload(
             'desk',
             {'aberystwyth': 4, 'lampeter': 3, 'cardigan': 3},
             (
-                Kind('summary', 2, (8000, 30_000), (30, 60), 25),
-                Kind('blurb', 2, (50, 100), (150, 300), 1),
-                Kind('caption', 1, (50, 100), (4, 10), 1),
+                RequestKind('summary', 2, (8000, 30_000), (30, 60), 25),
+                RequestKind('blurb', 2, (50, 100), (150, 300), 1),
+                RequestKind('caption', 1, (50, 100), (4, 10), 1),
             ),
             (
                 Phase(50, {'summary': 0.15, 'blurb': 0.55, 'caption': 0.04}),
@@ -113,9 +114,9 @@
             'atlas',
             {'ain': 2, 'sidi': 2, 'nouaceur': 2},
             (
-                Kind('trip', 2, (1500, 4000), (80, 160), 2),
-                Kind('shift', 3, (6000, 16_000), (50, 80), 20),
-                Kind('flag', 0, (150, 300), (1, 1), 0.5),
+                RequestKind('trip', 2, (1500, 4000), (80, 160), 2),
+                RequestKind('shift', 3, (6000, 16_000), (50, 80), 20),
+                RequestKind('flag', 0, (150, 300), (1, 1), 0.5),
             ),
             (
                 Phase(60, {'trip': 0.2, 'shift': 0.4, 'flag': 0.03}),
@@ -131,59 +132,59 @@
 
 
 def write_trace(workload: Workload, seed: int) -> list[Arrival]:
-    """Return the arrivals of a workload, in order of time."""
-    chance = random.Random(f'{workload.name}-{seed}')
-    drawn = sorted(_draw(workload, chance), key=lambda pair: pair[0])
+    """Return the arrivals of a workload in order of time."""
+    rng = random.Random(f'{workload.name}-{seed}')
+    drawn = sorted(_draw_arrivals(workload, rng), key=lambda pair: pair[0])
     return [
-        _write_arrival(number, at, kind, chance)
+        _build_arrival(number, at, kind, rng)
         for number, (at, kind) in enumerate(drawn)
     ]
 
 
-def _draw(
+def _draw_arrivals(
     workload: Workload,
-    chance: random.Random,
-) -> Iterator[tuple[float, Kind]]:
+    rng: random.Random,
+) -> Iterator[tuple[float, RequestKind]]:
     start: float = 0
     for phase in workload.phases:
-        end = start + phase.seconds * _vary(chance)
+        end = start + phase.seconds * _vary(rng)
         for kind in workload.kinds:
-            share = phase.shares[kind.name] * _vary(chance)
+            share = phase.shares[kind.name] * _vary(rng)
             rate = share * workload.engine_count / kind.engine_s
-            yield from _draw_kind(kind, rate, start, end, chance)
+            yield from _draw_kind_arrivals(kind, rate, start, end, rng)
         start = end
 
 
-def _draw_kind(
-    kind: Kind,
+def _draw_kind_arrivals(
+    kind: RequestKind,
     rate: float,
     start: float,
     end: float,
-    chance: random.Random,
-) -> Iterator[tuple[float, Kind]]:
-    at = start + chance.expovariate(rate)
+    rng: random.Random,
+) -> Iterator[tuple[float, RequestKind]]:
+    at = start + rng.expovariate(rate)
     while at < end:
         yield at, kind
-        at += chance.expovariate(rate)
+        at += rng.expovariate(rate)
 
 
-def _vary(chance: random.Random) -> float:
-    return chance.uniform(1 - _SWING, 1 + _SWING)
+def _vary(rng: random.Random) -> float:
+    return rng.uniform(1 - _VARIATION, 1 + _VARIATION)
 
 
-def _write_arrival(
+def _build_arrival(
     number: int,
     at: float,
-    kind: Kind,
-    chance: random.Random,
+    kind: RequestKind,
+    rng: random.Random,
 ) -> Arrival:
-    output = chance.randint(*kind.output)
+    output = rng.randint(*kind.output)
     return Arrival(
         number=number,
         at=at,
         kind=kind.name,
         priority=kind.priority,
-        prompt=chance.randint(*kind.prompt),
+        prompt=rng.randint(*kind.prompt),
         output=output,
-        due=at + kind.deadline_s + output * kind.token_s,
+        due_at=at + kind.deadline_s + output * kind.token_s,
     )
--- a/packages/standins/tests/test_cost.py
+++ b/packages/standins/tests/test_cost.py
@@ -1,4 +1,4 @@
-"""The cost model and the batch that runs on it."""
+"""The cost model, the batch that uses it, and the policy simulation."""
 
 import pytest
 from hypothesis import given
@@ -48,7 +48,7 @@
 
 
 def test_batch_takes_highest_priority_first():
-    """A flag that arrives behind a full queue starts before all that wait."""
+    """An urgent request starts before all that wait in a full queue."""
     batch = Batch(Role.MIXED)
     for number in range(200):
         batch.add(Job(f'low-{number}', 2, 100, 500))
@@ -71,8 +71,8 @@
     assert bound.count_bound(workload, trace) == len(trace)
 
 
-def test_bound_gives_up_the_dearest():
-    """Two long requests are due at once on a server with time for one."""
+def test_bound_drops_the_longest_request():
+    """Of two long requests with one due time, there is time for one."""
     workload = traces.WORKLOADS['atlas']
     seconds = traces.work_s(100_000, 10) / workload.engine_count
     trace = [
@@ -94,10 +94,10 @@
 
 @pytest.mark.parametrize('name', traces.WORKLOADS)
 def test_our_decisions_are_not_below_the_naive_ones(name):
-    """The mix swings; round robin over engines is the naive answer.
+    """The product answers at least as many requests in time as round robin.
 
-    Where the product did worse than that, an operator would be better off
-    without it.
+    The mix of the trace changes within minutes. With fewer good answers the
+    product would be worse than a plain load balancer.
     """
     workload = traces.WORKLOADS[name]
     trace = traces.write_trace(workload, 1)
