--- a/packages/standins/src/verbenahall_standins/cost.py
+++ b/packages/standins/src/verbenahall_standins/cost.py
@@ -1,8 +1,9 @@
-"""What an engine's work costs, as pure functions of tokens and batch.
+"""Cost model of an engine: pure functions of tokens and batch size.
 
-The constants describe one engine of two accelerators that holds a dense model
-of about 13 billion parameters in 16-bit weights. Each names its source or the
-assumption behind it; only their proportions matter to the policies compared.
+The constants describe one engine with two accelerators that serves a dense
+model of about 13 billion parameters in 16-bit weights. Comments give the
+derivation or the assumption. Policies are compared with each other, so only
+the proportions of the constants matter.
 """
 
 from types import MappingProxyType
@@ -10,40 +11,40 @@
 
 from verbenahall.fleet import Role
 
-#: Assumption: four characters of English, Welsh or French make a token.
+#: Assumed for English, Welsh and French.
 CHARACTERS_PER_TOKEN: Final = 4
 #: Compute bound: 2 x 13e9 operations a token at 40% of 2 x 300e12 a second.
 PREFILL_S_PER_TOKEN: Final = 1.1e-4
-#: Attention over the prompt grows with its square; assumption: doubles the
-#: cost of a token at 32,000 tokens.
+#: Attention grows with the square of the prompt length; assumed to double
+#: the cost of a token at 32,000 tokens.
 PREFILL_S_PER_TOKEN_PAIR: Final = 3.4e-9
-#: Memory bound: 26 GB of weights read at 70% of 2 x 1.6 TB a second, and
-#: 6 ms of launch and communication.
+#: Memory bound: 26 GB of weights read at 70% of 2 x 1.6 TB a second, plus
+#: 6 ms for launch and communication.
 STEP_S: Final = 0.018
-#: Sampling and scheduling of one more sequence; assumption.
+#: Sampling and scheduling of one more sequence (assumed).
 STEP_S_PER_SEQUENCE: Final = 1e-4
-#: 0.8 MB of KV cache a token (40 layers of 5120, keys and values, 16 bit)
-#: read at 70% of 3.2 TB a second.
+#: 0.8 MB of KV cache for a token (40 layers of 5120, keys and values, 16
+#: bits) read at 70% of 3.2 TB a second.
 STEP_S_PER_CACHED_TOKEN: Final = 3.6e-7
-#: What is left beside the weights in 2 x 80 GB, at 0.8 MB a token.
+#: Memory left beside the weights in 2 x 80 GB, at 0.8 MB for a token.
 KV_TOKENS: Final = 150_000
 KV_BYTES_PER_TOKEN: Final = 819_200
-#: One 200 Gb/s link at 80%.
+#: One link of 200 Gb/s at 80%.
 KV_LINK_BYTES_PER_S: Final = 2e10
-#: The share of the KV memory that old prefixes may fill; assumption.
+#: The part of ``KV_TOKENS`` for cached prefixes (assumed).
 PREFIX_CACHE_TOKENS: Final = 40_000
-#: Cache blocks are shared at this granularity.
+#: Granularity of prefix sharing.
 BLOCK_TOKENS: Final = 64
-#: Assumption: common default of batching engines.
+#: Maximum sequences in a batch, a common default of batching engines.
 BATCH_SEQUENCES: Final = 64
-#: The brief: a role change takes an engine away for seconds.
+#: An engine is out of service for seconds while it changes its role.
 ROLE_CHANGE_S: Final = 6.0
-#: Assumption: patching in an adapter of a loaded model.
+#: Adding an adapter to a loaded model (assumed).
 ADAPTER_CHANGE_S: Final = 1.0
 
-#: Prompt tokens that one step may take up beside the decoding sequences. A
-#: small budget keeps the time between tokens short, a large one wastes less
-#: of each step; a role is nothing but this budget.
+#: Prompt tokens that one step may process beside the decoding sequences. A
+#: small budget keeps the time between tokens short, a large one uses steps
+#: more fully. Roles differ only in this budget.
 PREFILL_BUDGET: Final = MappingProxyType(
     {
         Role.MIXED: 512,
@@ -59,10 +60,10 @@
 
 
 def prefill_s(tokens: int, before: int = 0) -> float:
-    """Return the seconds to prefill ``tokens`` that follow ``before`` others.
+    """Return the seconds to prefill ``tokens`` after ``before`` earlier ones.
 
-    The sum over chunks equals the cost of the whole, so chunking itself is
-    free and only the steps that it takes cost time.
+    The costs of the chunks of a prompt add up to the cost of the whole, so
+    chunking costs only the additional steps.
     """
     pairs = tokens * (tokens + 2 * before)
     return tokens * PREFILL_S_PER_TOKEN + pairs * PREFILL_S_PER_TOKEN_PAIR
@@ -71,7 +72,7 @@
 def step_s(sequences: int, cached_tokens: int) -> float:
     """Return the seconds of one step that decodes a token for each sequence.
 
-    ``cached_tokens`` is the sum over the sequences' contexts.
+    ``cached_tokens`` is the total context length of the sequences.
     """
     return (
         STEP_S
