--- a/packages/standins/src/verbenahall_standins/claim_cost.py
+++ b/packages/standins/src/verbenahall_standins/claim_cost.py
@@ -1,8 +1,9 @@
-"""What a keyed call costs in appends and milliseconds, against the log.
+"""Cost of claiming idempotency keys: appends to the log and latency.
 
 ``python -m verbenahall_standins.claim_cost --instances 9 --rates 5 50 500``
-starts the log's stand-in, lets that many claim folds in one process claim
-keys at each rate (keys a second over all), and prints a line for each.
+starts the stand-in of the log and, in one process, the claim state of each
+instance. They claim keys at each total rate (keys a second); a line is
+printed for each rate.
 """
 
 import argparse
@@ -23,8 +24,8 @@
 from verbenahall_standins import process
 
 _MS: Final = 1000
-_SHARE: Final = 20.0
-_LEAD_S: Final = 0.2
+_APPENDS_PER_S: Final = 20.0
+_START_DELAY_S: Final = 0.2
 _PERCENT: Final = 100
 _LINE: Final = (
     '{0:g} keys/s over {1} instances: {2} won of {3}, '
@@ -33,18 +34,18 @@
 
 
 @final
-class Claimers:
-    """Claim folds that follow one log, as many instances would."""
+class ClaimClients:
+    """Claim states of several instances that follow one log."""
 
     def __init__(self, address: str, session: ClientSession) -> None:
-        """Use the log at an address."""
+        """Use the log at ``address``."""
         self.folds: list[Claims] = []
         self._address = address
         self._session = session
         self._tasks: list[asyncio.Task[None]] = []
 
     def add(self, timing: ClaimsTiming) -> None:
-        """Start one more fold with its follower."""
+        """Start the claim state of one more instance, with its log follower."""
         name = f'i{len(self.folds)}'
         client = LogClient(self._address, self._session, name)
         claims = Claims(client, name, timing)
@@ -58,11 +59,11 @@
         self.folds.append(claims)
 
     def count_appends(self) -> int:
-        """Return the appends that all folds have tried."""
+        """Return the number of appends tried by all instances."""
         return sum(one.batcher.appends for one in self.folds)
 
     async def stop(self) -> None:
-        """End all loops."""
+        """Cancel all tasks."""
         for task in self._tasks:
             task.cancel()
         await asyncio.gather(*self._tasks, return_exceptions=True)
@@ -79,14 +80,14 @@
     return isinstance(verdict, Success), took_ms
 
 
-async def _drive(
-    claimers: Claimers,
+async def _claim_at_rate(
+    clients: ClaimClients,
     rate: float,
     seconds: float,
 ) -> list[tuple[bool, float]]:
-    """Claim at an even rate, whether or not earlier claims have ended."""
-    began_at = clock.monotonic() + _LEAD_S
-    folds = itertools.cycle(claimers.folds)
+    """Claim at a constant rate, without waiting for earlier claims."""
+    began_at = clock.monotonic() + _START_DELAY_S
+    folds = itertools.cycle(clients.folds)
     calls = [
         _claim(next(folds), f'{rate}/{number}', began_at + number / rate)
         for number in range(int(rate * seconds))
@@ -99,22 +100,22 @@
     rate: float,
     options: argparse.Namespace,
 ) -> None:
-    """Measure one rate and print what it cost."""
+    """Measure the cost at one rate and print it."""
     timing = ClaimsTiming(appends_per_s=options.share)
     connector = TCPConnector(limit=0)
     async with ClientSession(connector=connector) as session:
-        claimers = Claimers(address, session)
+        clients = ClaimClients(address, session)
         for _ in range(options.instances):
-            claimers.add(timing)
-        await _drive(claimers, options.instances, 1)
-        before = claimers.count_appends()
-        outcomes = await _drive(claimers, rate, options.seconds)
-        appends = claimers.count_appends() - before
-        await claimers.stop()
-    _write(rate, options, outcomes, appends)
+            clients.add(timing)
+        await _claim_at_rate(clients, options.instances, 1)
+        before = clients.count_appends()
+        outcomes = await _claim_at_rate(clients, rate, options.seconds)
+        appends = clients.count_appends() - before
+        await clients.stop()
+    _print_line(rate, options, outcomes, appends)
 
 
-def _write(
+def _print_line(
     rate: float,
     options: argparse.Namespace,
     outcomes: Sequence[tuple[bool, float]],
@@ -139,12 +140,12 @@
 
 
 def main() -> None:
-    """Start the log, measure, stop the log."""
+    """Start the log, measure each rate and stop the log."""
     parser = argparse.ArgumentParser(description=__doc__)
     parser.add_argument('--instances', type=int, default=9)
     parser.add_argument('--rates', type=float, nargs='+', default=[5])
     parser.add_argument('--seconds', type=float, default=6)
-    parser.add_argument('--share', type=float, default=_SHARE)
+    parser.add_argument('--share', type=float, default=_APPENDS_PER_S)
     options = parser.parse_args()
     journal.start_logging(decisions=False)
     log = process.start('verbenahall_standins.log', '--port', '0')
