--- a/packages/standins/src/verbenahall_standins/control_bytes.py
+++ b/packages/standins/src/verbenahall_standins/control_bytes.py
@@ -1,8 +1,8 @@
-"""Bytes a second of heartbeats per instance, over loopback in one process.
+"""Heartbeat traffic per instance, measured over loopback in one process.
 
 ``python -m verbenahall_standins.control_bytes --instances 9 50 200`` starts
-that many exchanges and prints a line for each size. HTTP with its headers is
-counted, TCP/IP's own headers are not.
+that many heartbeat exchanges and prints a line for each size. The count
+includes HTTP headers but not those of TCP and IP.
 """
 
 import argparse
@@ -26,9 +26,11 @@
 
 _LOOPBACK: Final = '127.0.0.1'
 _WARM_UP_S: Final = 2.0
-_LINE_BYTES: Final = 17
-_END_BYTES: Final = 2
-_KEPT_OPEN_S: Final = 15
+#: Bytes of ``HTTP/1.1 200 OK`` with its line end; also used for the request
+#: line, in addition to method and path.
+_STATUS_LINE_BYTES: Final = 17
+_EMPTY_LINE_BYTES: Final = 2
+_KEEP_ALIVE_S: Final = 15
 _LINE: Final = (
     '{0} instances: {1:.0f} B/s each (sent and received), '
     '{2:.2f} heartbeats/s sent each, {3:.2%} of a core each\n'
@@ -36,61 +38,69 @@
 _POSITION: Final = 123_456
 
 
-class Meter:
-    """Adds up requests and answers as they stand on the wire."""
+class TrafficMeter:
+    """Counts heartbeats and the bytes of their requests and responses."""
 
-    __slots__ = ('carried', 'heartbeats')
+    __slots__ = ('byte_count', 'heartbeats')
 
     def __init__(self) -> None:
-        """Start at nothing."""
-        self.carried = 0
+        """Start with zero counts."""
+        self.byte_count = 0
         self.heartbeats = 0
 
     def build_trace(self) -> TraceConfig:
-        """Return what a client session needs to be metered."""
+        """Return the hooks by which a client session is counted."""
         trace = TraceConfig()
-        trace.on_request_headers_sent.append(self._note_headers)
-        trace.on_request_chunk_sent.append(self._note_chunk)
-        trace.on_response_chunk_received.append(self._note_chunk)
-        trace.on_request_end.append(self._note_answer)
+        trace.on_request_headers_sent.append(self._count_request_headers)
+        trace.on_request_chunk_sent.append(self._count_chunk)
+        trace.on_response_chunk_received.append(self._count_chunk)
+        trace.on_request_end.append(self._count_response_headers)
         return trace
 
-    async def _note_headers(self, session: Any, _: Any, sent: Any) -> None:
-        self.carried += len(sent.method) + len(sent.url.raw_path_qs)
-        self.carried += _LINE_BYTES + _measure_headers(sent.headers)
+    async def _count_request_headers(
+        self, session: Any, _: Any, sent: Any
+    ) -> None:
+        self.byte_count += len(sent.method) + len(sent.url.raw_path_qs)
+        self.byte_count += _STATUS_LINE_BYTES + _measure_headers(sent.headers)
 
-    async def _note_chunk(self, session: Any, _: Any, moved: Any) -> None:
-        self.carried += len(moved.chunk)
+    async def _count_chunk(
+        self, session: Any, _: Any, chunk_event: Any
+    ) -> None:
+        self.byte_count += len(chunk_event.chunk)
 
-    async def _note_answer(self, session: Any, _: Any, ended: Any) -> None:
+    async def _count_response_headers(
+        self, session: Any, _: Any, request_end: Any
+    ) -> None:
         self.heartbeats += 1
-        self.carried += _LINE_BYTES + _measure_headers(ended.response.headers)
+        self.byte_count += _STATUS_LINE_BYTES + _measure_headers(
+            request_end.response.headers
+        )
 
 
 def _measure_headers(headers: Mapping[str, str]) -> int:
     pairs = headers.items()
     lines = [f'{name}: {text}\r\n' for name, text in pairs]
-    return len(''.join(lines)) + _END_BYTES
+    return len(''.join(lines)) + _EMPTY_LINE_BYTES
 
 
 class Node:
-    """One instance's exchange with its own server."""
+    """The heartbeat exchange of one instance, with an HTTP server."""
 
     def __init__(self, number: int) -> None:
-        """Give it a name; it listens after ``start``."""
+        """Set the name and state; the server listens after ``start``."""
         self.name = f'aberystwyth-{number}'
         self.state = MembershipState(notify=_ignore)
         self.runner: web.AppRunner | None = None
         self.endpoint = self._describe(_LOOPBACK)
 
     async def start(self, session: ClientSession, period_s: float) -> None:
-        """Listen on a free port."""
+        """Start the server on a free port."""
         app = web.Application()
         self.exchange = PeerExchange(
             session,
             self.state,
             self.endpoint,
-            _report,
+            _get_status,
             period_s,
         )
         self.exchange.add_routes(app)
@@ -114,14 +124,14 @@
     """Write no decision lines while measuring."""
 
 
-def _report() -> OwnReport:
+def _get_status() -> OwnReport:
     return OwnReport(ready=True, position=_POSITION)
 
 
 async def measure(count: int, period_s: float, seconds: float) -> None:
-    """Run ``count`` exchanges and print what they cost."""
-    meter = Meter()
-    connector = TCPConnector(limit=0, keepalive_timeout=_KEPT_OPEN_S)
+    """Run ``count`` exchanges and print their traffic and processor share."""
+    meter = TrafficMeter()
+    connector = TCPConnector(limit=0, keepalive_timeout=_KEEP_ALIVE_S)
     async with ClientSession(
         connector=connector,
         trace_configs=[meter.build_trace()],
@@ -134,22 +144,24 @@
             apply_list(node.state, entries, now)
         runs = [asyncio.create_task(one.exchange.run()) for one in nodes]
         await asyncio.sleep(_WARM_UP_S)
-        await _count(meter, count, seconds)
+        await _measure_window(meter, count, seconds)
         for task in runs:
             task.cancel()
         await asyncio.gather(*_clean_up(nodes))
 
 
-async def _count(meter: Meter, count: int, seconds: float) -> None:
-    carried, heartbeats = meter.carried, meter.heartbeats
+async def _measure_window(
+    meter: TrafficMeter, count: int, seconds: float
+) -> None:
+    byte_count, heartbeats = meter.byte_count, meter.heartbeats
     used_s, began_at = _read_cpu(), clock.monotonic()
     await asyncio.sleep(seconds)
     took_s = clock.monotonic() - began_at
     share = (_read_cpu() - used_s) / took_s / count
-    each = (meter.heartbeats - heartbeats) / took_s / count
-    # Each byte is sent by one instance and received by another.
-    rate = 2 * (meter.carried - carried) / took_s / count
-    sys.stdout.write(_LINE.format(count, rate, each, share))
+    heartbeat_rate = (meter.heartbeats - heartbeats) / took_s / count
+    # Each byte counts twice: one instance sends and another receives it.
+    rate = 2 * (meter.byte_count - byte_count) / took_s / count
+    sys.stdout.write(_LINE.format(count, rate, heartbeat_rate, share))
 
 
 def _read_cpu() -> float:
