--- a/packages/standins/src/verbenahall_standins/overhead.py
+++ b/packages/standins/src/verbenahall_standins/overhead.py
@@ -1,4 +1,4 @@
-"""What one instance adds, against going straight to the engine."""
+"""Overhead of an instance compared with direct requests to the engine."""
 
 import asyncio
 import contextlib
@@ -26,15 +26,16 @@
 _ENGINE: Final = 'aberystwyth-engine-1'
 _MODEL: Final = 'drafter'
 _ROUNDS: Final = 3
-_ONE: Final = '1'
-_MANY: Final = '16'
-_STREAMS: Final = '8'
-_CHUNKS: Final = '200'
-_READY_S: Final = 20
+_SINGLE_CONNECTION: Final = '1'
+_MANY_CONNECTIONS: Final = '16'
+_STREAM_CONNECTIONS: Final = '8'
+_CHUNKS_PER_STREAM: Final = '200'
+_READY_TIMEOUT_S: Final = 20
 _POLL_S: Final = 0.1
-#: Positions of utime and stime after the command's closing bracket.
-_USER_TICKS: Final = 11
-_SYSTEM_TICKS: Final = 12
+#: Indices of utime and stime among the fields of ``/proc/PID/stat`` that
+#: follow the command name.
+_USER_TICKS_FIELD: Final = 11
+_SYSTEM_TICKS_FIELD: Final = 12
 _LOAD: Final = (
     sys.executable,
     '-m',
@@ -49,11 +50,11 @@
     '--speed=20',
 )
 
-Measured = dict[str, Any]
+LoadFigures = dict[str, Any]
 
 
-class Bench:
-    """One engine that answers at once, and one instance before it."""
+class Testbed:
+    """An engine that answers immediately, and an instance in front of it."""
 
     __slots__ = ('_engine', '_instance')
 
@@ -62,66 +63,68 @@
         engine: process.Running,
         instance: process.Running,
     ) -> None:
-        """Measure these two."""
+        """Use a running engine and instance."""
         self._engine = engine
         self._instance = instance
 
     def measure(self) -> list[Line]:
-        """Measure short requests and streams, both ways in turn."""
-        alone = self._alternate('--connections', _ONE)
-        many = self._alternate('--connections', _MANY)
-        streams = self._alternate(
+        """Measure short requests and streams, with and without the instance."""
+        alone = self._measure_both('--connections', _SINGLE_CONNECTION)
+        many = self._measure_both('--connections', _MANY_CONNECTIONS)
+        streams = self._measure_both(
             '--connections',
-            _STREAMS,
+            _STREAM_CONNECTIONS,
             '--chunks',
-            _CHUNKS,
+            _CHUNKS_PER_STREAM,
         )
         return [
-            _measure_added(alone),
-            _compare('short request p50', 'p50_ms', 'ms', alone),
-            _compare('short request p99', 'p99_ms', 'ms', alone),
-            _compare('short requests', 'answers_s', '1/s', many),
-            _compare('short requests by core', 'answers_core', '1/s', many),
-            _compare('chunks', 'chunks_s', '1/s', streams),
-            _compare('chunks by core', 'chunks_core', '1/s', streams),
+            _build_added_line(alone),
+            _build_line('short request p50', 'p50_ms', 'ms', alone),
+            _build_line('short request p99', 'p99_ms', 'ms', alone),
+            _build_line('short requests', 'answers_s', '1/s', many),
+            _build_line('short requests by core', 'answers_core', '1/s', many),
+            _build_line('chunks', 'chunks_s', '1/s', streams),
+            _build_line('chunks by core', 'chunks_core', '1/s', streams),
         ]
 
-    def _alternate(self, *options: str) -> tuple[Measured, Measured]:
-        """Return medians through the instance and straight to the engine."""
-        through = []
-        straight = []
+    def _measure_both(self, *options: str) -> tuple[LoadFigures, LoadFigures]:
+        """Return the medians of alternating runs: proxied, then direct."""
+        proxied = []
+        direct = []
         for _ in range(_ROUNDS):
-            straight.append(_run_load(self._engine, options))
-            through.append(_run_load(self._instance, options))
-        return _take_medians(through), _take_medians(straight)
+            direct.append(_run_load_tool(self._engine, options))
+            proxied.append(_run_load_tool(self._instance, options))
+        return _take_medians(proxied), _take_medians(direct)
 
 
-def _measure_added(found: tuple[Measured, Measured]) -> Line:
-    through, straight = found
-    added = through['p50_ms'] - straight['p50_ms']
-    return Line('added to a short request p50', added, 'ms', straight['p50_ms'])
+def _build_added_line(medians: tuple[LoadFigures, LoadFigures]) -> Line:
+    proxied, direct = medians
+    added = proxied['p50_ms'] - direct['p50_ms']
+    return Line('added to a short request p50', added, 'ms', direct['p50_ms'])
 
 
-def _compare(
+def _build_line(
     measure: str,
     key: str,
     unit: str,
-    found: tuple[Measured, Measured],
+    medians: tuple[LoadFigures, LoadFigures],
 ) -> Line:
-    through, straight = found
-    return Line(measure, through[key], unit, straight[key])
+    proxied, direct = medians
+    return Line(measure, proxied[key], unit, direct[key])
 
 
-def _take_medians(runs: Sequence[Measured]) -> Measured:
+def _take_medians(runs: Sequence[LoadFigures]) -> LoadFigures:
     return {key: _take_median(key, runs) for key in runs[0]}
 
 
-def _take_median(key: str, runs: Sequence[Measured]) -> float:
+def _take_median(key: str, runs: Sequence[LoadFigures]) -> float:
     return statistics.median(run[key] for run in runs)
 
 
-def _run_load(target: process.Running, options: Sequence[str]) -> Measured:
-    """Run the load tool; add rates a second and a core-second."""
+def _run_load_tool(
+    target: process.Running, options: Sequence[str]
+) -> LoadFigures:
+    """Run the load tool; add rates by second and by core-second."""
     before = read_cpu_s(target.pid)
     command = (*_LOAD, '--address', target.address, *options)
     done = subprocess.run(command, capture_output=True, text=True, check=True)
@@ -129,25 +132,25 @@
     return _add_rates(orjson.loads(done.stdout), core_s)
 
 
-def _add_rates(measured: Measured, core_s: float) -> Measured:
+def _add_rates(figures: LoadFigures, core_s: float) -> LoadFigures:
     rates = {}
     for key in ('answers', 'chunks'):
-        rates[f'{key}_s'] = measured[key] / measured['seconds']
-        rates[f'{key}_core'] = measured[key] / core_s
-    return measured | rates
+        rates[f'{key}_s'] = figures[key] / figures['seconds']
+        rates[f'{key}_core'] = figures[key] / core_s
+    return figures | rates
 
 
 def read_cpu_s(pid: int) -> float:
-    """Return the processor seconds that a process has used."""
+    """Return the processor seconds used by a process."""
     line = Path(f'/proc/{pid}/stat').read_text()
     fields = line.rpartition(')')[-1].split()
-    ticks = int(fields[_USER_TICKS]) + int(fields[_SYSTEM_TICKS])
+    ticks = int(fields[_USER_TICKS_FIELD]) + int(fields[_SYSTEM_TICKS_FIELD])
     return ticks / os.sysconf('SC_CLK_TCK')
 
 
 @contextlib.contextmanager
-def start_bench() -> Iterator[Bench]:
-    """Start the processes, and stop them at the end."""
+def start_testbed() -> Iterator[Testbed]:
+    """Run the processes while the context is open."""
     _FOLDER.mkdir(parents=True, exist_ok=True)
     with contextlib.ExitStack() as stack:
         log = _start(stack, 'log')
@@ -156,8 +159,8 @@
         instance = process.wait_ready(_launch_instance(log, registry))
         stack.callback(instance.stop)
         publish(_SETTINGS, 'fleet', log.address)
-        asyncio.run(_prepare(registry, engine, instance))
-        yield Bench(engine, instance)
+        asyncio.run(_register_engine(registry, engine, instance))
+        yield Testbed(engine, instance)
 
 
 def _start(
@@ -188,14 +191,17 @@
     )
 
 
-async def _prepare(
+async def _register_engine(
     registry: process.Running,
     engine: process.Running,
     instance: process.Running,
 ) -> None:
     """Register the engine and wait until the instance routes to it."""
     body = {'model': _MODEL, 'prompt': 'ready?', 'max_tokens': 1}
-    async with aiohttp.ClientSession() as session, asyncio.timeout(_READY_S):
+    async with (
+        aiohttp.ClientSession() as session,
+        asyncio.timeout(_READY_TIMEOUT_S),
+    ):
         entry = await _describe_engine(session, engine)
         await session.post(f'http://{registry.address}/register', json=entry)
         url = f'http://{instance.address}/v1/completions'
@@ -217,6 +223,6 @@
 
 
 def measure_overhead() -> list[Line]:
-    """Start what is needed and measure."""
-    with start_bench() as bench:
-        return bench.measure()
+    """Start the processes and return the measures."""
+    with start_testbed() as testbed:
+        return testbed.measure()
