--- a/packages/standins/src/verbenahall_standins/replay.py
+++ b/packages/standins/src/verbenahall_standins/replay.py
@@ -1,8 +1,8 @@
-"""Replays bursts against the decisions, without sockets and clocks.
+"""Simulates bursts of requests against the placement decisions.
 
-Instances decide as they do in the product; engines are modelled: one that
-reads gives each open prompt an equal share of its time, and what instances
-know of each other is as old as their words.
+Instances use the product's decision functions, without sockets and clocks.
+Engines are modelled: one that prefills gives each open prompt an equal share
+of its time. Instances know each other's load from their last heartbeats.
 """
 
 import dataclasses
@@ -35,26 +35,36 @@
     event_tokens=50,
     role_change_s=3,
 )
-WORD_S = 0.1
-LOOK_S = 0.02
-TOKEN_S = 0.003 / 1000
-READ_START_S = 0.004
+HEARTBEAT_INTERVAL_S = 0.1
+#: Interval at which instances dispatch their queues.
+DISPATCH_INTERVAL_S = 0.02
+#: Prefill time of a token on a prefill engine.
+S_PER_TOKEN = 0.003 / 1000
+#: Constant part of the time of a prefill.
+PREFILL_START_S = 0.004
+#: Time from the end of a prefill to the first event.
 HANDOVER_S = 0.008
-#: What a request to a scheduler and its answer take together, in seconds.
+#: Round trip of a request to the scheduler and its answer, in seconds.
 MESSAGE_S = 0.002
-#: Callers that are refused or late are followed for this long, in seconds.
-_TAIL_S = 3
-#: Prompts by which instances know the engines' speed, in tokens.
-_TIMED = (1000, 4000, 9000)
-_READS = 60
-_KEPT = 6000
-#: What is left of a read that has ended, by rounding, in seconds.
-_ENDED = 1e-9
+#: The simulation continues for this long after the last arrival, in seconds,
+#: so that late and rejected requests are included.
+_DRAIN_S = 3
+#: Prompt lengths in tokens, and number of prefills, from which instances learn
+#: the speed of engines before the simulation.
+_TIMED_PROMPTS = (1000, 4000, 9000)
+_TIMED_PREFILLS = 60
+_CACHED_TOKENS = 6000
+#: Remaining time of a finished prefill, due to rounding, in seconds.
+_ROUNDING_S = 1e-9
 
 
 @dataclasses.dataclass(frozen=True)
 class Load:
-    """Requests a second, and what each asks and bears."""
+    """The rate of requests, their prompts and their time limits.
+
+    A prompt has ``shared`` tokens of one of ``things`` prefixes, and ``own``
+    tokens that no other prompt has.
+    """
 
     rate: float
     seconds: float
@@ -67,52 +77,54 @@
 
 
 class Engine:
-    """A modelled engine; all open reads share its time evenly."""
+    """A modelled engine; all open prefills share its time equally."""
 
     def __init__(self, entry, speed=1.0):
         self.entry = entry
         self.speed = speed
         self.open = {}
-        self.kept = set()
-        self.at: float = 0
+        self.cached_parts = set()
+        self.advanced_to: float = 0
         self.version = 0
         self.read = 0
         self.whole = 0
 
-    def begin(self, number, work, now):
-        """Admit a prompt; parts that are kept are not read again."""
-        self.run(now)
+    def start_prefill(self, number, work, now):
+        """Start the prefill of a prompt, without the parts that are cached."""
+        self.advance(now)
         tokens = work.prompt_tokens
         tokens -= sum(
-            part.tokens for part in work.shared if part.identity in self.kept
+            part.tokens
+            for part in work.shared
+            if part.identity in self.cached_parts
         )
         self.whole += work.prompt_tokens
-        self.kept.update(part.identity for part in work.shared)
+        self.cached_parts.update(part.identity for part in work.shared)
         self.read += tokens
-        self.open[number] = READ_START_S + tokens * TOKEN_S / self.speed
+        self.open[number] = PREFILL_START_S + tokens * S_PER_TOKEN / self.speed
 
-    def run(self, now):
-        """Let the time pass that has passed."""
-        while self.open and self.at < now:
+    def advance(self, now):
+        """Advance the open prefills to the time ``now``."""
+        while self.open and self.advanced_to < now:
             shortest = min(self.open.values()) * len(self.open)
-            passed = min(shortest, now - self.at)
+            passed = min(shortest, now - self.advanced_to)
             share = passed / len(self.open)
             self.open = {key: left - share for key, left in self.open.items()}
-            self.at += passed
+            self.advanced_to += passed
             if passed == shortest:
                 return
-        self.at = max(self.at, now)
+        self.advanced_to = max(self.advanced_to, now)
 
-    def next_end(self):
-        """Return when the next read ends, and which."""
+    def predict_next_end(self):
+        """Return the time and number of the prefill that ends next, or None."""
         if not self.open:
             return None
         number = min(self.open, key=self.open.get)
-        return self.at + self.open[number] * len(self.open), number
+        return self.advanced_to + self.open[number] * len(self.open), number
 
 
 class Outcome:
-    """What became of the requests."""
+    """Outcomes of the requests."""
 
     def __init__(self):
         self.waits = []
@@ -121,37 +133,38 @@
         self.order = []
 
     def on_time(self, objective_s):
-        """Return how many had their first event in time."""
+        """Return the number of first events within the objective."""
         return sum(wait <= objective_s for wait in self.waits)
 
 
 class Replay:
-    """Some instances in front of some engines under a load."""
+    """Instances in front of engines under a load."""
 
     def __init__(
         self,
         instances=6,
-        readers=4,
-        generators=2,
+        prefill_count=4,
+        decode_count=2,
         seed=1,
         *,
         sample=1,
-        word_s=WORD_S,
+        word_s=HEARTBEAT_INTERVAL_S,
         scheduled=False,
     ):
-        """Each instance hears one of ``sample`` others, every ``word_s``.
+        """Create instances and engines.
 
-        ``scheduled`` requests all pass one queue, by messages that take
-        ``MESSAGE_S``.
+        Each instance sends its load to one in ``sample`` of the others every
+        ``word_s`` seconds. If ``scheduled``, all requests pass one scheduler
+        instead, which takes ``MESSAGE_S`` more.
         """
-        self.random = random.Random(seed)
+        self.rng = random.Random(seed)
         self.sample = sample
         self.word_s = word_s
-        names = [f'e{number}' for number in range(readers + generators)]
+        names = [f'e{number}' for number in range(prefill_count + decode_count)]
         self.engines = {
             name: _make_engine(
                 name,
-                Role.PREFILL if number < readers else Role.DECODE,
+                Role.PREFILL if number < prefill_count else Role.DECODE,
             )
             for number, name in enumerate(names)
         }
@@ -162,98 +175,102 @@
         self.outcome = Outcome()
 
     def play(self, loads, *, queued=True):
-        """Play loads that begin together; return what became of them."""
+        """Run loads that start together and return the outcomes."""
         for load in loads:
-            self._arrive(load, queued=queued)
-        end = max(one.seconds for one in loads) + _TAIL_S
-        for index in range(int(end / LOOK_S)):
-            self.at(index * LOOK_S, self._look)
+            self._schedule_arrivals(load, queued=queued)
+        end = max(one.seconds for one in loads) + _DRAIN_S
+        for index in range(int(end / DISPATCH_INTERVAL_S)):
+            self.schedule(index * DISPATCH_INTERVAL_S, self._dispatch_waiting)
         for index in range(int(end / self.word_s)):
-            self.at(index * self.word_s, self._tell)
+            self.schedule(index * self.word_s, self._send_heartbeats)
         while self.events:
-            now, _, act = heapq.heappop(self.events)
-            act(now)
+            now, _, callback = heapq.heappop(self.events)
+            callback(now)
         return self.outcome
 
-    def at(self, now, act):
-        """Have something done at a time."""
-        heapq.heappush(self.events, (now, next(self.numbers), act))
+    def schedule(self, now, callback):
+        """Schedule a callback."""
+        heapq.heappush(self.events, (now, next(self.numbers), callback))
 
     def watch(self, engine):
-        """Note the next end of a read at an engine."""
-        ends = engine.next_end()
+        """Schedule the next end of a prefill at an engine."""
+        ends = engine.predict_next_end()
         engine.version += 1
         version = engine.version
         if ends is not None:
-            self.at(ends[0], functools.partial(self._end, engine, version))
+            self.schedule(
+                ends[0], functools.partial(self._end_prefills, engine, version)
+            )
 
-    def _arrive(self, load, *, queued):
+    def _schedule_arrivals(self, load, *, queued):
         now: float = 0
         while now < load.seconds:
-            now += self.random.expovariate(load.rate)
+            now += self.rng.expovariate(load.rate)
             instance = self._choose_instance()
-            thing = self.random.randrange(load.things)
+            prefix = self.rng.randrange(load.things)
             number = next(self.numbers)
             parts = (
-                Part(f't{load.priority}-{thing}', load.shared),
+                Part(f't{load.priority}-{prefix}', load.shared),
                 Part(f'own-{number}', load.own),
             )
             work = Work(parts, load.shared + load.own, 2)
             arrives_at = now + MESSAGE_S if self.scheduler else now
-            self.at(
+            self.schedule(
                 arrives_at,
-                functools.partial(instance.take, work, load, queued),
+                functools.partial(instance.handle_request, work, load, queued),
             )
 
     def _choose_instance(self):
-        """Return who decides on a request that arrives anywhere."""
-        chosen = self.random.choice(self.instances)
+        """Return the scheduler, or else a random instance."""
+        chosen = self.rng.choice(self.instances)
         return self.scheduler or chosen
 
-    def _look(self, now):
+    def _dispatch_waiting(self, now):
         for instance in self.instances:
-            instance.look(now)
+            instance.dispatch_waiting(now)
         if self.scheduler:
-            self.scheduler.look(now)
+            self.scheduler.dispatch_waiting(now)
 
-    def _tell(self, now):
+    def _send_heartbeats(self, now):
         for one in self.instances:
-            word = dict(one.state.ledger.own())
+            totals = dict(one.state.ledger.own())
             for other in self.instances[
                 one.number % self.sample :: self.sample
             ]:
                 other.state.ledger.scale = self.sample
                 if other is not one:
-                    other.state.ledger.hear(one.name, word, now)
+                    other.state.ledger.hear(one.name, totals, now)
 
-    def _end(self, engine, version, now):
+    def _end_prefills(self, engine, version, now):
         if engine.version != version:
             return
-        engine.run(now)
-        done = [key for key, left in engine.open.items() if left <= _ENDED]
+        engine.advance(now)
+        done = [key for key, left in engine.open.items() if left <= _ROUNDING_S]
         for number in done:
             engine.open.pop(number)
             instance, admitted = number
-            instance.finish(admitted, now)
+            instance.handle_prefilled(admitted, now)
         self.watch(engine)
 
 
 class _Instance:
-    """One instance: its state, its queue, and its requests."""
+    """An instance with its placement state, queue and requests."""
 
     def __init__(self, replay, number):
         self.name = f'i{number}'
         self.number = number
         self.replay = replay
         self.state = PlacementState()
-        for tokens in itertools.islice(itertools.cycle(_TIMED), _READS):
-            seconds = READ_START_S + tokens * TOKEN_S
-            self.state.learn_read(tokens, _KEPT, seconds)
+        for tokens in itertools.islice(
+            itertools.cycle(_TIMED_PROMPTS), _TIMED_PREFILLS
+        ):
+            seconds = PREFILL_START_S + tokens * S_PER_TOKEN
+            self.state.learn_read(tokens, _CACHED_TOKENS, seconds)
         self.queue = PrefillQueue()
         self.arrived = {}
 
-    def take(self, work, load, queued, now):
-        """Take a caller's request, with or without waiting for a turn."""
+    def handle_request(self, work, load, queued, now):
+        """Queue a request, or send it at once if not ``queued``."""
         wanted = PlacementRequest(work, 0.2)
         pending = QueuedRequest(
             request=f'r{next(self.replay.numbers)}',
@@ -267,9 +284,9 @@
         self.arrived[pending] = now
         if queued:
             fleet = self._fleet()
-            source = self.replay.random
-            self._apply(enqueue(self.queue, pending, fleet, now, source), now)
-            self.look(now)
+            rng = self.replay.rng
+            self._apply(enqueue(self.queue, pending, fleet, now, rng), now)
+            self.dispatch_waiting(now)
             return
         plan = self._fleet().place(pending, now).unwrap()
         reader = (plan.reader or plan.generator).name
@@ -277,15 +294,15 @@
         flight = self.state.ledger.open(reader, totals)
         self._send(pending, plan, flight, now)
 
-    def look(self, now):
-        """Give turns."""
+    def dispatch_waiting(self, now):
+        """Dispatch queued requests."""
         if self.queue.waiting:
             fleet = self._fleet()
-            source = self.replay.random
-            self._apply(dispatch(self.queue, fleet, now, source), now)
+            rng = self.replay.rng
+            self._apply(dispatch(self.queue, fleet, now, rng), now)
 
-    def finish(self, admitted, now):
-        """Note that a prompt was read."""
+    def handle_prefilled(self, admitted, now):
+        """Record the end of a prefill."""
         pending, flight, sent_at = admitted
         took = now + HANDOVER_S - sent_at
         self.queue.note_first(pending, took, now)
@@ -295,7 +312,7 @@
         if now < pending.leaves_at:
             outcome.waits.append(waited)
             outcome.order.append((pending.priority, now))
-        self.look(now)
+        self.dispatch_waiting(now)
 
     def _apply(self, effects, now):
         for admitted in effects.admitted:
@@ -308,7 +325,9 @@
     def _send(self, pending, plan, flight, now):
         reader = plan.reader or plan.generator
         engine = self.replay.engines[reader.name]
-        engine.begin((self, (pending, flight, now)), pending.wanted.work, now)
+        engine.start_prefill(
+            (self, (pending, flight, now)), pending.wanted.work, now
+        )
         self.state.cache_of(reader, TRAITS.kv_tokens).note(
             pending.wanted.work.parts
         )
@@ -320,7 +339,7 @@
 
 
 def make_entry(name, role):
-    """Return an engine's entry."""
+    """Return the roster entry of an engine."""
     return Entry(
         name=name,
         service='reader',
@@ -333,6 +352,6 @@
 
 
 def _make_engine(name, role):
-    """Return an engine; those that generate read at half the speed."""
+    """Return an engine; decode engines prefill at half the speed."""
     speed = 1 if role is Role.PREFILL else 0.5
     return Engine(make_entry(name, role), speed)
