--- a/packages/standins/src/verbenahall_standins/schedules.py
+++ b/packages/standins/src/verbenahall_standins/schedules.py
@@ -1,9 +1,10 @@
-"""Random pauses of real lease holders: ``python -m ….schedules --count 50``.
+"""Pauses lease holders at random and checks the engine's record.
 
-Two holders want different versions of a model on one engine and are stopped
-and woken at random, never for longer than the longest pause that they are
-told. Afterwards the engine's own record must not show an order of a lost
-authority that was carried out. Prints a line for each schedule.
+``python -m verbenahall_standins.schedules --count 50`` runs that many
+schedules. In each, two holder processes order different versions of a model
+for one engine, and are stopped and resumed at random, always for less than
+the longest pause in their settings. The engine must not have accepted an
+order of a former holder. Prints a line for each schedule.
 """
 
 import argparse
@@ -22,12 +23,12 @@
 Flags = tuple[tuple[str, ...], ...]
 
 _LONGEST_PAUSE_S: Final = 2.0
-_SHORTEST_PAUSE_S: Final = 0.2
-#: Well below the longest pause: this driver may itself be late.
-_PAUSE_S: Final = 1.6
-_PAUSES: Final = 4
-_BROKEN: Final = 'BROKEN'
-#: Flags of the engine and of the holders for each kind of engine.
+_MIN_PAUSE_S: Final = 0.2
+#: Well below the longest pause, since this process may resume late.
+_MAX_PAUSE_S: Final = 1.6
+_PAUSE_COUNT: Final = 4
+_VIOLATED: Final = 'BROKEN'
+#: Flags of the engine and of the holders, by kind of engine.
 _KINDS: Final[Mapping[str, Flags]] = MappingProxyType(
     {
         'checks': ((), ()),
@@ -44,7 +45,7 @@
     engine: Running,
     flags: tuple[str, ...],
 ) -> Running:
-    """Start a holder that wants its own name as the version."""
+    """Start a holder that orders its own name as the model version."""
     return start(
         'verbenahall_standins.holder',
         '--name',
@@ -62,9 +63,9 @@
 
 
 def run_schedule(seed: int) -> str:
-    """Run one schedule; return the line that tells what was seen."""
-    randomness = random.Random(seed)
-    kind = randomness.choice(tuple(_KINDS))
+    """Run one schedule and return its line of output."""
+    rng = random.Random(seed)
+    kind = rng.choice(tuple(_KINDS))
     engine_flags, holder_flags = _KINDS[kind]
     log = start('verbenahall_standins.log')
     engine = start(
@@ -75,11 +76,11 @@
     )
     holders = [start_holder(name, log, engine, holder_flags) for name in 'ab']
     try:
-        tokens = _pause_at_random(holders, engine, randomness)
+        tokens = _pause_randomly(holders, engine, rng)
     finally:
         _kill_all((*holders, engine, log))
-    verdict = 'kept' if tokens == sorted(tokens) else _BROKEN
-    return f'{seed}: {kind}, accepted under {tokens}, {verdict}'
+    finding = 'kept' if tokens == sorted(tokens) else _VIOLATED
+    return f'{seed}: {kind}, accepted under {tokens}, {finding}'
 
 
 def _kill_all(started: Iterable[Running]) -> None:
@@ -87,23 +88,23 @@
         running.kill()
 
 
-def _pause_at_random(
+def _pause_randomly(
     holders: Sequence[Running],
     engine: Running,
-    randomness: random.Random,
+    rng: random.Random,
 ) -> list[int]:
-    for _ in range(_PAUSES):
-        time.sleep(randomness.uniform(1, _LONGEST_PAUSE_S + 1))
-        stopped = randomness.choice(holders)
+    for _ in range(_PAUSE_COUNT):
+        time.sleep(rng.uniform(1, _LONGEST_PAUSE_S + 1))
+        stopped = rng.choice(holders)
         stopped.pause()
-        time.sleep(randomness.uniform(_SHORTEST_PAUSE_S, _PAUSE_S))
+        time.sleep(rng.uniform(_MIN_PAUSE_S, _MAX_PAUSE_S))
         stopped.resume()
     time.sleep(2 * _LONGEST_PAUSE_S)
     return _list_accepted(engine)
 
 
 def _list_accepted(engine: Running) -> list[int]:
-    """Return the tokens under which the engine took orders, in order."""
+    """Return the tokens of the orders that the engine accepted, in order."""
     url = f'http://{engine.address}/record'
     with requests.urlopen(url, timeout=_HTTP_TIMEOUT_S) as answer:
         orders = json.load(answer)['orders']
@@ -113,7 +114,7 @@
 
 
 def main() -> None:
-    """Run the command; exit 1 if a schedule broke the promise."""
+    """Run the schedules; exit with 1 if one shows a violation."""
     parser = argparse.ArgumentParser()
     parser.add_argument('--count', type=int, default=4)
     parser.add_argument('--jobs', type=int, default=4)
@@ -122,7 +123,7 @@
         lines = list(pool.map(run_schedule, range(options.count)))
     text = '\n'.join(lines)
     sys.stdout.write(f'{text}\n')
-    sys.exit(_BROKEN in text)
+    sys.exit(_VIOLATED in text)
 
 
 if __name__ == '__main__':
