--- a/packages/standins/src/verbenahall_standins/share.py
+++ b/packages/standins/src/verbenahall_standins/share.py
@@ -1,7 +1,7 @@
-"""Code lines of each slice, and the share of them that are tests.
+"""Counts code lines of each slice, and the share of test lines.
 
-``python -m verbenahall_standins.share`` counts lines that hold a token other
-than a comment or a doc comment.
+``python -m verbenahall_standins.share`` counts lines with a token other than
+a comment or a docstring.
 """
 
 import ast
@@ -14,7 +14,7 @@
 from typing import Final
 
 _PACKAGES: Final = Path('packages')
-_SILENT: Final = frozenset(
+_NON_CODE: Final = frozenset(
     (
         tokenize.COMMENT,
         tokenize.NL,
@@ -26,8 +26,8 @@
     ),
 )
 _NAME_WIDTH: Final = 32
-_KERNEL: Final = '(flat)'
-_DOCUMENTED: Final = (
+_TOP_LEVEL: Final = '(flat)'
+_WITH_DOCSTRING: Final = (
     ast.Module,
     ast.ClassDef,
     ast.FunctionDef,
@@ -36,55 +36,55 @@
 
 
 def count_code_lines(text: str) -> int:
-    """Count the lines of Python text that hold code."""
+    """Return the number of lines of Python source that have code."""
     lines: set[int] = set()
     for token in tokenize.generate_tokens(io.StringIO(text).readline):
-        if token.type not in _SILENT:
+        if token.type not in _NON_CODE:
             first, last = token.start[0], token.end[0]
             lines.update(range(first, last + 1))
-    return len(lines.difference(_find_documentation(text)))
+    return len(lines.difference(_list_docstring_lines(text)))
 
 
-def _find_documentation(text: str) -> Iterator[int]:
-    """Yield the lines of doc comments."""
+def _list_docstring_lines(text: str) -> Iterator[int]:
+    """Yield the line numbers of docstrings."""
     for node in ast.walk(ast.parse(text)):
-        if isinstance(node, _DOCUMENTED) and ast.get_docstring(node):
+        if isinstance(node, _WITH_DOCSTRING) and ast.get_docstring(node):
             first = node.body[0]
             yield from range(first.lineno, (first.end_lineno or 0) + 1)
 
 
-def name_slice(path: Path) -> tuple[str, bool]:
-    """Return a file's ``package/slice`` and whether it holds tests."""
+def get_slice(path: Path) -> tuple[str, bool]:
+    """Return the ``package/slice`` of a file and whether it is a test."""
     package, kind, *inner = path.relative_to(_PACKAGES).parts
     if kind == 'src':
         inner.pop(0)
-    name = inner[0] if len(inner) > 1 else _KERNEL
+    name = inner[0] if len(inner) > 1 else _TOP_LEVEL
     return f'{package}/{name}', kind == 'tests'
 
 
 def count_slices() -> tuple[collections.Counter[str], collections.Counter[str]]:
-    """Count code lines and test lines by slice."""
+    """Return the code lines and the test lines by slice."""
     code: collections.Counter[str] = collections.Counter()
     tests: collections.Counter[str] = collections.Counter()
     for path in sorted(_PACKAGES.glob('*/*/**/*.py')):
-        name, is_test = name_slice(path)
-        counted = tests if is_test else code
-        counted[name] += count_code_lines(path.read_text())
+        name, is_test = get_slice(path)
+        counter = tests if is_test else code
+        counter[name] += count_code_lines(path.read_text())
     return code, tests
 
 
 def main() -> None:
-    """Run the command."""
+    """Print the counts."""
     code, tests = count_slices()
-    _say('slice', 'code', 'tests')
+    _print_row('slice', 'code', 'tests')
     for name in sorted(code | tests):
-        _say(name, code[name], tests[name])
-    _say('all', code.total(), tests.total())
+        _print_row(name, code[name], tests[name])
+    _print_row('all', code.total(), tests.total())
     share = tests.total() / (code.total() + tests.total())
-    _say('share of tests', '', format(share, '.0%'))
+    _print_row('share of tests', '', format(share, '.0%'))
 
 
-def _say(name: str, code: int | str, tests: int | str) -> None:
+def _print_row(name: str, code: int | str, tests: int | str) -> None:
     cells = (name.ljust(_NAME_WIDTH), str(code), str(tests))
     sys.stdout.write('\t'.join(cells))
     sys.stdout.write('\n')
