--- a/packages/verbenahall/src/verbenahall/gateway/_generation.py
+++ b/packages/verbenahall/src/verbenahall/gateway/_generation.py
@@ -9,7 +9,7 @@
 from verbenahall.gateway._core import Core
 from verbenahall.gateway._grants import Grant
 from verbenahall.gateway._messages import Answered, Call, StreamEnded
-from verbenahall.gateway._reads import KvHandle
+from verbenahall.gateway._reads import CacheHandle
 from verbenahall.gateway._relay import EventRelay
 from verbenahall.gateway._sender import SUCCESS_STATUSES, Opened, Sender
 from verbenahall.placement import InFlight, Plan, Totals
@@ -58,7 +58,7 @@
     async def run(
         self,
         plan: Plan,
-        handle: KvHandle | None,
+        handle: CacheHandle | None,
         grant: Grant,
         *,
         resumable: bool,
@@ -94,7 +94,7 @@
             self._record_completion(plan, ended)
         return result
 
-    def _make_order(self, plan: Plan, handle: KvHandle | None) -> SendOrder:
+    def _make_order(self, plan: Plan, handle: CacheHandle | None) -> SendOrder:
         call = self._call
         return SendOrder(
             plan.generator.name,
--- a/packages/verbenahall/src/verbenahall/gateway/_reads.py
+++ b/packages/verbenahall/src/verbenahall/gateway/_reads.py
@@ -29,7 +29,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class KvHandle:
+class CacheHandle:
     """KV cache of a prompt, held by an engine until fetched or freed."""
 
     engine: Entry
@@ -57,7 +57,7 @@
         call: Call,
         plan: Plan,
         prefill_engine: Entry,
-    ) -> Result[KvHandle, Outcome]:
+    ) -> Result[CacheHandle, Outcome]:
         """Prefill the prompt; return the handle of its KV cache."""
         now = self._core.now()
         order = SendOrder(
@@ -85,10 +85,10 @@
                 call, plan, prefill_engine, tokens_ahead, self._core.now() - now
             )
         return prefilled.map(
-            lambda prompt: KvHandle(prefill_engine, prompt.handle)
+            lambda prompt: CacheHandle(prefill_engine, prompt.handle)
         )
 
-    def free(self, handle: KvHandle) -> None:
+    def free(self, handle: CacheHandle) -> None:
         """Free a handle in the background.
 
         An unused handle would occupy the engine's memory for seconds, and the
--- a/packages/verbenahall/src/verbenahall/gateway/_streams.py
+++ b/packages/verbenahall/src/verbenahall/gateway/_streams.py
@@ -15,7 +15,7 @@
 from verbenahall.gateway._generation import Generated, Generation
 from verbenahall.gateway._grants import Grant, UnqueuedGrant
 from verbenahall.gateway._messages import Answered, Call, StreamEnded
-from verbenahall.gateway._reads import KvHandle, PrefillCalls
+from verbenahall.gateway._reads import CacheHandle, PrefillCalls
 from verbenahall.gateway._relay import EventRelay
 from verbenahall.gateway._sender import Sender
 from verbenahall.placement import PlacementRequest, Plan, place
@@ -66,7 +66,7 @@
         self._prefills = PrefillCalls(core, sender)
         self._generation = Generation(core, sender, call, self._relay)
         self._attempts = Attempts(core, call)
-        self._kv_handle: KvHandle | None = None
+        self._kv_handle: CacheHandle | None = None
         self._grant: Grant | None = None
         self._refusals = 0
 
