--- a/packages/verbenahall/src/verbenahall/gateway/_beliefs.py
+++ b/packages/verbenahall/src/verbenahall/gateway/_beliefs.py
@@ -39,7 +39,7 @@
             age_s=round(core.find_age(now), _DECIMALS),
             endpoints=len(core.roster.seats),
             instances=core.instances,
-            unreachable=core.standings.unreachable(now),
+            unreachable=core.endpoint_health.list_unreachable(now),
             peers=core.placement.ledger.speakers,
             read_start_s=round(speed.start_s, _DECIMALS),
             read_thousand_s=round(speed.token_s * _THOUSAND, _DECIMALS),
--- a/packages/verbenahall/src/verbenahall/gateway/_core.py
+++ b/packages/verbenahall/src/verbenahall/gateway/_core.py
@@ -18,7 +18,7 @@
     RateLimiter,
     name_start,
 )
-from verbenahall.gateway._standing import Standings
+from verbenahall.gateway._endpoint_health import EndpointHealthTable
 from verbenahall.peers import PeerBook
 from verbenahall.placement import PlacementState
 from verbenahall.platform import (
@@ -80,7 +80,7 @@
             settings.bounds.usage_window_s,
             self.true_clock.now,
         )
-        self.standings = Standings()
+        self.endpoint_health = EndpointHealthTable()
         self.crash_log = CrashLog()
         self.rates = RateTable()
         self.limiter: RateLimiter = NoLimiter()
@@ -121,7 +121,9 @@
         """
         live = list(self.roster.live(service, now))
         usable = [
-            one for one in live if not self.standings.paused(one.name, now)
+            one
+            for one in live
+            if not self.endpoint_health.is_avoided(one.name, now)
         ]
         return usable or live
 
@@ -130,18 +132,18 @@
         return any(
             one.name != endpoint.name
             and one.role is endpoint.role
-            and not self.standings.paused(one.name, now)
+            and not self.endpoint_health.is_avoided(one.name, now)
             for one in self.roster.live(endpoint.service, now)
         )
 
-    def forget_unlisted(self) -> None:
+    def remove_unlisted(self) -> None:
         """Remove the state kept for endpoints that are no longer listed.
 
         Each start of an endpoint has a new name, so state that is kept by name
         would grow for as long as the instance runs.
         """
         names = self.roster.seats.keys()
-        self.standings.keep_only(names)
+        self.endpoint_health.keep_only(names)
         self.placement.keep_only(names)
         if not self.rates.is_empty:
             seats = self.roster.seats.values()
--- a/packages/verbenahall/src/verbenahall/gateway/_standing.py
+++ b/packages/verbenahall/src/verbenahall/gateway/_endpoint_health.py
@@ -22,15 +22,15 @@
 
 
 @final
-class Standing:
+class EndpointHealth:
     """Recent outcomes of the sends to one endpoint.
 
-    ``failing`` is the failure rate at the time ``updated_at``, between 0 and
-    1, and ``open`` the number of sends that are under way.
+    ``failure_rate`` is that at the time ``updated_at``, between 0 and 1, and
+    ``open`` the number of sends that are under way.
     """
 
     __slots__ = (
-        'failing',
+        'failure_rate',
         'updated_at',
         'unreachable_until',
         'refusing_until',
@@ -39,7 +39,7 @@
 
     def __init__(self) -> None:
         """Start without failures."""
-        self.failing: float = 0
+        self.failure_rate: float = 0
         self.updated_at: float = 0
         self.unreachable_until = -float('inf')
         self.refusing_until = -float('inf')
@@ -47,42 +47,44 @@
 
 
 @final
-class Standings:
+class EndpointHealthTable:
     """Recent outcomes by endpoint name."""
 
-    __slots__ = ('_standings',)
+    __slots__ = ('_health',)
 
     def __init__(self) -> None:
         """Start without outcomes."""
-        self._standings: dict[str, Standing] = {}
+        self._health: dict[str, EndpointHealth] = {}
 
-    def of(self, endpoint: str) -> Standing:
+    def get(self, endpoint: str) -> EndpointHealth:
         """Return an endpoint's record, which is created if it is missing."""
-        return self._standings.setdefault(endpoint, Standing())
+        return self._health.setdefault(endpoint, EndpointHealth())
 
-    def knows(self, endpoint: str) -> bool:
+    def has(self, endpoint: str) -> bool:
         """Whether there is a record of an endpoint."""
-        return endpoint in self._standings
+        return endpoint in self._health
 
     def keep_only(self, names: Collection[str]) -> None:
         """Remove the records of all other endpoints."""
-        for name in self._standings.keys() - names:
-            self._standings.pop(name)
+        for name in self._health.keys() - names:
+            self._health.pop(name)
 
-    def note(self, endpoint: str, now: float, *, good: bool) -> None:
+    def record_outcome(self, endpoint: str, now: float, *, good: bool) -> None:
         """Record the outcome of a send."""
-        standing = self.of(endpoint)
-        failing = self.failing(endpoint, now)
+        health = self.get(endpoint)
+        failure_rate = self.failure_rate(endpoint, now)
         target = 0 if good else 1
-        standing.failing = failing + _OUTCOME_WEIGHT * (target - failing)
-        standing.updated_at = now
+        health.failure_rate = failure_rate + _OUTCOME_WEIGHT * (
+            target - failure_rate
+        )
+        health.updated_at = now
 
-    def note_unreachable(self, endpoint: str, now: float) -> None:
+    def record_unreachable(self, endpoint: str, now: float) -> None:
         """Avoid an endpoint that accepts no connection or is unresponsive."""
-        self.note(endpoint, now, good=False)
-        self.of(endpoint).unreachable_until = now + _UNREACHABLE_S
+        self.record_outcome(endpoint, now, good=False)
+        self.get(endpoint).unreachable_until = now + _UNREACHABLE_S
 
-    def note_refusal(
+    def record_refusal(
         self,
         endpoint: str,
         now: float,
@@ -93,31 +95,31 @@
         An engine that changes its role refuses all requests for seconds while
         the store still lists its old role.
         """
-        self.of(endpoint).refusing_until = now + for_s
+        self.get(endpoint).refusing_until = now + for_s
 
-    def note_reached(self, endpoint: str) -> None:
+    def record_reachable(self, endpoint: str) -> None:
         """Use an endpoint again that accepted a connection."""
-        self.of(endpoint).unreachable_until = -float('inf')
+        self.get(endpoint).unreachable_until = -float('inf')
 
-    def unreachable(self, now: float) -> list[str]:
+    def list_unreachable(self, now: float) -> list[str]:
         """Return the endpoints that are avoided as unreachable."""
         return [
             name
-            for name, standing in self._standings.items()
-            if now < standing.unreachable_until
+            for name, health in self._health.items()
+            if now < health.unreachable_until
         ]
 
-    def failing(self, endpoint: str, now: float) -> float:
+    def failure_rate(self, endpoint: str, now: float) -> float:
         """Return the failure rate, which decays while nothing is sent."""
-        standing = self.of(endpoint)
-        decay = 0.5 ** ((now - standing.updated_at) / _HALF_LIFE_S)
-        return standing.failing * decay
+        health = self.get(endpoint)
+        decay = 0.5 ** ((now - health.updated_at) / _HALF_LIFE_S)
+        return health.failure_rate * decay
 
-    def reachable(self, endpoint: str, now: float) -> bool:
+    def is_reachable(self, endpoint: str, now: float) -> bool:
         """Whether an endpoint is not marked as unreachable."""
-        return now >= self.of(endpoint).unreachable_until
+        return now >= self.get(endpoint).unreachable_until
 
-    def paused(self, endpoint: str, now: float) -> bool:
+    def is_avoided(self, endpoint: str, now: float) -> bool:
         """Whether an endpoint is avoided, as unreachable or refusing."""
-        standing = self.of(endpoint)
-        return now < max(standing.unreachable_until, standing.refusing_until)
+        health = self.get(endpoint)
+        return now < max(health.unreachable_until, health.refusing_until)
--- a/packages/verbenahall/src/verbenahall/gateway/_following.py
+++ b/packages/verbenahall/src/verbenahall/gateway/_following.py
@@ -123,7 +123,7 @@
         now = self._core.now()
         gone = drop(roster, name, now, received.before)
         seat = roster.seats.get(name)
-        self._core.forget_unlisted()
+        self._core.remove_unlisted()
         journal.write_decision(
             'endpoint_gone' if gone else 'endpoint_lapsed',
             endpoint=name,
@@ -153,7 +153,7 @@
             now,
             received.before,
         )
-        self._core.forget_unlisted()
+        self._core.remove_unlisted()
         journal.write_decision(
             'endpoints',
             readable=len(entries),
--- a/packages/verbenahall/src/verbenahall/gateway/_orders.py
+++ b/packages/verbenahall/src/verbenahall/gateway/_orders.py
@@ -142,7 +142,7 @@
         engines = [
             entry
             for entry in listed
-            if core.standings.reachable(entry.name, now)
+            if core.endpoint_health.is_reachable(entry.name, now)
         ]
         if self._has_recent_joins(service, engines, now):
             return ()
--- a/packages/verbenahall/src/verbenahall/gateway/_peers.py
+++ b/packages/verbenahall/src/verbenahall/gateway/_peers.py
@@ -50,7 +50,7 @@
             self.exchange.close()
 
     def _avoid_engine(self, engine: str) -> None:
-        self._core.standings.note_refusal(engine, self._core.now())
+        self._core.endpoint_health.record_refusal(engine, self._core.now())
 
     async def _join(self) -> None:
         while not await self._register():
--- a/packages/verbenahall/src/verbenahall/gateway/_permits.py
+++ b/packages/verbenahall/src/verbenahall/gateway/_permits.py
@@ -94,7 +94,7 @@
                 return None
             case throttling.Denial(wait_s=wait_s):
                 metrics.PERMITS.add('denied')
-                self._core.standings.note_refusal(
+                self._core.endpoint_health.record_refusal(
                     endpoint.name,
                     self._core.now(),
                     wait_s,
--- a/packages/verbenahall/src/verbenahall/gateway/_plain.py
+++ b/packages/verbenahall/src/verbenahall/gateway/_plain.py
@@ -171,7 +171,9 @@
     Endpoints that are avoided for now are used only if there is no other.
     """
     usable = [
-        one for one in endpoints if not core.standings.paused(one.name, now)
+        one
+        for one in endpoints
+        if not core.endpoint_health.is_avoided(one.name, now)
     ]
     return min(
         usable or endpoints,
@@ -181,9 +183,9 @@
 
 
 def _estimate_load(core: Core, endpoint: Entry, now: float) -> float:
-    standing = core.standings.of(endpoint.name)
-    failing = core.standings.failing(endpoint.name, now)
-    load = standing.open + failing * _FAILING_LOAD
+    health = core.endpoint_health.get(endpoint.name)
+    failure_rate = core.endpoint_health.failure_rate(endpoint.name, now)
+    load = health.open + failure_rate * _FAILING_LOAD
     if endpoint.data_centre != core.settings.data_centre:
         load += _REMOTE_LOAD
     return load
--- a/packages/verbenahall/src/verbenahall/gateway/_probes.py
+++ b/packages/verbenahall/src/verbenahall/gateway/_probes.py
@@ -56,7 +56,9 @@
         """Probe until cancelled."""
         while True:
             await asyncio.sleep(_PROBE_INTERVAL_S)
-            avoided = self._core.standings.unreachable(self._core.now())
+            avoided = self._core.endpoint_health.list_unreachable(
+                self._core.now()
+            )
             await asyncio.gather(*(self._probe(name) for name in avoided))
 
     async def _probe(self, name: str) -> None:
@@ -64,5 +66,5 @@
         if seat is None:
             return
         if await contact(seat.entry.address) is Contact.LISTENS:
-            self._core.standings.note_reached(name)
+            self._core.endpoint_health.record_reachable(name)
             journal.write_decision('endpoint_reached', endpoint=name)
--- a/packages/verbenahall/src/verbenahall/gateway/_readiness.py
+++ b/packages/verbenahall/src/verbenahall/gateway/_readiness.py
@@ -99,7 +99,8 @@
             for entry in self._core.roster.live(service, now)
             if entry.role is not Role.PREFILL
         ]
-        standings = self._core.standings
+        endpoint_health = self._core.endpoint_health
         return not final_endpoints or any(
-            standings.reachable(entry.name, now) for entry in final_endpoints
+            endpoint_health.is_reachable(entry.name, now)
+            for entry in final_endpoints
         )
--- a/packages/verbenahall/src/verbenahall/gateway/_scheduler.py
+++ b/packages/verbenahall/src/verbenahall/gateway/_scheduler.py
@@ -133,7 +133,7 @@
         now = self._core.now()
         note(state, progress, service, now)
         if isinstance(progress, Released) and progress.refused:
-            self._core.standings.note_refusal(progress.refused, now)
+            self._core.endpoint_health.record_refusal(progress.refused, now)
         self._schedule_run(scope)
 
     def _schedule_run(self, scope: _Scope, within_s: float = 0) -> None:
--- a/packages/verbenahall/src/verbenahall/gateway/_sender.py
+++ b/packages/verbenahall/src/verbenahall/gateway/_sender.py
@@ -96,8 +96,8 @@
             data=call.body or None,
             allow_redirects=False,
         )
-        standing = self._core.standings.of(endpoint.name)
-        standing.open += 1
+        health = self._core.endpoint_health.get(endpoint.name)
+        health.open += 1
         self._log_sent(call, endpoint, order)
         response = None
         sent_at = self._core.now()
@@ -108,7 +108,7 @@
         else:
             yield await self._check_refusal(endpoint, order, response, sent_at)
         finally:
-            standing.open -= 1
+            health.open -= 1
             if response is not None:
                 response.close()
 
@@ -137,7 +137,7 @@
     def record_outcome(self, endpoint: Entry, *, good: bool) -> None:
         """Record whether an endpoint's answer was good."""
         now = self._core.now()
-        self._core.standings.note(endpoint.name, now, good=good)
+        self._core.endpoint_health.record_outcome(endpoint.name, now, good=good)
 
     async def read_whole(
         self,
@@ -185,10 +185,10 @@
         """Return the outcome of a failed send and record the failure."""
         now = self._core.now()
         if isinstance(error, CONNECT_FAILURES):
-            self._core.standings.note_unreachable(endpoint.name, now)
+            self._core.endpoint_health.record_unreachable(endpoint.name, now)
             return NeverWritten(repr(error))
         if isinstance(error, OSError) and error.errno in _NO_ACK_ERRNOS:
-            self._core.standings.note_unreachable(endpoint.name, now)
+            self._core.endpoint_health.record_unreachable(endpoint.name, now)
             return Broken(repr(error))
         self.record_outcome(endpoint, good=False)
         if isinstance(error, TimeoutError) and now >= call.deadline:
@@ -227,7 +227,7 @@
             fingerprint=call.fingerprint,
             endpoint=endpoint.name,
             born=endpoint.born,
-            open=self._core.standings.of(endpoint.name).open,
+            open=self._core.endpoint_health.get(endpoint.name).open,
         )
 
     def _log_not_sent(
@@ -291,7 +291,7 @@
             # holds the KV cache has crashed, so only refusals of sends without
             # one count against the endpoint.
             now = self._core.now()
-            self._core.standings.note_refusal(endpoint.name, now)
+            self._core.endpoint_health.record_refusal(endpoint.name, now)
         # Once the refusal is read to its end, the connection can be reused,
         # which saves the next send a handshake.
         with contextlib.suppress(*CALL_FAILURES):
--- a/packages/verbenahall/src/verbenahall/gateway/_streams.py
+++ b/packages/verbenahall/src/verbenahall/gateway/_streams.py
@@ -194,7 +194,7 @@
                     # Two engines could not fetch the KV cache: the engine that
                     # holds it transfers it too slowly or not at all.
                     prefill_engine = self._kv_handle.engine.name
-                    self._core.standings.note_refusal(
+                    self._core.endpoint_health.record_refusal(
                         prefill_engine, self._core.now()
                     )
                 return not suspect
--- a/packages/verbenahall/tests/gateway/test_failing_services.py
+++ b/packages/verbenahall/tests/gateway/test_failing_services.py
@@ -117,10 +117,12 @@
     async def check():
         plain = make_plain(2)
         async with open_desk(tmp_path, plain=plain) as desk:
-            standings = desk.gateway.core.standings
+            endpoint_health = desk.gateway.core.endpoint_health
             now = desk.gateway.core.now
-            standings.note_unreachable('page-0', now())
-            assert standings.paused('page-0', now())
-            await desk.until(lambda: not standings.paused('page-0', now()), 1)
+            endpoint_health.record_unreachable('page-0', now())
+            assert endpoint_health.is_avoided('page-0', now())
+            await desk.until(
+                lambda: not endpoint_health.is_avoided('page-0', now()), 1
+            )
 
     run(check())
--- a/packages/verbenahall/tests/gateway/test_scheduling.py
+++ b/packages/verbenahall/tests/gateway/test_scheduling.py
@@ -291,7 +291,7 @@
                     engine.faults.full = True
             status, _, _ = await first.ask(PATH, 'r-2')
             assert status == 200
-            await first.until(lambda: core.standings.knows(reader))
-            assert core.standings.paused(reader, core.now())
+            await first.until(lambda: core.endpoint_health.has(reader))
+            assert core.endpoint_health.is_avoided(reader, core.now())
 
     run(check())
--- a/packages/verbenahall/tests/gateway/test_store.py
+++ b/packages/verbenahall/tests/gateway/test_store.py
@@ -215,7 +215,9 @@
                 greet(gateway.core.book, f'front-{number + 2}', '10.0.0.9:9')
             await asyncio.sleep(0.2)
             assert await desk.is_ready()
-            gateway.core.standings.note_unreachable('generator-0', now())
+            gateway.core.endpoint_health.record_unreachable(
+                'generator-0', now()
+            )
             await desk.site.engines[2].stop()
             await asyncio.sleep(0.7)
             assert not await desk.is_ready()
@@ -234,7 +236,7 @@
             book = gateway.core.book
             greet(book, 'front-2', '10.0.0.9:9')
             greet(book, 'front-3', '10.0.0.8:9')
-            gateway.core.standings.note_unreachable(
+            gateway.core.endpoint_health.record_unreachable(
                 'generator-0',
                 gateway.core.now(),
             )
@@ -274,11 +276,13 @@
         async with open_desk(tmp_path, make_engines()) as desk:
             core = desk.gateway.core
             await desk.ask('/blurb/1')
-            assert core.standings.knows('generator-0')
+            assert core.endpoint_health.has('generator-0')
             desk.site.unlist('generator-0')
             await desk.until(lambda: 'generator-0' not in core.roster.seats)
-            assert not core.standings.knows('generator-0')
-            assert core.standings.knows('reader-0') or core.standings.knows(
+            assert not core.endpoint_health.has('generator-0')
+            assert core.endpoint_health.has(
+                'reader-0'
+            ) or core.endpoint_health.has(
                 'reader-1',
             )
 
