--- a/packages/verbenahall/src/verbenahall/gateway/_core.py
+++ b/packages/verbenahall/src/verbenahall/gateway/_core.py
@@ -143,11 +143,11 @@
         would grow for as long as the instance runs.
         """
         names = self.roster.seats.keys()
-        self.endpoint_health.keep_only(names)
-        self.placement.keep_only(names)
+        self.endpoint_health.retain(names)
+        self.placement.retain(names)
         if not self.rates.is_empty:
             seats = self.roster.seats.values()
-            self.rates.keep_only({name_start(seat.entry) for seat in seats})
+            self.rates.retain({name_start(seat.entry) for seat in seats})
 
     def budget_of(self, service: str) -> WindowBudget:
         """Return the retry budget of a service.
--- a/packages/verbenahall/src/verbenahall/gateway/_endpoint_health.py
+++ b/packages/verbenahall/src/verbenahall/gateway/_endpoint_health.py
@@ -64,7 +64,7 @@
         """Whether there is a record of an endpoint."""
         return endpoint in self._health
 
-    def keep_only(self, names: Collection[str]) -> None:
+    def retain(self, names: Collection[str]) -> None:
         """Remove the records of all other endpoints."""
         for name in self._health.keys() - names:
             self._health.pop(name)
--- a/packages/verbenahall/src/verbenahall/placement/_state.py
+++ b/packages/verbenahall/src/verbenahall/placement/_state.py
@@ -76,7 +76,7 @@
         """Return the estimated decode step time of an engine."""
         return self._steps.setdefault(engine, DecayingAverage())
 
-    def keep_only(self, names: Collection[str]) -> None:
+    def retain(self, names: Collection[str]) -> None:
         """Remove the state of engines that are no longer listed."""
         for name in self._steps.keys() - names:
             self._steps.pop(name)
--- a/packages/verbenahall/src/verbenahall/throttling/_state.py
+++ b/packages/verbenahall/src/verbenahall/throttling/_state.py
@@ -39,7 +39,7 @@
         """Whether an endpoint advertises a rate."""
         return incarnation in self.rates
 
-    def keep_only(self, incarnations: Collection[str]) -> None:
+    def retain(self, incarnations: Collection[str]) -> None:
         """Remove the state of endpoints that are no longer listed."""
         for kept in (self.rates, self.next_at):
             for incarnation in kept.keys() - incarnations:
