--- a/packages/verbenahall/src/verbenahall/duties/_succession.py
+++ b/packages/verbenahall/src/verbenahall/duties/_succession.py
@@ -4,7 +4,7 @@
 
 from verbenahall.clock import Clock
 from verbenahall.duties._lease import DutyLease
-from verbenahall.peers import PeerBook, find_rank
+from verbenahall.peers import PeerTable, find_rank
 
 #: Number of instances that check the holder, one after the other.
 _MAX_STANDBYS: Final = 3
@@ -28,7 +28,7 @@
     """
 
     __slots__ = (
-        '_book',
+        '_peer_table',
         '_lease',
         '_check_at',
         '_now',
@@ -41,12 +41,12 @@
     def __init__(
         self,
         lease: DutyLease,
-        book: PeerBook,
+        peer_table: PeerTable,
         now: Clock,
         period_s: float,
     ) -> None:
         """Start without a check; the first ``step`` schedules one."""
-        self._book = book
+        self._peer_table = peer_table
         self._lease = lease
         self._check_at: float | None = None
         self._now = now
@@ -78,7 +78,7 @@
         self._check_at = self._now() + self._period_s
 
     async def _check_lease(self, due: float, now: float) -> None:
-        rank = find_rank(self._book, self._lease.duty, now)
+        rank = find_rank(self._peer_table, self._lease.duty, now)
         if rank < _MAX_STANDBYS and now < due + rank * _RANK_DELAY_S:
             return
         # After a pause of the process the missed checks are made up by one.
--- a/packages/verbenahall/src/verbenahall/gateway/_assignments.py
+++ b/packages/verbenahall/src/verbenahall/gateway/_assignments.py
@@ -107,7 +107,7 @@
         in a small fleet it knows the whole load, and in a large one all
         schedulers may be unreachable.
         """
-        if not needs_scheduler(self._core.book):
+        if not needs_scheduler(self._core.peer_table):
             return Nothing
         now = self._core.now()
         usable = self._core.list_usable(call.service.name, now)
@@ -150,10 +150,14 @@
 
     def _list_schedulers(self, group: str) -> Sequence[str]:
         now = self._core.now()
-        book = self._core.book
+        peer_table = self._core.peer_table
         avoided = self._health.list_silent(now)
-        most = _MAX_LOCAL_TRIES if is_near(group, book) else _MAX_REMOTE_TRIES
-        return rank_schedulers(group, book, now, avoided)[:most]
+        most = (
+            _MAX_LOCAL_TRIES
+            if is_near(group, peer_table)
+            else _MAX_REMOTE_TRIES
+        )
+        return rank_schedulers(group, peer_table, now, avoided)[:most]
 
     async def _request_from_scheduler(
         self,
@@ -228,7 +232,7 @@
         )
 
     def _find_address(self, scheduler: str) -> str:
-        peer = self._core.book.peers.get(scheduler)
+        peer = self._core.peer_table.peers.get(scheduler)
         if peer is None:
             return self._core.settings.peer_address
         return peer.address
--- a/packages/verbenahall/src/verbenahall/gateway/_core.py
+++ b/packages/verbenahall/src/verbenahall/gateway/_core.py
@@ -19,7 +19,7 @@
     name_start,
 )
 from verbenahall.gateway._endpoint_health import EndpointHealthTable
-from verbenahall.peers import PeerBook
+from verbenahall.peers import PeerTable
 from verbenahall.placement import PlacementState
 from verbenahall.platform import (
     CONNECT_S,
@@ -86,7 +86,7 @@
         self.limiter: RateLimiter = NoLimiter()
         self.observer: CrashObserver = NoObserver()
         self.placement = PlacementState()
-        self.book = PeerBook(
+        self.peer_table = PeerTable(
             settings.name,
             settings.data_centre,
             settings.cores,
@@ -108,7 +108,7 @@
     @property
     def instances(self) -> int:
         """Number of known instances, including this one."""
-        return len(self.book.peers) + 1
+        return len(self.peer_table.peers) + 1
 
     def find_age(self, now: float) -> float:
         """Return the greatest age of a local copy of a topic, in seconds."""
--- a/packages/verbenahall/src/verbenahall/gateway/_crash_reports.py
+++ b/packages/verbenahall/src/verbenahall/gateway/_crash_reports.py
@@ -12,10 +12,10 @@
 from verbenahall.gateway._stored_crashes import StoredCrashes
 from verbenahall.peers import (
     Peer,
-    PeerBook,
+    PeerTable,
     PeerExchange,
-    find_missing,
-    is_sampled,
+    has_unresponsive_peer,
+    is_local_only,
 )
 
 #: Delays after which a report is sent again, in seconds, because datagrams get
@@ -47,10 +47,10 @@
         """Install the handler of crash reports in the peers' exchange."""
         self._core = core
         self._exchange = exchange
-        self._next_handler = exchange.hear_other
+        self._next_handler = exchange.fallback_handler
         self._stored = StoredCrashes(core)
         self._store_sync_until = -float('inf')
-        exchange.hear_other = self.handle_datagram
+        exchange.fallback_handler = self.handle_datagram
 
     async def run(self) -> None:
         """Repeat reports that may have been lost, until cancelled."""
@@ -60,7 +60,7 @@
             quarantine.remove_expired(self._core.crash_log, now)
             self._gossip_repeated(now)
             if _may_be_partitioned(
-                self._core.book, self._store_sync_until, now
+                self._core.peer_table, self._store_sync_until, now
             ):
                 await self._sync_through_store(now)
 
@@ -124,13 +124,13 @@
         )
 
     def _broadcast(self, report: quarantine.CrashReport) -> None:
-        self._send(report, self._core.book.peers.values())
+        self._send(report, self._core.peer_table.peers.values())
 
     def _gossip_repeated(self, now: float) -> None:
         """Send suspects with several crashes to a random sample of peers."""
         repeated = quarantine.list_repeated(self._core.crash_log, now)
         if repeated.crashes:
-            peers = list(self._core.book.peers.values())
+            peers = list(self._core.peer_table.peers.values())
             sample_size = min(len(peers), _GOSSIP_FANOUT)
             self._send(repeated, self._core.random.sample(peers, sample_size))
 
@@ -154,7 +154,7 @@
 
 
 def _may_be_partitioned(
-    book: PeerBook, store_sync_until: float, now: float
+    peer_table: PeerTable, store_sync_until: float, now: float
 ) -> bool:
     """Whether some peers may not receive this instance's crash reports.
 
@@ -162,9 +162,9 @@
     datagrams. There an instance that detects a repeated crash uses the store
     for a limited time.
     """
-    if is_sampled(book):
+    if is_local_only(peer_table):
         return now < store_sync_until
-    return find_missing(book, now)
+    return has_unresponsive_peer(peer_table, now)
 
 
 def _add_age(
--- a/packages/verbenahall/src/verbenahall/gateway/_followers.py
+++ b/packages/verbenahall/src/verbenahall/gateway/_followers.py
@@ -108,7 +108,7 @@
         self._reachability = StoreReachability(core, subject.topic)
         self._freshness = core.freshness[subject.topic]
         self._broadcast = broadcast
-        self._standby = Standby(core.book, subject.topic)
+        self._standby = Standby(core.peer_table, subject.topic)
         self._pause_pending = False
         self._polls_short = True
         self._wake = asyncio.Event()
--- a/packages/verbenahall/src/verbenahall/gateway/_orders.py
+++ b/packages/verbenahall/src/verbenahall/gateway/_orders.py
@@ -231,7 +231,7 @@
         now = self._core.now()
         if self._changes_needed_at is None:
             self._changes_needed_at = now
-        rank = find_rank(self._core.book, _DUTY, now)
+        rank = find_rank(self._core.peer_table, _DUTY, now)
         return now - self._changes_needed_at >= rank * _RANK_DELAY_S
 
     async def _order_all(self, changes: Sequence[RoleChange]) -> None:
--- a/packages/verbenahall/src/verbenahall/gateway/_peers.py
+++ b/packages/verbenahall/src/verbenahall/gateway/_peers.py
@@ -7,7 +7,7 @@
 
 from verbenahall import journal, wire
 from verbenahall.gateway._core import Core
-from verbenahall.peers import PeerExchange, greet
+from verbenahall.peers import PeerExchange, add_peer
 from verbenahall.platform import (
     INSTANCES_TOPIC,
     Appended,
@@ -34,7 +34,7 @@
         """Create the exchange for the core's open work."""
         self._core = core
         self.exchange = PeerExchange(
-            core.book,
+            core.peer_table,
             core.placement,
             self._avoid_engine,
         )
@@ -65,7 +65,9 @@
                 cores,
                 int | float,
             ):
-                greet(self._core.book, name, address, data_centre, cores)
+                add_peer(
+                    self._core.peer_table, name, address, data_centre, cores
+                )
             case _:
                 journal.write_decision('peer_unreadable', peer=name)
 
@@ -83,7 +85,7 @@
             case Success(newest):
                 for name, content in newest.items.items():
                     self._add_peer(name, content)
-                known = len(self._core.book.peers)
+                known = len(self._core.peer_table.peers)
                 journal.write_decision('peers', known=known)
                 return True
             case _:
--- a/packages/verbenahall/src/verbenahall/gateway/_permits.py
+++ b/packages/verbenahall/src/verbenahall/gateway/_permits.py
@@ -51,18 +51,18 @@
         """Install the limiter in the core and its handler in the exchange."""
         self._core = core
         self._exchange = exchange
-        self._next_handler = exchange.hear_other
+        self._next_handler = exchange.fallback_handler
         self._request_ids = itertools.count()
         self._table = core.rates
         self._pending: dict[int, asyncio.Future[PermitResponse]] = {}
         core.limiter = self
-        exchange.hear_other = self.handle_datagram
+        exchange.fallback_handler = self.handle_datagram
 
     async def run(self) -> None:
         """Announce the rates that this instance limits, until cancelled."""
         while True:
             await asyncio.sleep(_ANNOUNCE_INTERVAL_S)
-            local_name = Some(self._core.book.name)
+            local_name = Some(self._core.peer_table.name)
             for endpoint in _list_limited(self._core):
                 incarnation = name_start(endpoint)
                 if self._find_limiter(endpoint) == local_name:
@@ -160,7 +160,7 @@
         request: throttling.PermitRequest,
     ) -> PermitResponse:
         match self._find_limiter(endpoint):
-            case Some(self._core.book.name):
+            case Some(self._core.peer_table.name):
                 return self._grant_permit(request)
             case Some(name):
                 return await self._request_from_peer(name, request)
@@ -174,7 +174,7 @@
     ) -> PermitResponse:
         future = asyncio.get_running_loop().create_future()
         self._pending[request.key] = future
-        peer = self._core.book.peers[name]
+        peer = self._core.peer_table.peers[name]
         self._exchange.send(throttling.encode(request), peer.address)
         try:
             async with asyncio.timeout(_RESPONSE_TIMEOUT_S):
@@ -194,13 +194,13 @@
         self, request: throttling.PermitRequest
     ) -> PermitResponse:
         now = self._core.now()
-        share = throttling.find_rate_share(self._core.book, now)
+        share = throttling.find_rate_share(self._core.peer_table, now)
         return throttling.grant_permit(self._table, request, share, now)
 
     def _find_limiter(self, endpoint: Entry) -> Maybe[str]:
         return throttling.choose_limiter(
             self._table,
-            self._core.book,
+            self._core.peer_table,
             name_start(endpoint),
             endpoint.data_centre,
             self._core.now(),
@@ -220,7 +220,7 @@
 
     def _broadcast(self, notice: throttling.RateNotice) -> None:
         datagram = throttling.encode(notice)
-        for peer in self._core.book.peers.values():
+        for peer in self._core.peer_table.peers.values():
             self._exchange.send(datagram, peer.address)
 
 
--- a/packages/verbenahall/src/verbenahall/gateway/_readiness.py
+++ b/packages/verbenahall/src/verbenahall/gateway/_readiness.py
@@ -8,7 +8,7 @@
 from verbenahall import journal
 from verbenahall.fleet import Role
 from verbenahall.gateway._core import Core
-from verbenahall.peers import find_heard, tell_whom
+from verbenahall.peers import list_live_peers, list_recipients
 
 #: How long a service must have had no reachable endpoint before the instance
 #: reports that it is not ready, in seconds.
@@ -74,9 +74,9 @@
             return False
         if self._unreachable_since is None:
             self._unreachable_since = now
-        book = self._core.book
-        peer_count = len(tell_whom(book))
-        live_count = len(find_heard(book, now, _PEER_TIMEOUT_S))
+        peer_table = self._core.peer_table
+        peer_count = len(list_recipients(peer_table))
+        live_count = len(list_live_peers(peer_table, now, _PEER_TIMEOUT_S))
         # If most peers are reachable, the endpoints are probably down for them
         # as well, and callers would fare no better there.
         is_minority = peer_count > 1 and live_count < peer_count / 2
--- a/packages/verbenahall/src/verbenahall/gateway/_scaling.py
+++ b/packages/verbenahall/src/verbenahall/gateway/_scaling.py
@@ -42,7 +42,7 @@
             calls=DutyCalls(core.session, settings.duty_api),
             lease=lease,
             succession=Succession(
-                lease, core.book, core.now, _RENEWAL_PERIOD_S
+                lease, core.peer_table, core.now, _RENEWAL_PERIOD_S
             ),
             list_rules=lambda: _list_rules(core),
             list_engines=lambda name: list(core.roster.live(name, core.now())),
--- a/packages/verbenahall/src/verbenahall/gateway/_scheduler.py
+++ b/packages/verbenahall/src/verbenahall/gateway/_scheduler.py
@@ -248,7 +248,7 @@
         self._exchange = exchange
         self.assignments = Assignments(core, self.send)
         self.scheduler = Scheduler(core, self.send)
-        exchange.hear_other = self.receive_datagram
+        exchange.fallback_handler = self.receive_datagram
 
     def receive_datagram(self, datagram: bytes, sender: str) -> bool:
         """Dispatch a datagram; return False if it is of another kind."""
--- a/packages/verbenahall/src/verbenahall/gateway/_standby.py
+++ b/packages/verbenahall/src/verbenahall/gateway/_standby.py
@@ -3,7 +3,7 @@
 from typing import Final, final
 
 from verbenahall.peers import (
-    PeerBook,
+    PeerTable,
     find_confirmed_at,
     find_latest_offset,
     is_covered_by_peers,
@@ -19,11 +19,11 @@
 class Standby:
     """One topic, by the heartbeats and updates of the peers."""
 
-    __slots__ = ('_book', '_latest_offset', '_missing_since', '_topic')
+    __slots__ = ('_peer_table', '_latest_offset', '_missing_since', '_topic')
 
-    def __init__(self, book: PeerBook, topic: str) -> None:
+    def __init__(self, peer_table: PeerTable, topic: str) -> None:
         """Start without any report."""
-        self._book = book
+        self._peer_table = peer_table
         self._latest_offset = 0
         self._missing_since: float | None = None
         self._topic = topic
@@ -34,15 +34,15 @@
 
     def is_covered_by_peers(self, now: float) -> bool:
         """Whether enough peers follow the topic at the store."""
-        return is_covered_by_peers(self._book, self._topic, now)
+        return is_covered_by_peers(self._peer_table, self._topic, now)
 
     def find_confirmed_at(self, position: int) -> float:
         """Return when a peer last had a position confirmed as the newest."""
-        return find_confirmed_at(self._book, self._topic, position)
+        return find_confirmed_at(self._peer_table, self._topic, position)
 
     def may_wait(self, position: int, now: float) -> bool:
         """Whether no record is missing, or missing ones may still arrive."""
-        reported = find_latest_offset(self._book, self._topic, now)
+        reported = find_latest_offset(self._peer_table, self._topic, now)
         if max(reported, self._latest_offset) <= position:
             self._missing_since = None
             return True
--- a/packages/verbenahall/src/verbenahall/gateway/_usage.py
+++ b/packages/verbenahall/src/verbenahall/gateway/_usage.py
@@ -30,7 +30,7 @@
     """
     return UsageExchange(
         exchange,
-        core.book,
+        core.peer_table,
         core.store,
         core.meter,
         core.true_clock,
@@ -52,7 +52,7 @@
             lease=lease,
             succession=Succession(
                 lease,
-                core.book,
+                core.peer_table,
                 core.now,
                 windows.length_s,
             ),
--- a/packages/verbenahall/src/verbenahall/peers/_arrivals.py
+++ b/packages/verbenahall/src/verbenahall/peers/_arrivals.py
@@ -47,9 +47,9 @@
         """
         return {
             topic: ConfirmedOffset(
-                heartbeat.followed[topic],
+                heartbeat.followed_offsets[topic],
                 self._received_after - age_s,
             )
             for topic, age_s in heartbeat.ages.items()
-            if topic in heartbeat.followed
+            if topic in heartbeat.followed_offsets
         }
--- a/packages/verbenahall/src/verbenahall/peers/_messages.py
+++ b/packages/verbenahall/src/verbenahall/peers/_messages.py
@@ -33,14 +33,14 @@
 class Heartbeat:
     """State of the instance ``author``, sent to its peers at short intervals.
 
-    ``number`` increases with each heartbeat and starts again when the author
-    is restarted, so that a delayed datagram doesn't overwrite a newer one.
-    ``loads`` is the author's open work by engine, ``changing`` the engines
-    that it has ordered to change their role and that take no work, and
-    ``speed`` its measurements of prefill speed. ``followed`` is the next
-    offset of each topic that the author follows at the store, ``ages`` the
-    seconds since the store last confirmed that it holds nothing newer, and
-    ``cores`` how many processor cores the author may use.
+    ``number`` increases with each heartbeat and starts again when the author is
+    restarted, so that a delayed datagram doesn't overwrite a newer one.
+    ``loads`` is the author's open work by engine, ``changing`` the engines that
+    it has ordered to change their role and that take no work, and ``speed`` its
+    measurements of prefill speed. ``followed_offsets`` is the next offset of
+    each topic that the author follows at the store, ``ages`` the seconds since
+    the store last confirmed that it holds nothing newer, and ``cores`` how many
+    processor cores the author may use.
     """
 
     author: str
@@ -49,7 +49,9 @@
     data_centre: str = ''
     changing: tuple[str, ...] = ()
     speed: tuple[float, ...] = ()
-    followed: Mapping[str, int] = dataclasses.field(default_factory=dict)
+    followed_offsets: Mapping[str, int] = dataclasses.field(
+        default_factory=dict
+    )
     cores: float = 1
     ages: Mapping[str, float] = dataclasses.field(default_factory=dict)
 
@@ -85,7 +87,7 @@
             'changing': heartbeat.changing,
             'speed': heartbeat.speed,
             'dc': heartbeat.data_centre,
-            'followed': dict(heartbeat.followed),
+            'followed': dict(heartbeat.followed_offsets),
             'cores': heartbeat.cores,
             'ages': {
                 topic: round(age_s, _AGE_DECIMALS)
@@ -236,7 +238,7 @@
             'changing': list(changing),
             'speed': list(speed),
             'dc': str(data_centre),
-            'followed': dict(followed),
+            'followed': dict(followed_offsets),
             'cores': int() | float() as cores,
         }:
             heartbeat = Heartbeat(
@@ -244,7 +246,7 @@
                 number,
                 loads,
                 data_centre,
-                followed=followed,
+                followed_offsets=followed_offsets,
                 cores=cores,
             )
             return _convert_members(
@@ -267,7 +269,7 @@
 
     One invalid member invalidates the whole heartbeat.
     """
-    offsets = heartbeat.followed.values()
+    offsets = heartbeat.followed_offsets.values()
     if not all(isinstance(engine, str) for engine in changing):
         return Nothing
     if not all(isinstance(offset, int) for offset in offsets):
--- a/packages/verbenahall/src/verbenahall/peers/_shell.py
+++ b/packages/verbenahall/src/verbenahall/peers/_shell.py
@@ -19,12 +19,12 @@
     split_update,
 )
 from verbenahall.peers._state import (
-    PeerBook,
+    PeerTable,
     choose_due,
     find_scale,
-    greet,
-    hear,
-    tell_whom,
+    add_peer,
+    record_heartbeat,
+    list_recipients,
 )
 from verbenahall.placement import PlacementState
 
@@ -41,27 +41,27 @@
 
     def __init__(
         self,
-        book: PeerBook,
+        peer_table: PeerTable,
         placement: PlacementState,
         on_engine_changing: Callable[[str], None],
     ) -> None:
         """Exchange the open work in the ledger of the placement state.
 
-        ``on_engine_changing`` is called for each engine that a peer reports
-        as changing its role, ``on_update`` for each store update. Three
-        callbacks supply fields of the heartbeats: ``changing`` the engines
-        that this instance has ordered to change, ``followed`` the offsets of
-        the topics that it follows, ``list_ages`` the seconds since the store
-        last confirmed each topic.
+        ``on_engine_changing`` is called for each engine that a peer reports as
+        changing its role, ``on_update`` for each store update. Three callbacks
+        supply fields of the heartbeats: ``changing`` the engines that this
+        instance has ordered to change, ``followed_offsets`` the offsets of the
+        topics that it follows, ``list_ages`` the seconds since the store last
+        confirmed each topic.
         """
         self.changing: Callable[[], Sequence[str]] = tuple
-        self.followed: Callable[[], Mapping[str, int]] = dict
+        self.followed_offsets: Callable[[], Mapping[str, int]] = dict
         self.list_ages: Callable[[], Mapping[str, float]] = dict
         self.on_update: Callable[[TopicUpdate], object] = bool
         #: Called first with each datagram and its sender's address; returns
         #: False for one that the exchange is to decode.
-        self.hear_other: Callable[[bytes, str], bool] = _ignore_datagram
-        self._book = book
+        self.fallback_handler: Callable[[bytes, str], bool] = _ignore_datagram
+        self._peer_table = peer_table
         self._ledger = placement.ledger
         self._speed = placement.read_speed
         self._on_engine_changing = on_engine_changing
@@ -75,7 +75,7 @@
 
     def datagram_received(self, data: bytes, addr: tuple[str, int]) -> None:
         """Decode one datagram and pass it on."""
-        if self.hear_other(data, f'{addr[0]}:{addr[1]}'):
+        if self.fallback_handler(data, f'{addr[0]}:{addr[1]}'):
             return
         match decode_message(data):
             case Some(Heartbeat() as heartbeat):
@@ -110,7 +110,7 @@
         parts = split_update(update)
         if len(parts) > _MAX_DATAGRAMS:
             parts = (dataclasses.replace(update, records=()),)
-        recipients = tell_whom(self._book)
+        recipients = list_recipients(self._peer_table)
         for part in parts:
             datagram = encode_update(part)
             for peer in recipients:
@@ -124,9 +124,9 @@
         centre. They get no store updates from this instance, so the heartbeat
         names no topic as followed.
         """
-        recipients = tell_whom(self._book)
+        recipients = list_recipients(self._peer_table)
         datagram = encode_heartbeat(self._make_heartbeat({}, {}))
-        for peer in self._book.peers.values():
+        for peer in self._peer_table.peers.values():
             if peer not in recipients:
                 self.send(datagram, peer.address)
 
@@ -148,8 +148,8 @@
     ) -> None:
         now = clock.monotonic()
         host, port = source
-        greet(
-            self._book,
+        add_peer(
+            self._peer_table,
             heartbeat.author,
             f'{host}:{port}',
             heartbeat.data_centre,
@@ -159,10 +159,10 @@
             heartbeat.author,
             heartbeat.number,
             now,
-            heartbeat.followed,
+            heartbeat.followed_offsets,
         )
-        if hear(
-            self._book,
+        if record_heartbeat(
+            self._peer_table,
             *known,
             self._arrivals.find_confirmations(heartbeat),
         ):
@@ -173,29 +173,31 @@
 
     def _send_heartbeats(self, now: float) -> None:
         self._ledger.forget_silent(now)
-        self._ledger.scale = find_scale(self._book)
-        due = tuple(choose_due(self._book, now))
+        self._ledger.scale = find_scale(self._peer_table)
+        due = tuple(choose_due(self._peer_table, now))
         if not due:
             return
-        heartbeat = self._make_heartbeat(self.followed(), self.list_ages())
+        heartbeat = self._make_heartbeat(
+            self.followed_offsets(), self.list_ages()
+        )
         datagram = encode_heartbeat(heartbeat)
         for address in due:
             self.send(datagram, address)
 
     def _make_heartbeat(
         self,
-        followed: Mapping[str, int],
+        followed_offsets: Mapping[str, int],
         ages: Mapping[str, float],
     ) -> Heartbeat:
         return Heartbeat(
-            self._book.name,
+            self._peer_table.name,
             next(self._numbers),
             self._ledger.own(),
-            self._book.data_centre,
+            self._peer_table.data_centre,
             tuple(self.changing()),
             self._speed.export(),
-            followed,
-            self._book.cores,
+            followed_offsets,
+            self._peer_table.cores,
             ages,
         )
 
--- a/packages/verbenahall/src/verbenahall/peers/_state.py
+++ b/packages/verbenahall/src/verbenahall/peers/_state.py
@@ -50,9 +50,9 @@
 class Peer:
     """One peer: its address, its cores, and its last heartbeat.
 
-    ``heard_at`` is when its last heartbeat was received, ``last_sent_at`` when
-    the last one was sent to it, and ``number`` the number of the last one
-    received.
+    ``last_heartbeat_at`` is when its last heartbeat was received,
+    ``last_sent_at`` when the last one was sent to it, and ``number`` the number
+    of the last one received.
     """
 
     __slots__ = (
@@ -60,8 +60,8 @@
         'confirmed',
         'cores',
         'data_centre',
-        'followed',
-        'heard_at',
+        'followed_offsets',
+        'last_heartbeat_at',
         'last_sent_at',
         'number',
     )
@@ -71,14 +71,14 @@
         self.confirmed: Mapping[str, ConfirmedOffset] = {}
         self.cores: float = 1
         self.data_centre = data_centre
-        self.followed = _NO_OFFSETS
-        self.heard_at = -float('inf')
+        self.followed_offsets = _NO_OFFSETS
+        self.last_heartbeat_at = -float('inf')
         self.last_sent_at = -float('inf')
         self.number = -1
 
 
 @final
-class PeerBook:
+class PeerTable:
     """The known peers by name, without this instance itself.
 
     ``cores`` is how many processor cores this instance may use.
@@ -99,8 +99,8 @@
         self.peers: dict[str, Peer] = {}
 
 
-def greet(
-    book: PeerBook,
+def add_peer(
+    peer_table: PeerTable,
     name: str,
     address: str,
     data_centre: str = '',
@@ -111,94 +111,98 @@
     The address comes from the store or from a heartbeat. A new peer is
     ignored if the table is full.
     """
-    if name == book.name:
+    if name == peer_table.name:
         return
-    peer = book.peers.get(name)
-    if peer is None and len(book.peers) >= _MAX_PEERS:
+    peer = peer_table.peers.get(name)
+    if peer is None and len(peer_table.peers) >= _MAX_PEERS:
         return
     # A replacement machine has the same name at another address, and its
     # heartbeat numbers start again.
     if peer is None or peer.address != address:
         peer = Peer(address, data_centre)
-        book.peers[name] = peer
+        peer_table.peers[name] = peer
     peer.cores = cores
 
 
-def hear(
-    book: PeerBook,
+def record_heartbeat(
+    peer_table: PeerTable,
     name: str,
     number: int,
     now: float,
-    followed: Mapping[str, int] = _NO_OFFSETS,
+    followed_offsets: Mapping[str, int] = _NO_OFFSETS,
     confirmed: Mapping[str, ConfirmedOffset] | None = None,
 ) -> bool:
     """Record a peer's heartbeat; return False if it is to be dropped.
 
     It is dropped if a newer one was received before or the peer is unknown.
     """
-    peer = book.peers.get(name)
+    peer = peer_table.peers.get(name)
     if peer is None:
         return False
-    restarted = now - peer.heard_at > _LIVE_S or number == 0
+    restarted = now - peer.last_heartbeat_at > _LIVE_S or number == 0
     if number <= peer.number and not restarted:
         return False
     peer.number = number
-    peer.heard_at = now
-    peer.followed = followed
+    peer.last_heartbeat_at = now
+    peer.followed_offsets = followed_offsets
     peer.confirmed = confirmed or {}
     return True
 
 
-def choose_due(book: PeerBook, now: float) -> Iterator[str]:
+def choose_due(peer_table: PeerTable, now: float) -> Iterator[str]:
     """Yield the addresses of the peers that are due, and mark them as sent."""
-    recipients = tell_whom(book)
+    recipients = list_recipients(peer_table)
     interval_s = max(_MIN_INTERVAL_S, len(recipients) / _MAX_HEARTBEATS_PER_S)
     interval_s = min(interval_s, _MAX_INTERVAL_S)
     for peer in recipients:
-        is_live = now - peer.heard_at < _LIVE_S
+        is_live = now - peer.last_heartbeat_at < _LIVE_S
         pause_s = interval_s if is_live else _UNRESPONSIVE_INTERVAL_S
         if now - peer.last_sent_at >= pause_s:
             peer.last_sent_at = now
             yield peer.address
 
 
-def tell_whom(book: PeerBook) -> list[Peer]:
+def list_recipients(peer_table: PeerTable) -> list[Peer]:
     """Return the peers that heartbeats go to.
 
     In a large fleet these are only the peers of the local data centre.
     """
-    peers = list(book.peers.values())
-    if not is_sampled(book):
+    peers = list(peer_table.peers.values())
+    if not is_local_only(peer_table):
         return peers
-    return [peer for peer in peers if peer.data_centre == book.data_centre]
+    return [
+        peer for peer in peers if peer.data_centre == peer_table.data_centre
+    ]
 
 
-def is_sampled(book: PeerBook) -> bool:
+def is_local_only(peer_table: PeerTable) -> bool:
     """Whether heartbeats are exchanged within the local data centre only."""
-    return len(book.peers) > _MAX_PEERS_FOR_ALL
+    return len(peer_table.peers) > _MAX_PEERS_FOR_ALL
 
 
-def find_missing(book: PeerBook, now: float) -> bool:
+def has_unresponsive_peer(peer_table: PeerTable, now: float) -> bool:
     """Whether heartbeats of a peer that was live lately are missing."""
     return any(
-        _TIMEOUT_S < now - peer.heard_at < _FORGOTTEN_AFTER_S
-        for peer in book.peers.values()
+        _TIMEOUT_S < now - peer.last_heartbeat_at < _FORGOTTEN_AFTER_S
+        for peer in peer_table.peers.values()
     )
 
 
-def find_heard(book: PeerBook, now: float, within_s: float) -> list[str]:
+def list_live_peers(
+    peer_table: PeerTable, now: float, within_s: float
+) -> list[str]:
     """Return the names of the peers with a heartbeat within some seconds."""
     return [
         name
-        for name, peer in book.peers.items()
-        if now - peer.heard_at < within_s
+        for name, peer in peer_table.peers.items()
+        if now - peer.last_heartbeat_at < within_s
     ]
 
 
-def find_scale(book: PeerBook) -> float:
+def find_scale(peer_table: PeerTable) -> float:
     """Return the number of instances over the number that exchange heartbeats.
 
     Load known from heartbeats is multiplied by it to estimate the whole load.
     """
-    sampled = len(tell_whom(book)) + 1
-    return (len(book.peers) + 1) / sampled
+    sampled = len(list_recipients(peer_table)) + 1
+    return (len(peer_table.peers) + 1) / sampled
--- a/packages/verbenahall/src/verbenahall/peers/_topic_followers.py
+++ b/packages/verbenahall/src/verbenahall/peers/_topic_followers.py
@@ -11,7 +11,7 @@
 from collections.abc import Iterator
 from typing import Final
 
-from verbenahall.peers._state import PeerBook
+from verbenahall.peers._state import PeerTable
 from verbenahall.routing import rank_by_rendezvous
 
 #: Followers of a topic among the instances that receive each other's
@@ -24,22 +24,24 @@
 _LIVE_S: Final = 1.2
 
 
-def is_covered_by_peers(book: PeerBook, topic: str, now: float) -> bool:
+def is_covered_by_peers(peer_table: PeerTable, topic: str, now: float) -> bool:
     """Return whether enough peers ranked before this one follow a topic."""
-    followers = [name for name, _ in _list_followers(book, topic, now)]
+    followers = [name for name, _ in _list_followers(peer_table, topic, now)]
     if len(followers) < _FOLLOWERS:
         return False
-    ranked = rank_by_rendezvous(topic, [*followers, book.name])
-    return ranked.index(book.name) >= _FOLLOWERS
+    ranked = rank_by_rendezvous(topic, [*followers, peer_table.name])
+    return ranked.index(peer_table.name) >= _FOLLOWERS
 
 
-def find_latest_offset(book: PeerBook, topic: str, now: float) -> int:
+def find_latest_offset(peer_table: PeerTable, topic: str, now: float) -> int:
     """Return the highest offset that a live peer has read, 0 if none has."""
-    offsets = (offset for _, offset in _list_followers(book, topic, now))
+    offsets = (offset for _, offset in _list_followers(peer_table, topic, now))
     return max(offsets, default=0)
 
 
-def find_confirmed_at(book: PeerBook, topic: str, position: int) -> float:
+def find_confirmed_at(
+    peer_table: PeerTable, topic: str, position: int
+) -> float:
     """Return when the store last confirmed that a position is the newest.
 
     Minus infinity if no peer reports it. A confirmation of an earlier offset
@@ -48,7 +50,7 @@
     """
     confirmed = (
         peer.confirmed[topic]
-        for peer in book.peers.values()
+        for peer in peer_table.peers.values()
         if topic in peer.confirmed
     )
     times = (one.at for one in confirmed if one.offset <= position)
@@ -56,7 +58,7 @@
 
 
 def _list_followers(
-    book: PeerBook,
+    peer_table: PeerTable,
     topic: str,
     now: float,
 ) -> Iterator[tuple[str, int]]:
@@ -64,6 +66,9 @@
 
     A peer that sends its heartbeats to this instance also sends its updates.
     """
-    for name, peer in book.peers.items():
-        if topic in peer.followed and now - peer.heard_at < _LIVE_S:
-            yield name, peer.followed[topic]
+    for name, peer in peer_table.peers.items():
+        if (
+            topic in peer.followed_offsets
+            and now - peer.last_heartbeat_at < _LIVE_S
+        ):
+            yield name, peer.followed_offsets[topic]
--- a/packages/verbenahall/src/verbenahall/scheduling/_groups.py
+++ b/packages/verbenahall/src/verbenahall/scheduling/_groups.py
@@ -13,7 +13,7 @@
 import xxhash
 
 from verbenahall.fleet import Role
-from verbenahall.peers import PeerBook, find_heard
+from verbenahall.peers import PeerTable, list_live_peers
 from verbenahall.placement import Work
 from verbenahall.roster import Entry
 from verbenahall.routing import rank_by_rendezvous
@@ -39,15 +39,15 @@
 _HEARTBEAT_TIMEOUT_S: Final = 1.3
 
 
-def needs_scheduler(book: PeerBook) -> bool:
+def needs_scheduler(peer_table: PeerTable) -> bool:
     """Whether the fleet is too large for instances to choose by themselves."""
-    return len(book.peers) > _FEW_PEERS
+    return len(peer_table.peers) > _FEW_PEERS
 
 
-def is_near(group: str, book: PeerBook) -> bool:
+def is_near(group: str, peer_table: PeerTable) -> bool:
     """Whether heartbeats of the schedulers of a group are received here."""
     return _get_group_data_centre(group) in {
-        book.data_centre,
+        peer_table.data_centre,
         _ALL_DATA_CENTRES,
     }
 
@@ -85,7 +85,7 @@
 
 def rank_schedulers(
     group: str,
-    book: PeerBook,
+    peer_table: PeerTable,
     now: float,
     avoided: Collection[str] = (),
 ) -> Sequence[str]:
@@ -98,28 +98,28 @@
     instances there are assumed to run unless they are in ``avoided``.
     """
     data_centre = _get_group_data_centre(group)
-    if is_near(group, book):
+    if is_near(group, peer_table):
         instance_names: Iterable[str] = [
-            book.name,
-            *find_heard(book, now, _HEARTBEAT_TIMEOUT_S),
+            peer_table.name,
+            *list_live_peers(peer_table, now, _HEARTBEAT_TIMEOUT_S),
         ]
     else:
-        instance_names = book.peers
+        instance_names = peer_table.peers
     candidates = [
         name
         for name in instance_names
         if name not in avoided
         and data_centre
-        in {_get_instance_data_centre(book, name), _ALL_DATA_CENTRES}
+        in {_get_instance_data_centre(peer_table, name), _ALL_DATA_CENTRES}
     ]
     ranked = rank_by_rendezvous(group, candidates)
-    return sorted(ranked, key=lambda name: -_round_cores(book, name))
+    return sorted(ranked, key=lambda name: -_round_cores(peer_table, name))
 
 
-def _round_cores(book: PeerBook, name: str) -> float:
+def _round_cores(peer_table: PeerTable, name: str) -> float:
     """Return the processor capacity of an instance, rounded to whole cores."""
-    peer = book.peers.get(name)
-    return round(book.cores if peer is None else peer.cores)
+    peer = peer_table.peers.get(name)
+    return round(peer_table.cores if peer is None else peer.cores)
 
 
 def _get_group_data_centre(group: str) -> str:
@@ -127,10 +127,10 @@
     return group.rpartition('/')[0]
 
 
-def _get_instance_data_centre(book: PeerBook, name: str) -> str:
+def _get_instance_data_centre(peer_table: PeerTable, name: str) -> str:
     """Return the data centre of an instance."""
-    peer = book.peers.get(name)
-    return book.data_centre if peer is None else peer.data_centre
+    peer = peer_table.peers.get(name)
+    return peer_table.data_centre if peer is None else peer.data_centre
 
 
 def _name_groups(engines: Sequence[Entry]) -> dict[str, str]:
--- a/packages/verbenahall/src/verbenahall/throttling/_decisions.py
+++ b/packages/verbenahall/src/verbenahall/throttling/_decisions.py
@@ -6,7 +6,7 @@
 
 from returns.maybe import Maybe, Nothing, Some
 
-from verbenahall.peers import PeerBook, is_sampled, tell_whom
+from verbenahall.peers import PeerTable, is_local_only, list_recipients
 from verbenahall.routing import rank_by_rendezvous
 from verbenahall.throttling._messages import (
     Denial,
@@ -81,7 +81,7 @@
     return record_no_rate(table, notice.endpoint, now)
 
 
-def find_rate_share(book: PeerBook, now: float) -> float:
+def find_rate_share(peer_table: PeerTable, now: float) -> float:
     """Return the share of an advertised rate that this instance may permit.
 
     Each part of a partitioned fleet has a limiter of its own, and together
@@ -89,7 +89,10 @@
     number of live instances divided by that of recently live ones.
     """
     live, recently_live = (
-        sum(now - peer.heard_at < within_s for peer in tell_whom(book))
+        sum(
+            now - peer.last_heartbeat_at < within_s
+            for peer in list_recipients(peer_table)
+        )
         for within_s in (_LIVE_S, _RECENTLY_LIVE_S)
     )
     return (live + 1) / (recently_live + 1)
@@ -121,7 +124,7 @@
 
 def choose_limiter(
     table: RateTable,
-    book: PeerBook,
+    peer_table: PeerTable,
     incarnation: str,
     data_centre: str,
     now: float,
@@ -134,24 +137,24 @@
     """
     names = [
         name
-        for name, peer in book.peers.items()
-        if _is_eligible(book, peer.data_centre, data_centre)
-        and _is_live(table, book, name, now)
+        for name, peer in peer_table.peers.items()
+        if _is_eligible(peer_table, peer.data_centre, data_centre)
+        and _is_live(table, peer_table, name, now)
     ]
-    if _is_eligible(book, book.data_centre, data_centre):
-        names.append(book.name)
+    if _is_eligible(peer_table, peer_table.data_centre, data_centre):
+        names.append(peer_table.name)
     return Some(rank_by_rendezvous(incarnation, names)[0]) if names else Nothing
 
 
 def _is_eligible(
-    book: PeerBook, limiter_data_centre: str, data_centre: str
+    peer_table: PeerTable, limiter_data_centre: str, data_centre: str
 ) -> bool:
-    return not is_sampled(book) or limiter_data_centre == data_centre
+    return not is_local_only(peer_table) or limiter_data_centre == data_centre
 
 
 def _is_live(
     table: RateTable,
-    book: PeerBook,
+    peer_table: PeerTable,
     name: str,
     now: float,
 ) -> bool:
@@ -160,12 +163,12 @@
     A peer with heartbeats stays the limiter after a lost response: otherwise a
     second limiter would give permits at the same time.
     """
-    peer = book.peers[name]
-    if is_sampled(book) and peer.data_centre != book.data_centre:
+    peer = peer_table.peers[name]
+    if is_local_only(peer_table) and peer.data_centre != peer_table.data_centre:
         return (
             now - table.timed_out_at.get(name, -math.inf) > _TIMEOUT_PENALTY_S
         )
-    return now - peer.heard_at < _LIVE_S
+    return now - peer.last_heartbeat_at < _LIVE_S
 
 
 def _read_number(text: str) -> float:
--- a/packages/verbenahall/src/verbenahall/usage/_exchange.py
+++ b/packages/verbenahall/src/verbenahall/usage/_exchange.py
@@ -8,7 +8,7 @@
 from returns.result import Success
 
 from verbenahall import clock, journal
-from verbenahall.peers import PeerBook, PeerExchange, list_first
+from verbenahall.peers import PeerTable, PeerExchange, list_top_ranked
 from verbenahall.platform import (
     USAGE_TOPIC,
     Appended,
@@ -49,7 +49,7 @@
         'polled_at',
         'gathered',
         'meter',
-        '_book',
+        '_peer_table',
         '_clock',
         '_exchange',
         '_next_handler',
@@ -62,7 +62,7 @@
     def __init__(
         self,
         exchange: PeerExchange,
-        book: PeerBook,
+        peer_table: PeerTable,
         store: StoreClient,
         meter: UsageMeter,
         clock: TrueClock,
@@ -71,15 +71,15 @@
         self.polled_at: float = 0
         self.gathered = GatheredCounts()
         self.meter = meter
-        self._book = book
+        self._peer_table = peer_table
         self._clock = clock
         self._exchange = exchange
-        self._next_handler = exchange.hear_other
+        self._next_handler = exchange.fallback_handler
         self._numbers = itertools.count(1)
         self._poller = ''
         self._run = uuid.uuid4().hex[:_RUN_DIGITS]
         self._store = store
-        exchange.hear_other = self.handle_datagram
+        exchange.fallback_handler = self.handle_datagram
 
     def handle_datagram(self, datagram: bytes, sender: str) -> bool:
         """Handle a usage message; pass other datagrams to the next handler."""
@@ -99,7 +99,7 @@
         if at is not None:
             self._clock.record_time(at)
         datagram = encode_poll(UsagePoll(next(self._numbers), at or 0))
-        for peer in self._book.peers.values():
+        for peer in self._peer_table.peers.values():
             self._exchange.send(datagram, peer.address)
         self.gathered.merge(self._run, self.meter.counts)
         self._send_to_successors()
@@ -111,7 +111,9 @@
 
     def list_unanswered(self, since: float) -> list[str]:
         """Return the instances that have not answered since a time."""
-        return list(self.gathered.list_unanswered(self._book.peers, since))
+        return list(
+            self.gathered.list_unanswered(self._peer_table.peers, since)
+        )
 
     def discard_before(self, window: int) -> None:
         """Discard the windows before ``window``."""
@@ -121,7 +123,7 @@
     async def write_counts(self) -> bool:
         """Write the local counts to the store; return whether they are in."""
         content = encode_written(self._run, self.meter.counts)
-        record = encode_keyed(KeyedRecord(self._book.name, content))
+        record = encode_keyed(KeyedRecord(self._peer_table.name, content))
         outcome = await self._store.append(USAGE_TOPIC, [record])
         journal.write_decision('usage_written', outcome=repr(outcome))
         return isinstance(outcome, Appended)
@@ -150,8 +152,8 @@
         They need them if this instance is killed.
         """
         now = clock.monotonic()
-        for name in list_first(self._book, DUTY, now, _SUCCESSORS):
-            self._send_counts(0, self._book.peers[name].address)
+        for name in list_top_ranked(self._peer_table, DUTY, now, _SUCCESSORS):
+            self._send_counts(0, self._peer_table.peers[name].address)
 
     def _answer_poll(self, poll: UsagePoll, sender: str) -> None:
         if poll.at:
@@ -165,7 +167,7 @@
         at = self._clock.read_local()
         for part, counts in enumerate(parts):
             answer = UsageAnswer(
-                self._book.name,
+                self._peer_table.name,
                 self._run,
                 number,
                 part,
--- a/packages/verbenahall/tests/drains/fleet.py
+++ b/packages/verbenahall/tests/drains/fleet.py
@@ -22,7 +22,7 @@
 from verbenahall.gateway._plain import PlainFlow
 from verbenahall.gateway._refresh import Refresher
 from verbenahall.gateway._sender import Sender
-from verbenahall.peers import PeerExchange, greet
+from verbenahall.peers import PeerExchange, add_peer
 from verbenahall.placement import Work
 from verbenahall.platform import (
     ENDPOINTS_TOPIC,
@@ -59,7 +59,9 @@
         self.core.session = session
         self.core.random = random.Random(f'{fleet.seed} {name}')
         self.core.store._session = session
-        self.exchange = PeerExchange(self.core.book, self.core.placement, bool)
+        self.exchange = PeerExchange(
+            self.core.peer_table, self.core.placement, bool
+        )
         self.exchange.connection_made(SimulatedSocket(fleet, name))
         self.followers = follow_store(self.core, self.exchange)
         self._sender = Sender(self.core)
@@ -178,7 +180,7 @@
         for instance in self.instances.values():
             for name, host in self.hosts.items():
                 address = f'{host}:{PEER_PORT}'
-                greet(instance.core.book, name, address, 'lampeter')
+                add_peer(instance.core.peer_table, name, address, 'lampeter')
             instance.start()
 
     async def close(self):
@@ -230,7 +232,7 @@
         return [
             name
             for name, instance in self.instances.items()
-            if ENDPOINTS_TOPIC in instance.exchange.followed()
+            if ENDPOINTS_TOPIC in instance.exchange.followed_offsets()
         ]
 
     def deliver(self, target, datagram, sender):
--- a/packages/verbenahall/tests/drains/usage_fleet.py
+++ b/packages/verbenahall/tests/drains/usage_fleet.py
@@ -9,7 +9,7 @@
     make_usage_exchange,
     make_usage_reporter,
 )
-from verbenahall.peers import greet
+from verbenahall.peers import add_peer
 
 from .fleet import Fleet, Instance
 from .simulated_clock import START
@@ -101,7 +101,7 @@
         core = instance.core
         skew_clock(core, wall_skew_s)
         for peer, host in self.hosts.items():
-            greet(core.book, peer, f'{host}:{PEER_PORT}', 'lampeter')
+            add_peer(core.peer_table, peer, f'{host}:{PEER_PORT}', 'lampeter')
         self.instances[name] = instance
         instance.start()
         usage = make_usage_exchange(core, instance.exchange)
--- a/packages/verbenahall/tests/gateway/test_news.py
+++ b/packages/verbenahall/tests/gateway/test_news.py
@@ -33,7 +33,7 @@
     return [
         desk
         for desk in desks
-        if 'keyed.op' in desk.gateway.finder.exchange.followed()
+        if 'keyed.op' in desk.gateway.finder.exchange.followed_offsets()
     ]
 
 
--- a/packages/verbenahall/tests/gateway/test_repeated_crashes.py
+++ b/packages/verbenahall/tests/gateway/test_repeated_crashes.py
@@ -6,7 +6,7 @@
 
 import aiohttp
 
-from verbenahall.peers import find_heard
+from verbenahall.peers import list_live_peers
 
 from .conftest import make_engines, open_desk, run
 
@@ -45,7 +45,7 @@
 def has_live_peers(desk):
     """Whether an instance receives heartbeats of its two peers."""
     core = desk.gateway.core
-    return len(find_heard(core.book, core.now(), 1)) == 2
+    return len(list_live_peers(core.peer_table, core.now(), 1)) == 2
 
 
 def make_crashing(generators=4):
--- a/packages/verbenahall/tests/gateway/test_scheduling.py
+++ b/packages/verbenahall/tests/gateway/test_scheduling.py
@@ -8,7 +8,7 @@
 import pytest
 
 from verbenahall.gateway import _assignments as assignments
-from verbenahall.peers import find_heard
+from verbenahall.peers import list_live_peers
 from verbenahall.scheduling import _groups as groups
 
 from .conftest import make_engines, open_desk, run
@@ -49,7 +49,7 @@
 def has_both_peers(desk):
     """Whether an instance receives heartbeats of its two peers."""
     core = desk.gateway.core
-    return len(find_heard(core.book, core.now(), 1)) == 2
+    return len(list_live_peers(core.peer_table, core.now(), 1)) == 2
 
 
 def find_state(desk):
@@ -107,7 +107,7 @@
 def kill_scheduling(desk):
     """Drop all datagrams of an instance, as if it were dead or frozen."""
     exchange = desk.gateway.finder.exchange
-    exchange.hear_other = lambda datagram, address: True
+    exchange.fallback_handler = lambda datagram, address: True
     exchange.send = lambda datagram, address: None
 
 
@@ -165,7 +165,7 @@
             first, *others = desks
             for desk in others:
                 kill_scheduling(desk)
-            first.gateway.core.book.data_centre = 'elsewhere'
+            first.gateway.core.peer_table.data_centre = 'elsewhere'
             monkeypatch.setattr(assignments, 'rank_schedulers', rank_others)
             status, _, _ = await first.ask(PATH, 'r-1')
             assert status == 200
@@ -179,9 +179,9 @@
     run(check())
 
 
-def rank_others(group, book, now, avoided):
+def rank_others(group, peer_table, now, avoided):
     """Rank all known peers, as for a data centre without heartbeats."""
-    return sorted(book.peers)
+    return sorted(peer_table.peers)
 
 
 def test_unreachable_group_is_not_tried_for_each_request(tmp_path):
--- a/packages/verbenahall/tests/gateway/test_store.py
+++ b/packages/verbenahall/tests/gateway/test_store.py
@@ -8,7 +8,7 @@
 from verbenahall_standins.platform import EngineStandIn
 
 from verbenahall.gateway import _followers as followers
-from verbenahall.peers import greet, hear
+from verbenahall.peers import add_peer, record_heartbeat
 
 from .conftest import (
     HOST,
@@ -212,7 +212,9 @@
             gateway = desk.gateway
             now = gateway.core.now
             for number in range(3):
-                greet(gateway.core.book, f'front-{number + 2}', '10.0.0.9:9')
+                add_peer(
+                    gateway.core.peer_table, f'front-{number + 2}', '10.0.0.9:9'
+                )
             await asyncio.sleep(0.2)
             assert await desk.is_ready()
             gateway.core.endpoint_health.record_unreachable(
@@ -233,17 +235,21 @@
     async def check():
         async with open_desk(tmp_path, make_engines()) as desk:
             gateway = desk.gateway
-            book = gateway.core.book
-            greet(book, 'front-2', '10.0.0.9:9')
-            greet(book, 'front-3', '10.0.0.8:9')
+            peer_table = gateway.core.peer_table
+            add_peer(peer_table, 'front-2', '10.0.0.9:9')
+            add_peer(peer_table, 'front-3', '10.0.0.8:9')
             gateway.core.endpoint_health.record_unreachable(
                 'generator-0',
                 gateway.core.now(),
             )
             await desk.site.engines[2].stop()
             for number in range(8):
-                hear(book, 'front-2', number, gateway.core.now())
-                hear(book, 'front-3', number, gateway.core.now())
+                record_heartbeat(
+                    peer_table, 'front-2', number, gateway.core.now()
+                )
+                record_heartbeat(
+                    peer_table, 'front-3', number, gateway.core.now()
+                )
                 await asyncio.sleep(0.1)
             assert await desk.is_ready()
 
--- a/packages/verbenahall/tests/peers/test_arrivals.py
+++ b/packages/verbenahall/tests/peers/test_arrivals.py
@@ -5,13 +5,13 @@
 from verbenahall import journal
 from verbenahall.peers import (
     ConfirmedOffset,
-    PeerBook,
+    PeerTable,
     Heartbeat,
     decode_message,
     encode_heartbeat,
     find_confirmed_at,
-    greet,
-    hear,
+    add_peer,
+    record_heartbeat,
 )
 from verbenahall.peers._arrivals import ArrivalClock
 
@@ -20,15 +20,19 @@
 
 def make_heartbeat(age_s=0.5):
     """Return a heartbeat of an instance that follows the topic."""
-    return Heartbeat('front-2', 1, {}, followed={TOPIC: 7}, ages={TOPIC: age_s})
+    return Heartbeat(
+        'front-2', 1, {}, followed_offsets={TOPIC: 7}, ages={TOPIC: age_s}
+    )
 
 
-def make_book(confirmed):
+def make_peer_table(confirmed):
     """Return a peer table with one peer that has reported this."""
-    book = PeerBook('front-1')
-    greet(book, 'front-2', '10.0.0.2:7380')
-    hear(book, 'front-2', 1, 10, {TOPIC: 7}, {TOPIC: confirmed})
-    return book
+    peer_table = PeerTable('front-1')
+    add_peer(peer_table, 'front-2', '10.0.0.2:7380')
+    record_heartbeat(
+        peer_table, 'front-2', 1, 10, {TOPIC: 7}, {TOPIC: confirmed}
+    )
+    return peer_table
 
 
 def test_ages_are_encoded_and_decoded():
@@ -46,7 +50,7 @@
 
 def test_heartbeat_of_an_earlier_version_confirms_nothing():
     """A release replaces instances one by one; the old ones send no ages."""
-    heartbeat = Heartbeat('front-2', 1, {}, followed={TOPIC: 7})
+    heartbeat = Heartbeat('front-2', 1, {}, followed_offsets={TOPIC: 7})
     assert not ArrivalClock(0.1).find_confirmations(heartbeat)
 
 
@@ -73,7 +77,7 @@
 
 def test_offset_before_the_confirmed_one_is_not_confirmed():
     """An update got lost: the peer has read records that are missing here."""
-    book = make_book(ConfirmedOffset(7, 9))
-    assert find_confirmed_at(book, TOPIC, 6) == -float('inf')
-    assert find_confirmed_at(book, TOPIC, 7) == 9
-    assert find_confirmed_at(book, TOPIC, 8) == 9
+    peer_table = make_peer_table(ConfirmedOffset(7, 9))
+    assert find_confirmed_at(peer_table, TOPIC, 6) == -float('inf')
+    assert find_confirmed_at(peer_table, TOPIC, 7) == 9
+    assert find_confirmed_at(peer_table, TOPIC, 8) == 9
--- a/packages/verbenahall/tests/peers/test_peers.py
+++ b/packages/verbenahall/tests/peers/test_peers.py
@@ -4,13 +4,13 @@
 from returns.maybe import Nothing, Some
 
 from verbenahall.peers import (
-    PeerBook,
+    PeerTable,
     Heartbeat,
     choose_due,
     decode_message,
     encode_heartbeat,
-    greet,
-    hear,
+    add_peer,
+    record_heartbeat,
 )
 from verbenahall.peers import _state as state
 from verbenahall.placement import Ledger, Totals
@@ -21,7 +21,7 @@
         'front-1',
         7,
         {'engine-1': Totals(5, 600, 2)},
-        followed={'keyed.op': 4},
+        followed_offsets={'keyed.op': 4},
     )
     assert decode_message(encode_heartbeat(heartbeat)) == Some(heartbeat)
 
@@ -69,70 +69,70 @@
     # If its address were not updated, it would never get a heartbeat of this
     # instance again.
     monkeypatch.setattr(state, '_MAX_PEERS', 1)
-    book = PeerBook('front-1')
-    greet(book, 'front-2', '10.0.0.2:7380')
-    greet(book, 'front-3', '10.0.0.3:7380')
-    greet(book, 'front-2', '10.0.0.9:7380')
-    assert list(choose_due(book, 0)) == ['10.0.0.9:7380']
+    peer_table = PeerTable('front-1')
+    add_peer(peer_table, 'front-2', '10.0.0.2:7380')
+    add_peer(peer_table, 'front-3', '10.0.0.3:7380')
+    add_peer(peer_table, 'front-2', '10.0.0.9:7380')
+    assert list(choose_due(peer_table, 0)) == ['10.0.0.9:7380']
 
 
 def test_reordered_heartbeat_is_dropped():
     # Two datagrams arrive in the wrong order. By the older one an engine that
     # has just been given a long prompt would count as idle.
-    book = PeerBook('front-1')
-    greet(book, 'front-2', '10.0.0.2:7380')
-    assert hear(book, 'front-2', 5, 1)
-    assert not hear(book, 'front-2', 4, 1.1)
+    peer_table = PeerTable('front-1')
+    add_peer(peer_table, 'front-2', '10.0.0.2:7380')
+    assert record_heartbeat(peer_table, 'front-2', 5, 1)
+    assert not record_heartbeat(peer_table, 'front-2', 4, 1.1)
 
 
 def test_heartbeats_of_a_restarted_peer_are_accepted():
     # A peer is restarted and numbers its heartbeats from zero. Compared with
     # the old numbers, they would be dropped for as long as it had run before.
-    book = PeerBook('front-1')
-    greet(book, 'front-2', '10.0.0.2:7380')
-    hear(book, 'front-2', 500, 1)
-    assert hear(book, 'front-2', 0, 1.5)
-    assert hear(book, 'front-2', 1, 1.6)
+    peer_table = PeerTable('front-1')
+    add_peer(peer_table, 'front-2', '10.0.0.2:7380')
+    record_heartbeat(peer_table, 'front-2', 500, 1)
+    assert record_heartbeat(peer_table, 'front-2', 0, 1.5)
+    assert record_heartbeat(peer_table, 'front-2', 1, 1.6)
 
 
 def test_own_name_is_no_peer():
-    book = PeerBook('front-1')
-    greet(book, 'front-1', '10.0.0.1:7380')
-    assert not book.peers
+    peer_table = PeerTable('front-1')
+    add_peer(peer_table, 'front-1', '10.0.0.1:7380')
+    assert not peer_table.peers
 
 
 def test_replaced_machine_gets_heartbeats_at_its_new_address():
-    book = PeerBook('front-1')
-    greet(book, 'front-2', '10.0.0.2:7380')
-    greet(book, 'front-2', '10.0.0.9:7380')
-    assert list(choose_due(book, 0)) == ['10.0.0.9:7380']
+    peer_table = PeerTable('front-1')
+    add_peer(peer_table, 'front-2', '10.0.0.2:7380')
+    add_peer(peer_table, 'front-2', '10.0.0.9:7380')
+    assert list(choose_due(peer_table, 0)) == ['10.0.0.9:7380']
 
 
 def test_silent_peer_gets_few_heartbeats():
     # A machine is gone for good. At the full rate its heartbeats would be
     # wasted for ever; without any, a peer could not be rediscovered after a
     # network partition.
-    book = PeerBook('front-1')
-    greet(book, 'gone', '10.0.0.2:7380')
-    greet(book, 'there', '10.0.0.3:7380')
+    peer_table = PeerTable('front-1')
+    add_peer(peer_table, 'gone', '10.0.0.2:7380')
+    add_peer(peer_table, 'there', '10.0.0.3:7380')
     sent = []
     for tick in range(100):
-        hear(book, 'there', tick + 1, tick / 10)
-        sent.extend(choose_due(book, tick / 10))
+        record_heartbeat(peer_table, 'there', tick + 1, tick / 10)
+        sent.extend(choose_due(peer_table, tick / 10))
     assert sent.count('10.0.0.2:7380') <= 6
     assert sent.count('10.0.0.3:7380') >= 80
 
 
 def test_rate_is_bounded_with_many_peers():
-    book = PeerBook('front-1')
+    peer_table = PeerTable('front-1')
     for number in range(90):
-        greet(book, f'p{number}', f'10.0.0.{number}:7380')
-        hear(book, f'p{number}', 0, 0)
+        add_peer(peer_table, f'p{number}', f'10.0.0.{number}:7380')
+        record_heartbeat(peer_table, f'p{number}', 0, 0)
     sent = 0
     for tick in range(1, 21):
         for number in range(90):
-            hear(book, f'p{number}', tick, tick / 10)
-        sent += len(list(choose_due(book, tick / 10)))
+            record_heartbeat(peer_table, f'p{number}', tick, tick / 10)
+        sent += len(list(choose_due(peer_table, tick / 10)))
     assert sent <= 90 * 5
 
 
--- a/packages/verbenahall/tests/peers/test_ranks.py
+++ b/packages/verbenahall/tests/peers/test_ranks.py
@@ -2,21 +2,21 @@
 
 import pytest
 
-from verbenahall.peers import PeerBook, find_rank, greet, hear
+from verbenahall.peers import PeerTable, find_rank, add_peer, record_heartbeat
 
 CENTRES = ('ain', 'fes', 'sidi')
 
 
-def make_book(own, names, live, now=10):
+def make_peer_table(own, names, live, now=10):
     """Return an instance's peer table with heartbeats of the live peers."""
     centre, _, _ = own.partition('-')
-    book = PeerBook(own, centre)
+    peer_table = PeerTable(own, centre)
     for number, name in enumerate(names):
         peer_centre, _, _ = name.partition('-')
-        greet(book, name, f'10.0.0.{number}:7380', peer_centre)
+        add_peer(peer_table, name, f'10.0.0.{number}:7380', peer_centre)
         if name in live:
-            hear(book, name, 1, now)
-    return book
+            record_heartbeat(peer_table, name, 1, now)
+    return peer_table
 
 
 def rank_all(per_centre):
@@ -29,7 +29,7 @@
     sampled = len(names) > 21
     return [
         find_rank(
-            make_book(
+            make_peer_table(
                 own,
                 names,
                 [name for name in names if not sampled or name[:3] == own[:3]],
@@ -56,11 +56,11 @@
     """The first-ranked instance of the local data centre dies."""
     names = [f'ain-{number}' for number in range(4)]
     ranks = {
-        own: find_rank(make_book(own, names, names), 'roles', 10)
+        own: find_rank(make_peer_table(own, names, names), 'roles', 10)
         for own in names
     }
     first = min(names, key=ranks.get)
     second = min(set(names) - {first}, key=ranks.get)
     live = set(names) - {first}
 
-    assert find_rank(make_book(second, names, live), 'roles', 10) == 0
+    assert find_rank(make_peer_table(second, names, live), 'roles', 10) == 0
--- a/packages/verbenahall/tests/peers/test_watchers.py
+++ b/packages/verbenahall/tests/peers/test_watchers.py
@@ -10,12 +10,12 @@
 
 from verbenahall.peers import (
     TopicUpdate,
-    PeerBook,
+    PeerTable,
     decode_message,
     encode_update,
     find_latest_offset,
-    greet,
-    hear,
+    add_peer,
+    record_heartbeat,
     is_covered_by_peers,
     split_update,
 )
@@ -27,13 +27,13 @@
 NAMES = rank_by_rendezvous(TOPIC, [f'front-{n}' for n in range(5)])
 
 
-def make_book(name, heartbeats, now=10):
+def make_peer_table(name, heartbeats, now=10):
     """Return a peer table with heartbeats: name -> followed topics."""
-    book = PeerBook(name)
-    for number, (peer, followed) in enumerate(heartbeats.items()):
-        greet(book, peer, f'10.0.0.{number}:7380')
-        hear(book, peer, 1, now, followed)
-    return book
+    peer_table = PeerTable(name)
+    for number, (peer, followed_offsets) in enumerate(heartbeats.items()):
+        add_peer(peer_table, peer, f'10.0.0.{number}:7380')
+        record_heartbeat(peer_table, peer, 1, now, followed_offsets)
+    return peer_table
 
 
 def follow(*names):
@@ -42,8 +42,8 @@
 
 
 def test_third_instance_is_covered_by_the_two_before_it():
-    book = make_book(NAMES[2], follow(*NAMES[:2]))
-    assert is_covered_by_peers(book, TOPIC, 10)
+    peer_table = make_peer_table(NAMES[2], follow(*NAMES[:2]))
+    assert is_covered_by_peers(peer_table, TOPIC, 10)
 
 
 def test_first_two_instances_always_follow():
@@ -52,35 +52,39 @@
     for place in (0, 1):
         others = [name for name in NAMES if name != NAMES[place]]
         assert not is_covered_by_peers(
-            make_book(NAMES[place], follow(*others)), TOPIC, 10
+            make_peer_table(NAMES[place], follow(*others)), TOPIC, 10
         )
 
 
 def test_follower_that_falls_silent_is_replaced():
     # A follower is killed, frozen or cut off. An instance that still relied on
     # it would serve by an old manifest until the follower is back.
-    book = make_book(NAMES[2], follow(*NAMES[:2]))
-    hear(book, NAMES[0], 2, 11, {TOPIC: 7})
-    assert not is_covered_by_peers(book, TOPIC, 11.5)
+    peer_table = make_peer_table(NAMES[2], follow(*NAMES[:2]))
+    record_heartbeat(peer_table, NAMES[0], 2, 11, {TOPIC: 7})
+    assert not is_covered_by_peers(peer_table, TOPIC, 11.5)
 
 
 def test_follower_that_the_store_refuses_is_replaced():
     # The store answers some machines and not others. A follower that gets no
     # answers still sends heartbeats, but receives no changes.
     heartbeats = {**follow(NAMES[0]), NAMES[1]: {}}
-    assert not is_covered_by_peers(make_book(NAMES[2], heartbeats), TOPIC, 10)
+    assert not is_covered_by_peers(
+        make_peer_table(NAMES[2], heartbeats), TOPIC, 10
+    )
 
 
 def test_each_topic_has_its_own_followers():
     heartbeats = {name: {'keyed.op': 3} for name in NAMES[:2]}
-    assert not is_covered_by_peers(make_book(NAMES[2], heartbeats), TOPIC, 10)
+    assert not is_covered_by_peers(
+        make_peer_table(NAMES[2], heartbeats), TOPIC, 10
+    )
 
 
 def test_latest_offset_is_that_of_live_followers():
     heartbeats = {NAMES[0]: {TOPIC: 7}, NAMES[1]: {TOPIC: 9}, NAMES[3]: {}}
-    book = make_book(NAMES[2], heartbeats)
-    assert find_latest_offset(book, TOPIC, 10) == 9
-    assert find_latest_offset(book, TOPIC, 12) == 0
+    peer_table = make_peer_table(NAMES[2], heartbeats)
+    assert find_latest_offset(peer_table, TOPIC, 10) == 9
+    assert find_latest_offset(peer_table, TOPIC, 12) == 0
 
 
 def test_update_is_encoded_and_decoded():
--- a/packages/verbenahall/tests/scheduling/test_groups.py
+++ b/packages/verbenahall/tests/scheduling/test_groups.py
@@ -4,7 +4,7 @@
 
 import pytest
 from verbenahall.fleet import Role
-from verbenahall.peers import PeerBook, greet, hear
+from verbenahall.peers import PeerTable, add_peer, record_heartbeat
 from verbenahall.placement import Part, Work
 from verbenahall.roster import Entry
 from verbenahall.scheduling import (
@@ -47,7 +47,7 @@
     assert sizes == {9}
 
 
-def test_few_engines_are_one_group(book):
+def test_few_engines_are_one_group(peer_table):
     """Two engines in each data centre are needed by the callers of all.
 
     Any instance may schedule them.
@@ -56,7 +56,7 @@
 
     assert rank_groups(make_work(), engines) == ['/0']
     assert len(list_group('/0', engines)) == 6
-    assert len(rank_schedulers('/0', book, 0)) == 8
+    assert len(rank_schedulers('/0', peer_table, 0)) == 8
 
 
 def test_large_data_centre_is_split():
@@ -119,62 +119,66 @@
 
 
 @pytest.fixture
-def book():
+def peer_table():
     """The peers as known to an instance of one data centre."""
-    book = PeerBook('ain-0', 'ain')
+    peer_table = PeerTable('ain-0', 'ain')
     for data_centre in DATA_CENTRES:
         for number in range(8):
             name = f'{data_centre}-{number}'
-            greet(book, name, f'10.0.0.{number}:7380', data_centre)
+            add_peer(peer_table, name, f'10.0.0.{number}:7380', data_centre)
             if data_centre == 'ain':
-                hear(book, name, 1, 0)
-    return book
+                record_heartbeat(peer_table, name, 1, 0)
+    return peer_table
 
 
-def test_scheduler_is_of_the_group_s_data_centre(book):
+def test_scheduler_is_of_the_group_s_data_centre(peer_table):
     for data_centre in DATA_CENTRES:
-        ranked = rank_schedulers(f'{data_centre}/0', book, 0)
+        ranked = rank_schedulers(f'{data_centre}/0', peer_table, 0)
         assert len(ranked) == 8
         assert {name.partition('-')[0] for name in ranked} == {data_centre}
 
 
-def test_faster_instances_schedule_first(book):
+def test_faster_instances_schedule_first(peer_table):
     """Two of eight machines have four times the processor of the others.
 
     On a slow one, scheduling a burst takes all processor time; its answers
     come late, and its own callers wait.
     """
     for name in ('ain-3', 'fes-5'):
-        greet(book, name, book.peers[name].address, name[:3], 2.15)
+        add_peer(
+            peer_table, name, peer_table.peers[name].address, name[:3], 2.15
+        )
     for name in ('ain-4', 'fes-4'):
-        greet(book, name, book.peers[name].address, name[:3], 0.52)
+        add_peer(
+            peer_table, name, peer_table.peers[name].address, name[:3], 0.52
+        )
 
-    assert rank_schedulers('ain/0', book, 0)[0] == 'ain-3'
-    assert rank_schedulers('fes/0', book, 0)[0] == 'fes-5'
+    assert rank_schedulers('ain/0', peer_table, 0)[0] == 'ain-3'
+    assert rank_schedulers('fes/0', peer_table, 0)[0] == 'fes-5'
 
 
-def test_peer_without_heartbeats_schedules_nothing(book):
+def test_peer_without_heartbeats_schedules_nothing(peer_table):
     """A peer of the local data centre died; the next one replaces it."""
-    first, second, *_ = rank_schedulers('ain/0', book, 0)
-    for name in set(book.peers) - {first}:
-        hear(book, name, 2, 2)
-    if first == book.name:
+    first, second, *_ = rank_schedulers('ain/0', peer_table, 0)
+    for name in set(peer_table.peers) - {first}:
+        record_heartbeat(peer_table, name, 2, 2)
+    if first == peer_table.name:
         return
 
-    assert rank_schedulers('ain/0', book, 2)[0] == second
+    assert rank_schedulers('ain/0', peer_table, 2)[0] == second
 
 
-def test_unresponsive_scheduler_is_skipped_with_growing_backoff(book):
+def test_unresponsive_scheduler_is_skipped_with_growing_backoff(peer_table):
     """An instance of another data centre is gone for good.
 
     If it were asked for each request, each of them would wait for a timeout.
     """
     health = SchedulerHealth()
-    first, second, *_ = rank_schedulers('fes/0', book, 0)
+    first, second, *_ = rank_schedulers('fes/0', peer_table, 0)
     health.note_silence(first, 0)
 
     unresponsive = health.list_silent(1)
-    assert rank_schedulers('fes/0', book, 1, unresponsive)[0] == second
+    assert rank_schedulers('fes/0', peer_table, 1, unresponsive)[0] == second
     assert not health.list_silent(2)
 
     health.note_silence(first, 2)
--- a/packages/verbenahall/tests/throttling/test_rates.py
+++ b/packages/verbenahall/tests/throttling/test_rates.py
@@ -3,7 +3,7 @@
 import pytest
 from returns.maybe import Nothing, Some
 
-from verbenahall.peers import PeerBook, greet, hear
+from verbenahall.peers import PeerTable, add_peer, record_heartbeat
 from verbenahall.throttling import (
     Denial,
     Permit,
@@ -91,25 +91,25 @@
     assert waits == [0.5, 1, 1.5, 2, 2.5, 2.5]
 
 
-def make_book(name, live, now, count=4):
+def make_peer_table(name, live, now, count=4):
     """Return a peer table of ``count`` instances.
 
     Those in ``live`` sent a heartbeat at ``now``.
     """
     names = [f'front-{number}' for number in range(count)]
-    book = PeerBook(name, 'here')
+    peer_table = PeerTable(name, 'here')
     for number, other in enumerate(names):
-        greet(book, other, f'10.0.0.{number}:1', 'here')
+        add_peer(peer_table, other, f'10.0.0.{number}:1', 'here')
         if other in live and other != name:
-            hear(book, other, 1, now)
-    return book
+            record_heartbeat(peer_table, other, 1, now)
+    return peer_table
 
 
 def test_connected_instances_choose_the_same_limiter():
     names = [f'front-{number}' for number in range(4)]
     chosen = {
         choose_limiter(
-            RateTable(), make_book(name, names, 9), INCARNATION, '', 10
+            RateTable(), make_peer_table(name, names, 9), INCARNATION, '', 10
         )
         for name in names
     }
@@ -119,49 +119,60 @@
 def test_live_limiter_is_kept_after_a_timeout():
     """Otherwise two instances would give permits at the same time."""
     names = [f'front-{number}' for number in range(4)]
-    book = make_book('front-0', names, 9.5)
-    first = choose_limiter(RateTable(), book, INCARNATION, '', 10).unwrap()
+    peer_table = make_peer_table('front-0', names, 9.5)
+    first = choose_limiter(
+        RateTable(), peer_table, INCARNATION, '', 10
+    ).unwrap()
     table = RateTable()
     table.timed_out_at[first] = 9.9
-    assert choose_limiter(table, book, INCARNATION, '', 10) == Some(first)
+    assert choose_limiter(table, peer_table, INCARNATION, '', 10) == Some(first)
 
 
 def test_limiter_without_heartbeats_is_replaced():
     names = [f'front-{number}' for number in range(4)]
-    book = make_book('front-0', names, 9.5)
-    first = choose_limiter(RateTable(), book, INCARNATION, '', 10).unwrap()
+    peer_table = make_peer_table('front-0', names, 9.5)
+    first = choose_limiter(
+        RateTable(), peer_table, INCARNATION, '', 10
+    ).unwrap()
     for number, name in enumerate(names):
         if name not in {first, 'front-0'}:
-            hear(book, name, 10 + number, 11)
-    assert choose_limiter(RateTable(), book, INCARNATION, '', 11) != Some(first)
+            record_heartbeat(peer_table, name, 10 + number, 11)
+    assert choose_limiter(RateTable(), peer_table, INCARNATION, '', 11) != Some(
+        first
+    )
 
 
 def test_remote_limiter_is_replaced_after_a_timeout():
     """In a large fleet, heartbeats don't reach other data centres."""
-    book = make_book('front-0', (), 0, count=30)
+    peer_table = make_peer_table('front-0', (), 0, count=30)
     for name in ('far-1', 'far-2'):
-        greet(book, name, '10.9.0.1:1', 'there')
-    first = choose_limiter(RateTable(), book, INCARNATION, 'there', 10).unwrap()
+        add_peer(peer_table, name, '10.9.0.1:1', 'there')
+    first = choose_limiter(
+        RateTable(), peer_table, INCARNATION, 'there', 10
+    ).unwrap()
     table = RateTable()
     table.timed_out_at[first] = 9.9
-    second = choose_limiter(table, book, INCARNATION, 'there', 10).unwrap()
+    second = choose_limiter(
+        table, peer_table, INCARNATION, 'there', 10
+    ).unwrap()
     assert {first, second} == {'far-1', 'far-2'}
 
 
 def test_partition_permits_its_share_of_a_rate():
     """Two partitions that each permit the full rate would exceed it twofold."""
     names = [f'front-{number}' for number in range(4)]
-    whole = make_book('front-0', names, 9.5)
-    partition = make_book('front-0', names, 5)
-    hear(partition, 'front-1', 2, 9.5)
+    whole = make_peer_table('front-0', names, 9.5)
+    partition = make_peer_table('front-0', names, 5)
+    record_heartbeat(partition, 'front-1', 2, 9.5)
     assert find_rate_share(partition, 10) == find_rate_share(whole, 10) / 2
 
 
 def test_remote_data_centre_has_no_limiter():
     """No known instance is in the endpoint's data centre."""
-    book = make_book('front-0', (), 0, count=30)
+    peer_table = make_peer_table('front-0', (), 0, count=30)
     assert (
-        choose_limiter(RateTable(), book, INCARNATION, 'there', 10) is Nothing
+        choose_limiter(RateTable(), peer_table, INCARNATION, 'there', 10)
+        is Nothing
     )
 
 
