--- a/packages/verbenahall/src/verbenahall/gateway/_beliefs.py
+++ b/packages/verbenahall/src/verbenahall/gateway/_beliefs.py
@@ -37,7 +37,7 @@
             'beliefs',
             version=catalog.version if catalog else None,
             age_s=round(core.find_age(now), _DECIMALS),
-            endpoints=len(core.roster.seats),
+            endpoints=len(core.roster.listings),
             instances=core.instances,
             unreachable=core.endpoint_health.list_unreachable(now),
             peers=core.placement.ledger.speakers,
--- a/packages/verbenahall/src/verbenahall/gateway/_core.py
+++ b/packages/verbenahall/src/verbenahall/gateway/_core.py
@@ -31,7 +31,7 @@
 )
 from verbenahall.quarantine import CrashLog
 from verbenahall.requests import WindowBudget
-from verbenahall.roster import LAPSE_S, Entry, Roster, RosterRules
+from verbenahall.roster import LAPSE_GRACE_S, Entry, Roster, RosterRules
 from verbenahall.throttling import RateTable
 from verbenahall.usage import TrueClock, UsageMeter
 
@@ -66,7 +66,9 @@
         self.catalog = CatalogState()
         usable_s = _find_usable_age(settings.bounds.leaving_s)
         self.roster = Roster(
-            RosterRules(lapse_s=min(LAPSE_S, usable_s), usable_s=usable_s),
+            RosterRules(
+                lapse_grace_s=min(LAPSE_GRACE_S, usable_s), usable_s=usable_s
+            ),
         )
         #: Age of the local copy of each topic.
         self.freshness = {
@@ -103,7 +105,7 @@
     @property
     def ready(self) -> bool:
         """Whether requests can be routed."""
-        return self.catalog.catalog is not None and self.roster.known
+        return self.catalog.catalog is not None and self.roster.is_loaded
 
     @property
     def instances(self) -> int:
@@ -119,7 +121,7 @@
 
         If all are avoided, all are returned, as one may have recovered.
         """
-        live = list(self.roster.live(service, now))
+        live = list(self.roster.list_live(service, now))
         usable = [
             one
             for one in live
@@ -133,7 +135,7 @@
             one.name != endpoint.name
             and one.role is endpoint.role
             and not self.endpoint_health.is_avoided(one.name, now)
-            for one in self.roster.live(endpoint.service, now)
+            for one in self.roster.list_live(endpoint.service, now)
         )
 
     def remove_unlisted(self) -> None:
@@ -142,12 +144,14 @@
         Each start of an endpoint has a new name, so state that is kept by name
         would grow for as long as the instance runs.
         """
-        names = self.roster.seats.keys()
+        names = self.roster.listings.keys()
         self.endpoint_health.retain(names)
         self.placement.retain(names)
         if not self.rates.is_empty:
-            seats = self.roster.seats.values()
-            self.rates.retain({name_start(seat.entry) for seat in seats})
+            listings = self.roster.listings.values()
+            self.rates.retain(
+                {name_start(listing.entry) for listing in listings}
+            )
 
     def budget_of(self, service: str) -> WindowBudget:
         """Return the retry budget of a service.
--- a/packages/verbenahall/src/verbenahall/gateway/_crashes.py
+++ b/packages/verbenahall/src/verbenahall/gateway/_crashes.py
@@ -63,7 +63,7 @@
     def note_lost(self, fingerprint: str, endpoint: Entry) -> None:
         """Record a connection that was lost while a request was open."""
         core = self._core
-        if not core.roster.may_get_work(endpoint.name, core.now()):
+        if not core.roster.is_live(endpoint.name, core.now()):
             return
         incarnation = name_start(endpoint)
         losses = self._losses.get(incarnation)
--- a/packages/verbenahall/src/verbenahall/gateway/_followers.py
+++ b/packages/verbenahall/src/verbenahall/gateway/_followers.py
@@ -26,7 +26,7 @@
     KeyedRecord,
     decode_keyed,
 )
-from verbenahall.roster import note_cut_off
+from verbenahall.roster import record_store_outage
 
 #: How long one poll waits for a change at most, in seconds. A poll that arrives
 #: while the store is unresponsive is never answered, and blocks the follower
@@ -138,7 +138,7 @@
         """Apply a peer's update, and wake up if records are missing."""
         self._standby.record_end(update.end)
         if update.after_outage:
-            note_cut_off(self._core.roster, self._core.now())
+            record_store_outage(self._core.roster, self._core.now())
         if self.position is not None and update.start <= self.position:
             self._apply_records(update.records, update.start, 'peer')
         if self.position is not None and update.end > self.position:
--- a/packages/verbenahall/src/verbenahall/gateway/_following.py
+++ b/packages/verbenahall/src/verbenahall/gateway/_following.py
@@ -21,7 +21,7 @@
     decode_entry,
     decode_manifest,
 )
-from verbenahall.roster import drop, put, replace
+from verbenahall.roster import apply_removal, apply_entry, apply_list
 
 #: Pause between a manifest and the poll for the next one, in seconds. A
 #: manifest must be in force within two seconds.
@@ -101,7 +101,7 @@
             return
         match decode_entry(record.key, record.content):
             case Some(entry):
-                taken = put(self._core.roster, entry)
+                taken = apply_entry(self._core.roster, entry)
                 journal.write_decision(
                     'endpoint',
                     endpoint=entry.name,
@@ -121,15 +121,17 @@
     def _apply_removal(self, name: str, received: Received) -> None:
         roster = self._core.roster
         now = self._core.now()
-        gone = drop(roster, name, now, received.before)
-        seat = roster.seats.get(name)
+        gone = apply_removal(roster, name, now, received.before)
+        listing = roster.listings.get(name)
         self._core.remove_unlisted()
         journal.write_decision(
             'endpoint_gone' if gone else 'endpoint_lapsed',
             endpoint=name,
             source=received.source,
             age_s=journal.round_seconds(received.age_s),
-            used_for_s=journal.round_seconds(seat.until - now) if seat else 0,
+            used_for_s=journal.round_seconds(listing.usable_until - now)
+            if listing
+            else 0,
         )
 
     def _apply_entries(
@@ -146,7 +148,7 @@
                     unreadable.append(key)
                     _log_unreadable(key)
         now = self._core.now()
-        replace(
+        apply_list(
             self._core.roster,
             entries,
             unreadable,
--- a/packages/verbenahall/src/verbenahall/gateway/_orders.py
+++ b/packages/verbenahall/src/verbenahall/gateway/_orders.py
@@ -133,7 +133,7 @@
     def _plan(self, service: str) -> Sequence[RoleChange]:
         core = self._core
         now = core.now()
-        listed = list(core.roster.live(service, now))
+        listed = list(core.roster.list_live(service, now))
         if self._role_observer.update(service, listed):
             # Another instance is ordering changes. A large fleet needs several
             # rounds; unless the delay starts anew here, one instance after the
@@ -174,7 +174,7 @@
         for engine in engines:
             last_reachable[engine.name] = now
         for name, reachable_at in tuple(last_reachable.items()):
-            if now - reachable_at > _RETURN_S or self._core.roster.has_left(
+            if now - reachable_at > _RETURN_S or self._core.roster.is_leaving(
                 name
             ):
                 last_reachable.pop(name)
@@ -197,10 +197,10 @@
     def _is_pending(self, name: str, born: int, now: float) -> bool:
         """Whether an order to this incarnation of an engine is pending."""
         sent = self._pending.get((name, born))
-        seat = self._core.roster.seats.get(name)
-        if sent is None or seat is None or seat.entry.born != born:
+        listing = self._core.roster.listings.get(name)
+        if sent is None or listing is None or listing.entry.born != born:
             return False
-        return seat.entry.role is not sent.role and now < self._find_expiry(
+        return listing.entry.role is not sent.role and now < self._find_expiry(
             sent
         )
 
--- a/packages/verbenahall/src/verbenahall/gateway/_permits.py
+++ b/packages/verbenahall/src/verbenahall/gateway/_permits.py
@@ -229,7 +229,7 @@
     if not core.rates.rates:
         return []
     return [
-        seat.entry
-        for seat in core.roster.seats.values()
-        if core.rates.is_limited(name_start(seat.entry))
+        listing.entry
+        for listing in core.roster.listings.values()
+        if core.rates.is_limited(name_start(listing.entry))
     ]
--- a/packages/verbenahall/src/verbenahall/gateway/_plain.py
+++ b/packages/verbenahall/src/verbenahall/gateway/_plain.py
@@ -76,7 +76,7 @@
 
     def _list_untried(self, now: float) -> Sequence[Entry]:
         """Return the live endpoints that have not failed this call."""
-        live = self._core.roster.live(self._call.service.name, now)
+        live = self._core.roster.list_live(self._call.service.name, now)
         tried = self._attempts.tried
         return [one for one in live if one.name not in tried]
 
--- a/packages/verbenahall/src/verbenahall/gateway/_probes.py
+++ b/packages/verbenahall/src/verbenahall/gateway/_probes.py
@@ -62,9 +62,9 @@
             await asyncio.gather(*(self._probe(name) for name in avoided))
 
     async def _probe(self, name: str) -> None:
-        seat = self._core.roster.seats.get(name)
-        if seat is None:
+        listing = self._core.roster.listings.get(name)
+        if listing is None:
             return
-        if await contact(seat.entry.address) is Contact.LISTENS:
+        if await contact(listing.entry.address) is Contact.LISTENS:
             self._core.endpoint_health.record_reachable(name)
             journal.write_decision('endpoint_reached', endpoint=name)
--- a/packages/verbenahall/src/verbenahall/gateway/_readiness.py
+++ b/packages/verbenahall/src/verbenahall/gateway/_readiness.py
@@ -96,7 +96,7 @@
         """
         final_endpoints = [
             entry
-            for entry in self._core.roster.live(service, now)
+            for entry in self._core.roster.list_live(service, now)
             if entry.role is not Role.PREFILL
         ]
         endpoint_health = self._core.endpoint_health
--- a/packages/verbenahall/src/verbenahall/gateway/_scaling.py
+++ b/packages/verbenahall/src/verbenahall/gateway/_scaling.py
@@ -13,7 +13,7 @@
     DutyCalls,
     ProcessSettings,
 )
-from verbenahall.roster import was_cut_off
+from verbenahall.roster import had_store_outage
 from verbenahall.scaling import (
     DUTY,
     LEASE_S,
@@ -45,7 +45,9 @@
                 lease, core.peer_table, core.now, _RENEWAL_PERIOD_S
             ),
             list_rules=lambda: _list_rules(core),
-            list_engines=lambda name: list(core.roster.live(name, core.now())),
+            list_engines=lambda name: list(
+                core.roster.list_live(name, core.now())
+            ),
             is_listed=lambda: _is_listed(core),
             now=core.now,
         ),
@@ -57,7 +59,7 @@
     now = core.now()
     freshness = core.freshness[ENDPOINTS_TOPIC]
     is_fresh = freshness.find_age(now) <= freshness.usable_s
-    return is_fresh and not was_cut_off(core.roster, now)
+    return is_fresh and not had_store_outage(core.roster, now)
 
 
 def _list_rules(core: Core) -> Mapping[str, ScalingRules]:
--- a/packages/verbenahall/src/verbenahall/gateway/_sender.py
+++ b/packages/verbenahall/src/verbenahall/gateway/_sender.py
@@ -214,7 +214,7 @@
         left_s = find_quarantine_s(core.crash_log, call.fingerprint, now)
         if left_s:
             return Quarantined(left_s)
-        if not core.roster.may_get_work(endpoint.name, now):
+        if not core.roster.is_live(endpoint.name, now):
             return NeverWritten(_ENDPOINT_LEFT)
         if isinstance(find_workspace(core, call), Failure):
             return Unauthorized()
@@ -254,7 +254,7 @@
         core = self._core
         now = core.now()
         age_s = core.freshness[ENDPOINTS_TOPIC].find_age(now)
-        seat = core.roster.seats.get(endpoint.name)
+        listing = core.roster.listings.get(endpoint.name)
         metrics.LEFT_SECONDS.observe(call.left_s(now))
         metrics.LIST_AGE_SECONDS.observe(age_s)
         journal.write_decision(
@@ -263,7 +263,7 @@
             endpoint=endpoint.name,
             prefill=order.read_only,
             age_s=journal.round_seconds(age_s),
-            listed=seat is not None and seat.until == float('inf'),
+            listed=listing is not None and listing.usable_until == float('inf'),
             left_s=journal.round_seconds(call.left_s(now)),
         )
 
--- a/packages/verbenahall/src/verbenahall/gateway/_store_reachability.py
+++ b/packages/verbenahall/src/verbenahall/gateway/_store_reachability.py
@@ -5,7 +5,7 @@
 
 from verbenahall import journal
 from verbenahall.gateway._core import Core
-from verbenahall.roster import RETURN_S, note_cut_off
+from verbenahall.roster import STORE_RECOVERY_S, record_store_outage
 
 #: How long after an answer the store counts as reachable, in seconds: the
 #: pause after changes, a poll, and the time for its answer.
@@ -51,12 +51,12 @@
         return now - self.answered_at < _REACHABLE_S
 
     def has_failed_lately(self, now: float) -> bool:
-        """Return whether a call of this instance failed within ``RETURN_S``.
+        """Return whether a call of this instance failed within ``STORE_RECOVERY_S``.
 
         Failures that peers report don't count: otherwise two followers would
         keep reporting the same failure to each other for ever.
         """
-        return now - self._freshness.failed_at < RETURN_S
+        return now - self._freshness.failed_at < STORE_RECOVERY_S
 
     def describe_source(self, source: str) -> Received:
         """Return source and age of records that arrive now."""
@@ -81,7 +81,7 @@
         self.answered_at = -float('inf')
         now = self._core.now()
         self._freshness.note_lost(now)
-        note_cut_off(self._core.roster, now)
+        record_store_outage(self._core.roster, now)
         if not self._is_unreachable:
             self._is_unreachable = True
             journal.write_decision(
--- a/packages/verbenahall/src/verbenahall/roster/__init__.py
+++ b/packages/verbenahall/src/verbenahall/roster/__init__.py
@@ -1,26 +1,26 @@
 """The endpoints that the store lists, and which of them may get requests."""
 
 from verbenahall.roster._decisions import (
-    RETURN_S,
-    drop,
-    note_cut_off,
-    put,
-    replace,
-    was_cut_off,
+    STORE_RECOVERY_S,
+    apply_removal,
+    record_store_outage,
+    apply_entry,
+    apply_list,
+    had_store_outage,
 )
 from verbenahall.roster._messages import Entry, Listing
-from verbenahall.roster._state import LAPSE_S, Roster, RosterRules
+from verbenahall.roster._state import LAPSE_GRACE_S, Roster, RosterRules
 
 __all__ = (
     'Entry',
-    'LAPSE_S',
-    'RETURN_S',
+    'LAPSE_GRACE_S',
+    'STORE_RECOVERY_S',
     'Roster',
     'RosterRules',
     'Listing',
-    'drop',
-    'note_cut_off',
-    'put',
-    'replace',
-    'was_cut_off',
+    'apply_removal',
+    'record_store_outage',
+    'apply_entry',
+    'apply_list',
+    'had_store_outage',
 )
--- a/packages/verbenahall/src/verbenahall/roster/_decisions.py
+++ b/packages/verbenahall/src/verbenahall/roster/_decisions.py
@@ -13,30 +13,30 @@
 _MAX_ORDINARY_REMOVALS: Final = 2
 #: Maximum time in seconds between the last failed call to the store and the
 #: first records after its recovery.
-RETURN_S: Final = 3.0
+STORE_RECOVERY_S: Final = 3.0
 
 
-def put(roster: Roster, entry: Entry) -> bool:
+def apply_entry(roster: Roster, entry: Entry) -> bool:
     """Apply an endpoint's entry, or return False if it is outdated.
 
     The store may execute writes seconds late. Without this check, an old entry
     that arrives after the one with ``leaving`` would cause requests to be sent
     to an endpoint that is about to exit.
     """
-    listing = roster.seats.get(entry.name)
+    listing = roster.listings.get(entry.name)
     known = listing.entry if listing else roster.removed.get(entry.name)
     if known is not None and _is_outdated(entry, known):
         return False
     if listing is None:
-        roster.seats[entry.name] = Listing(entry)
+        roster.listings[entry.name] = Listing(entry)
         roster.removed.pop(entry.name, None)
     else:
         listing.entry = entry
-        listing.until = float('inf')
+        listing.usable_until = float('inf')
     return True
 
 
-def drop(
+def apply_removal(
     roster: Roster,
     name: str,
     now: float,
@@ -55,20 +55,20 @@
     time at which the removal was read.
     """
     _remove_overdue(roster, now)
-    listing = roster.seats.get(name)
+    listing = roster.listings.get(name)
     if listing is None:
         return False
     roster.removals.append(Removal(now, name, listing.entry.service))
     if not listing.entry.leaving and _is_lapse(roster, listing.entry, now):
         until = _compute_grace_end(roster, now, listed_at)
         _set_grace_end(roster, listing.entry.service, until)
-        if now < listing.until:
+        if now < listing.usable_until:
             return False
     roster.remove(name)
     return True
 
 
-def replace(
+def apply_list(
     roster: Roster,
     entries: Iterable[Entry],
     unreadable: Iterable[str],
@@ -82,21 +82,21 @@
     """
     listed = set(unreadable)
     for entry in entries:
-        put(roster, entry)
+        apply_entry(roster, entry)
         listed.add(entry.name)
-    for name in roster.seats.keys() - listed:
-        drop(roster, name, now, listed_at)
-    roster.known = True
+    for name in roster.listings.keys() - listed:
+        apply_removal(roster, name, now, listed_at)
+    roster.is_loaded = True
 
 
-def note_cut_off(roster: Roster, now: float) -> None:
+def record_store_outage(roster: Roster, now: float) -> None:
     """Record that the store did not answer."""
-    roster.cut_off_at = now
+    roster.store_outage_at = now
 
 
-def was_cut_off(roster: Roster, now: float) -> bool:
+def had_store_outage(roster: Roster, now: float) -> bool:
     """Whether a removal may be due to a recent outage of the store."""
-    return now - roster.cut_off_at < RETURN_S
+    return now - roster.store_outage_at < STORE_RECOVERY_S
 
 
 def _is_outdated(entry: Entry, known: Entry) -> bool:
@@ -107,13 +107,13 @@
 
 def _remove_overdue(roster: Roster, now: float) -> None:
     """Remove the lapsed endpoints whose grace period has ended."""
-    for name, listing in tuple(roster.seats.items()):
-        if now >= listing.until:
+    for name, listing in tuple(roster.listings.items()):
+        if now >= listing.usable_until:
             roster.remove(name)
 
 
 def _is_lapse(roster: Roster, entry: Entry, now: float) -> bool:
-    if was_cut_off(roster, now):
+    if had_store_outage(roster, now):
         return True
     window_start = now - _MASS_REMOVAL_WINDOW_S
     roster.removals = [
@@ -126,9 +126,9 @@
     ]
     if len(recent) <= _MAX_ORDINARY_REMOVALS:
         return False
-    seats = roster.seats.values()
-    total = sum(listing.entry.service == entry.service for listing in seats)
-    return len(recent) > total * roster.rules.mass_share
+    listings = roster.listings.values()
+    total = sum(listing.entry.service == entry.service for listing in listings)
+    return len(recent) > total * roster.rules.mass_removal_share
 
 
 def _compute_grace_end(
@@ -136,7 +136,7 @@
     now: float,
     listed_at: float | None,
 ) -> float:
-    until = now + roster.rules.lapse_s
+    until = now + roster.rules.lapse_grace_s
     if listed_at is None:
         return until
     return min(until, listed_at + roster.rules.usable_s)
@@ -145,6 +145,6 @@
 def _set_grace_end(roster: Roster, service: str, until: float) -> None:
     """Limit the use of the lapsed endpoints of a service."""
     for removal in roster.removals:
-        listing = roster.seats.get(removal.name)
+        listing = roster.listings.get(removal.name)
         if listing is not None and listing.entry.service == service:
-            listing.until = min(listing.until, until)
+            listing.usable_until = min(listing.usable_until, until)
--- a/packages/verbenahall/src/verbenahall/roster/_messages.py
+++ b/packages/verbenahall/src/verbenahall/roster/_messages.py
@@ -42,14 +42,14 @@
 class Listing:
     """An endpoint's last entry, and until when the endpoint may be used.
 
-    ``until`` is infinite while the store lists the endpoint. After the entry
-    lapsed, it is the end of the grace period, at which the endpoint is removed
-    unless it is listed again.
+    ``usable_until`` is infinite while the store lists the endpoint. After the
+    entry lapsed, it is the end of the grace period, at which the endpoint is
+    removed unless it is listed again.
     """
 
-    __slots__ = ('entry', 'until')
+    __slots__ = ('entry', 'usable_until')
 
     def __init__(self, entry: Entry) -> None:
         """Create the listing of an endpoint that the store lists."""
         self.entry = entry
-        self.until = float('inf')
+        self.usable_until = float('inf')
--- a/packages/verbenahall/src/verbenahall/roster/_state.py
+++ b/packages/verbenahall/src/verbenahall/roster/_state.py
@@ -9,7 +9,7 @@
 #: How long lapsed entries are used, in seconds. According to the platform,
 #: entries that lapsed in an outage of the store are written again within about
 #: two seconds of its recovery.
-LAPSE_S: Final = 1.8
+LAPSE_GRACE_S: Final = 1.8
 #: The removal of a larger share of a service is attributed to the store, since
 #: so many endpoints are unlikely to end at once.
 _MASS_REMOVAL_SHARE: Final = 0.4
@@ -21,61 +21,68 @@
 class RosterRules:
     """Limits for the use of endpoints whose entry was removed.
 
-    ``lapse_s`` is how long an endpoint with a lapsed entry is still used.
+    ``lapse_grace_s`` is how long an endpoint with a lapsed entry is still used.
     ``usable_s`` is how long after its last listing in the store requests may
     be sent to an endpoint, since the removal may mean that it has left. A
-    removal of more than ``mass_share`` of a service counts as a lapse.
+    removal of more than ``mass_removal_share`` of a service counts as a lapse.
     """
 
-    lapse_s: float = LAPSE_S
-    usable_s: float = LAPSE_S
-    mass_share: float = _MASS_REMOVAL_SHARE
+    lapse_grace_s: float = LAPSE_GRACE_S
+    usable_s: float = LAPSE_GRACE_S
+    mass_removal_share: float = _MASS_REMOVAL_SHARE
 
 
 @final
 class Roster:
     """The endpoints by name, and their recent removals.
 
-    ``seats`` holds the listed endpoints. ``removed`` holds the last entries of
-    removed endpoints, so that an outdated entry does not list them again.
-    ``cut_off_at`` is when the store was last unreachable, in monotonic
-    seconds. ``known`` is whether a full list has been applied.
+    ``listings`` holds the listed endpoints. ``removed`` holds the last entries
+    of removed endpoints, so that an outdated entry does not list them again.
+    ``store_outage_at`` is when the store was last unreachable, in monotonic
+    seconds. ``is_loaded`` is whether a full list has been applied.
     """
 
-    __slots__ = ('rules', 'seats', 'removed', 'cut_off_at', 'known', 'removals')
+    __slots__ = (
+        'rules',
+        'listings',
+        'removed',
+        'store_outage_at',
+        'is_loaded',
+        'removals',
+    )
 
     def __init__(self, rules: RosterRules | None = None) -> None:
         """Start without endpoints."""
         self.rules = rules or RosterRules()
-        self.seats: dict[str, Listing] = {}
+        self.listings: dict[str, Listing] = {}
         self.removed: dict[str, Entry] = {}
-        self.cut_off_at = -float('inf')
-        self.known = False
+        self.store_outage_at = -float('inf')
+        self.is_loaded = False
         self.removals: list[Removal] = []
 
-    def live(self, service: str, now: float) -> Iterator[Entry]:
+    def list_live(self, service: str, now: float) -> Iterator[Entry]:
         """Yield the endpoints of a service to which requests may be sent."""
-        for listing in self.seats.values():
+        for listing in self.listings.values():
             if listing.entry.service == service and _is_live(listing, now):
                 yield listing.entry
 
-    def may_get_work(self, name: str, now: float) -> bool:
+    def is_live(self, name: str, now: float) -> bool:
         """Whether a request may be sent to an endpoint now."""
-        listing = self.seats.get(name)
+        listing = self.listings.get(name)
         return listing is not None and _is_live(listing, now)
 
-    def has_left(self, name: str) -> bool:
+    def is_leaving(self, name: str) -> bool:
         """Whether the last entry of an endpoint is ``leaving``."""
-        listing = self.seats.get(name)
+        listing = self.listings.get(name)
         entry = listing.entry if listing else self.removed.get(name)
         return entry is not None and entry.leaving
 
     def remove(self, name: str) -> None:
         """Remove an endpoint, and keep its last entry if there is room."""
-        self.removed[name] = self.seats.pop(name).entry
+        self.removed[name] = self.listings.pop(name).entry
         while len(self.removed) > _MAX_REMOVED:
             self.removed.pop(next(iter(self.removed)))
 
 
 def _is_live(listing: Listing, now: float) -> bool:
-    return not listing.entry.leaving and now < listing.until
+    return not listing.entry.leaving and now < listing.usable_until
--- a/packages/verbenahall/tests/drains/fleet.py
+++ b/packages/verbenahall/tests/drains/fleet.py
@@ -268,14 +268,14 @@
 
     def _describe(self, instance, endpoint, now):
         core = self.instances[instance].core
-        seat = core.roster.seats.get(endpoint)
+        listing = core.roster.listings.get(endpoint)
         return Arrival(
             round(now, 3),
             instance,
             endpoint,
             late_s=round(now - self.left[endpoint], 3),
             announced=endpoint in self.announced,
-            listed=seat is not None and seat.until == float('inf'),
+            listed=listing is not None and listing.usable_until == float('inf'),
             age_s=round(core.freshness[ENDPOINTS_TOPIC].find_age(now), 3),
         )
 
--- a/packages/verbenahall/tests/drains/test_drains.py
+++ b/packages/verbenahall/tests/drains/test_drains.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-from verbenahall.roster import was_cut_off
+from verbenahall.roster import had_store_outage
 
 from .fleet import Fleet
 from .simulated_clock import run_simulated
@@ -165,7 +165,7 @@
     fleet = Fleet(1, 4, leaving_s=3)
     run_simulated(refuse_one_follower(fleet))
     rosters = [one.core.roster for one in fleet.instances.values()]
-    assert not any(was_cut_off(roster, 12) for roster in rosters)
+    assert not any(had_store_outage(roster, 12) for roster in rosters)
 
 
 async def silence_followers(fleet):
--- a/packages/verbenahall/tests/gateway/test_answers.py
+++ b/packages/verbenahall/tests/gateway/test_answers.py
@@ -25,7 +25,7 @@
     raw.role = ''
     desk.site.list_endpoint(raw)
     roster = desk.gateway.core.roster
-    await desk.until(lambda: 'raw' in roster.seats)
+    await desk.until(lambda: 'raw' in roster.listings)
 
 
 async def request_raw(folder, *pieces):
--- a/packages/verbenahall/tests/gateway/test_duties.py
+++ b/packages/verbenahall/tests/gateway/test_duties.py
@@ -175,7 +175,7 @@
             ordered = len(desk.decisions('scale_order'))
             site.store.faults.down = 503
             await desk.until(lambda: desk.decisions('store_lost'))
-            for name in list(desk.gateway.core.roster.seats):
+            for name in list(desk.gateway.core.roster.listings):
                 site.unlist(name)
             site.store.faults.down = 0
             await desk.until(lambda: desk.decisions('store_regained'))
--- a/packages/verbenahall/tests/gateway/test_news.py
+++ b/packages/verbenahall/tests/gateway/test_news.py
@@ -54,7 +54,9 @@
     """Wait until all instances have the first endpoint's slots."""
     rosters = [desk.gateway.core.roster for desk in desks]
     await desks[0].until(
-        lambda: {one.seats['page-0'].entry.slots for one in rosters} == {slots},
+        lambda: (
+            {one.listings['page-0'].entry.slots for one in rosters} == {slots}
+        ),
         within_s,
     )
 
--- a/packages/verbenahall/tests/gateway/test_roles.py
+++ b/packages/verbenahall/tests/gateway/test_roles.py
@@ -52,8 +52,10 @@
         async with open_desk(tmp_path, engines) as desk:
             core = desk.gateway.core
             for engine in engines[4:]:
-                seat = core.roster.seats[engine.name]
-                record_rate(core.rates, name_start(seat.entry), 2, core.now())
+                listing = core.roster.listings[engine.name]
+                record_rate(
+                    core.rates, name_start(listing.entry), 2, core.now()
+                )
             await desk.until(
                 lambda: any(one.orders for one in engines[:4]),
                 within_s=12,
--- a/packages/verbenahall/tests/gateway/test_store.py
+++ b/packages/verbenahall/tests/gateway/test_store.py
@@ -80,7 +80,7 @@
         async with open_desk(tmp_path, plain=make_plain(1)) as desk:
             desk.site.store.put('keyed.servers', 'odd', content)
             await desk.until(lambda: desk.decisions('endpoint_unreadable'))
-            assert 'odd' not in desk.gateway.core.roster.seats
+            assert 'odd' not in desk.gateway.core.roster.listings
             assert (await desk.ask('/archive/1', method='GET'))[0] == 200
 
     run(check())
@@ -155,13 +155,13 @@
             roster = desk.gateway.core.roster
             desk.site.list_endpoint(engines[0], slots=5)
             await desk.until(
-                lambda: roster.seats['reader-0'].entry.slots == 5,
+                lambda: roster.listings['reader-0'].entry.slots == 5,
             )
             store.faults.deaf = True
             await asyncio.sleep(0.05)
             desk.site.list_endpoint(engines[1], slots=6)
             await desk.until(
-                lambda: roster.seats['reader-1'].entry.slots == 6,
+                lambda: roster.listings['reader-1'].entry.slots == 6,
                 1,
             )
 
@@ -284,7 +284,7 @@
             await desk.ask('/blurb/1')
             assert core.endpoint_health.has('generator-0')
             desk.site.unlist('generator-0')
-            await desk.until(lambda: 'generator-0' not in core.roster.seats)
+            await desk.until(lambda: 'generator-0' not in core.roster.listings)
             assert not core.endpoint_health.has('generator-0')
             assert core.endpoint_health.has(
                 'reader-0'
--- a/packages/verbenahall/tests/roster/test_roster.py
+++ b/packages/verbenahall/tests/roster/test_roster.py
@@ -3,10 +3,10 @@
 from verbenahall.roster import (
     Entry,
     Roster,
-    drop,
-    note_cut_off,
-    put,
-    replace,
+    apply_removal,
+    record_store_outage,
+    apply_entry,
+    apply_list,
 )
 
 
@@ -23,17 +23,17 @@
 
 def make_roster(count=9):
     roster = Roster()
-    replace(roster, [make_entry(f'e{n}') for n in range(count)], (), now=0)
+    apply_list(roster, [make_entry(f'e{n}') for n in range(count)], (), now=0)
     return roster
 
 
 def live_names(roster, now):
-    return {entry.name for entry in roster.live('drafter', now)}
+    return {entry.name for entry in roster.list_live('drafter', now)}
 
 
 def test_leaving_endpoint_gets_no_work():
     roster = make_roster()
-    put(roster, make_entry('e1', leaving=True, change=3))
+    apply_entry(roster, make_entry('e1', leaving=True, change=3))
     assert 'e1' not in live_names(roster, 1)
 
 
@@ -42,8 +42,8 @@
     # the one that announces that it is leaving. If it were applied, requests
     # would be sent to an endpoint that exits, and their answers would break.
     roster = make_roster()
-    put(roster, make_entry('e1', leaving=True, change=3))
-    assert not put(roster, make_entry('e1', change=2))
+    apply_entry(roster, make_entry('e1', leaving=True, change=3))
+    assert not apply_entry(roster, make_entry('e1', change=2))
     assert 'e1' not in live_names(roster, 1)
 
 
@@ -51,9 +51,9 @@
     # A delayed entry arrives after the removal of the endpoint. Requests sent
     # there would wait for a machine that no longer exists.
     roster = make_roster()
-    put(roster, make_entry('e1', leaving=True, change=3))
-    drop(roster, 'e1', now=2)
-    assert not put(roster, make_entry('e1', change=2))
+    apply_entry(roster, make_entry('e1', leaving=True, change=3))
+    apply_removal(roster, 'e1', now=2)
+    assert not apply_entry(roster, make_entry('e1', change=2))
     assert 'e1' not in live_names(roster, 3)
 
 
@@ -61,21 +61,21 @@
     # A restarted endpoint counts its changes from one. Compared with the old
     # count, its entries would be rejected until the count had caught up.
     roster = make_roster()
-    put(roster, make_entry('e1', born=100, change=9))
-    assert put(roster, make_entry('e1', born=200, change=1))
+    apply_entry(roster, make_entry('e1', born=100, change=9))
+    assert apply_entry(roster, make_entry('e1', born=200, change=1))
     assert 'e1' in live_names(roster, 1)
 
 
 def test_entry_of_an_earlier_start_is_rejected():
     roster = make_roster()
-    put(roster, make_entry('e1', born=200, change=1))
-    assert not put(roster, make_entry('e1', born=100, change=50))
-    assert roster.seats['e1'].entry.born == 200
+    apply_entry(roster, make_entry('e1', born=200, change=1))
+    assert not apply_entry(roster, make_entry('e1', born=100, change=50))
+    assert roster.listings['e1'].entry.born == 200
 
 
 def test_removed_endpoint_gets_no_work():
     roster = make_roster()
-    assert drop(roster, 'e1', now=5)
+    assert apply_removal(roster, 'e1', now=5)
     assert 'e1' not in live_names(roster, 5)
 
 
@@ -84,33 +84,33 @@
     # removed, and written again within two seconds. If the removals took
     # effect, the service would have no endpoints and refuse all requests.
     roster = make_roster()
-    note_cut_off(roster, 10)
+    record_store_outage(roster, 10)
     for number in range(9):
-        assert not drop(roster, f'e{number}', now=10.5)
+        assert not apply_removal(roster, f'e{number}', now=10.5)
     assert len(live_names(roster, 11)) == 9
 
 
 def test_lapsed_endpoint_is_not_used_beyond_the_limit():
     """An endpoint exits without an announcement; its removal is read late."""
     roster = make_roster()
-    note_cut_off(roster, 10)
-    assert not drop(roster, 'e1', now=11, listed_at=9.8)
+    record_store_outage(roster, 10)
+    assert not apply_removal(roster, 'e1', now=11, listed_at=9.8)
     assert 'e1' in live_names(roster, 11.5)
     assert 'e1' not in live_names(roster, 11.7)
 
 
 def test_removal_read_after_the_limit_takes_effect_at_once():
     roster = make_roster()
-    note_cut_off(roster, 10)
-    assert drop(roster, 'e1', now=12, listed_at=10)
-    assert 'e1' not in roster.seats
+    record_store_outage(roster, 10)
+    assert apply_removal(roster, 'e1', now=12, listed_at=10)
+    assert 'e1' not in roster.listings
 
 
 def test_grace_after_an_outage_starts_when_the_removal_is_read():
     """A grace period that began before the outage would be over after it."""
     roster = make_roster()
-    note_cut_off(roster, 13.5)
-    assert not drop(roster, 'e1', now=14, listed_at=None)
+    record_store_outage(roster, 13.5)
+    assert not apply_removal(roster, 'e1', now=14, listed_at=None)
     assert 'e1' in live_names(roster, 15.7)
 
 
@@ -118,10 +118,10 @@
     # One of the lapsed endpoints has crashed. Requests sent to it would wait
     # for a connection that is never accepted.
     roster = make_roster()
-    note_cut_off(roster, 10)
-    drop(roster, 'e1', now=10.5)
-    drop(roster, 'e2', now=10.5)
-    put(roster, make_entry('e2', change=1))
+    record_store_outage(roster, 10)
+    apply_removal(roster, 'e1', now=10.5)
+    apply_removal(roster, 'e2', now=10.5)
+    apply_entry(roster, make_entry('e2', change=1))
     assert 'e1' not in live_names(roster, 12.5)
     assert 'e2' in live_names(roster, 12.5)
 
@@ -130,9 +130,9 @@
     # The endpoint announced that it is leaving before the outage, so its
     # removal is not a lapse and takes effect at once.
     roster = make_roster()
-    put(roster, make_entry('e1', leaving=True, change=2))
-    note_cut_off(roster, 10)
-    assert drop(roster, 'e1', now=10.5)
+    apply_entry(roster, make_entry('e1', leaving=True, change=2))
+    record_store_outage(roster, 10)
+    assert apply_removal(roster, 'e1', now=10.5)
 
 
 def test_many_removals_at_once_are_a_lapse():
@@ -140,14 +140,14 @@
     # removals themselves show it.
     roster = make_roster()
     for number in range(9):
-        drop(roster, f'e{number}', now=20 + number / 100)
+        apply_removal(roster, f'e{number}', now=20 + number / 100)
     assert len(live_names(roster, 20.5)) >= 5
 
 
 def test_full_list_removes_unlisted_endpoints():
     roster = make_roster(3)
-    replace(roster, [make_entry('e0', change=1)], (), now=50)
-    put(roster, make_entry('e0', change=2))
+    apply_list(roster, [make_entry('e0', change=1)], (), now=50)
+    apply_entry(roster, make_entry('e0', change=2))
     assert 'e0' in live_names(roster, 52)
     assert live_names(roster, 53) == {'e0'}
 
@@ -155,18 +155,18 @@
 def test_lapsed_endpoint_without_new_entry_is_removed():
     # Endpoints that never return would be checked in every selection.
     roster = make_roster()
-    note_cut_off(roster, 10)
-    drop(roster, 'e1', now=10.5)
-    drop(roster, 'e2', now=13)
-    assert 'e1' not in roster.seats
+    record_store_outage(roster, 10)
+    apply_removal(roster, 'e1', now=10.5)
+    apply_removal(roster, 'e2', now=13)
+    assert 'e1' not in roster.listings
     assert 'e1' in roster.removed
 
 
 def test_number_of_removed_entries_is_bounded():
     roster = Roster()
     for number in range(5000):
-        put(roster, make_entry(f'e{number}', leaving=True))
-        drop(roster, f'e{number}', now=number)
+        apply_entry(roster, make_entry(f'e{number}', leaving=True))
+        apply_removal(roster, f'e{number}', now=number)
     assert len(roster.removed) <= 4096
 
 
@@ -176,14 +176,14 @@
     # request 2.05 s after its removal.
     roster = make_roster(9)
     for number in range(3):
-        put(roster, make_entry(f'p{number}', service='pages'))
-    assert drop(roster, 'e1', now=20)
-    assert drop(roster, 'p1', now=20.1)
-    assert [one.name for one in roster.live('pages', 20.2)] == ['p0', 'p2']
+        apply_entry(roster, make_entry(f'p{number}', service='pages'))
+    assert apply_removal(roster, 'e1', now=20)
+    assert apply_removal(roster, 'p1', now=20.1)
+    assert [one.name for one in roster.list_live('pages', 20.2)] == ['p0', 'p2']
 
 
 def test_two_removals_of_three_are_no_lapse():
     roster = make_roster(3)
-    assert drop(roster, 'e0', now=20)
-    assert drop(roster, 'e1', now=20.1)
+    assert apply_removal(roster, 'e0', now=20)
+    assert apply_removal(roster, 'e1', now=20.1)
     assert live_names(roster, 20.2) == {'e2'}
