--- a/packages/verbenahall/src/verbenahall/gateway/_beliefs.py
+++ b/packages/verbenahall/src/verbenahall/gateway/_fleet_state_log.py
@@ -13,7 +13,7 @@
 
 
 @final
-class Beliefs:
+class FleetStateLog:
     """Logs versions, ages and counts of the state that placement uses."""
 
     __slots__ = ('_core',)
--- a/packages/verbenahall/src/verbenahall/gateway/_followers.py
+++ b/packages/verbenahall/src/verbenahall/gateway/_followers.py
@@ -55,7 +55,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Subject:
+class TopicHandler:
     """A topic, and the handlers for its records.
 
     ``apply_record`` is called for each changed record, and ``apply_all`` with
@@ -84,7 +84,7 @@
 
     __slots__ = (
         'position',
-        'subject',
+        'handler',
         '_reachability',
         '_core',
         '_freshness',
@@ -98,17 +98,17 @@
     def __init__(
         self,
         core: Core,
-        subject: Subject,
+        handler: TopicHandler,
         broadcast: Callable[[TopicUpdate], None],
     ) -> None:
         """Prepare; records read from the store also go to ``broadcast``."""
-        self.subject = subject
+        self.handler = handler
         self.position: int | None = None
         self._core = core
-        self._reachability = StoreReachability(core, subject.topic)
-        self._freshness = core.freshness[subject.topic]
+        self._reachability = StoreReachability(core, handler.topic)
+        self._freshness = core.freshness[handler.topic]
         self._broadcast = broadcast
-        self._standby = Standby(core.peer_table, subject.topic)
+        self._standby = Standby(core.peer_table, handler.topic)
         self._pause_pending = False
         self._polls_short = True
         self._wake = asyncio.Event()
@@ -148,7 +148,7 @@
         """Use the confirmations of the store that the peers have received."""
         if self.position is not None:
             at = self._standby.find_confirmed_at(self.position)
-            self._freshness.note_confirmed(at)
+            self._freshness.record_confirmed(at)
 
     async def refresh(self) -> bool:
         """Read the store without waiting; False if it does not answer."""
@@ -174,21 +174,21 @@
         answered = await self._poll(self.position, wait_s, ANSWER_S)
         if self._pause_pending:
             self._pause_pending = False
-            pause_s = self.subject.pause_s
+            pause_s = self.handler.pause_s
             now = self._core.now()
             await asyncio.sleep(self._freshness.limit_wait(pause_s, now))
         return answered
 
     async def _read_all(self) -> bool:
         sent_at = self._core.now()
-        match await self._core.store.read_newest(self.subject.topic):
+        match await self._core.store.read_newest(self.handler.topic):
             case Success(newest):
                 self._reachability.record_answer()
                 self._polls_short = True
                 self.position = newest.end
                 received = self._reachability.describe_source('store')
-                self.subject.apply_all(newest.items, received)
-                self._freshness.note_confirmed(sent_at)
+                self.handler.apply_all(newest.items, received)
+                self._freshness.record_confirmed(sent_at)
                 return True
             case Failure(error):
                 self._reachability.record_failure(error.reason)
@@ -200,7 +200,7 @@
         wait_s: float,
         answer_s: float,
     ) -> bool:
-        topic = self.subject.topic
+        topic = self.handler.topic
         sent_at = self._core.now()
         store = self._core.store
         match await store.read(topic, offset, wait_s, answer_s):
@@ -233,14 +233,14 @@
         fresh = self._apply_records(records, offset, 'store')
         now = self._core.now()
         if batch.end <= offset + len(records):
-            self._freshness.note_confirmed(min(now, read_at))
+            self._freshness.record_confirmed(min(now, read_at))
         if not fresh or known is None:
             return
         if not self._standby.is_covered_by_peers(now):
             after_outage = self._reachability.has_failed_lately(now)
             end = offset + len(records)
             update = TopicUpdate(
-                self.subject.topic,
+                self.handler.topic,
                 known,
                 fresh,
                 end,
@@ -264,21 +264,21 @@
             self._standby.record_progress()
         received = self._reachability.describe_source(source)
         for record in fresh:
-            _apply(self.subject, record, received)
+            _apply(self.handler, record, received)
         return fresh
 
 
-def _apply(subject: Subject, record: bytes, received: Received) -> None:
+def _apply(handler: TopicHandler, record: bytes, received: Received) -> None:
     try:
         keyed = decode_keyed(record)
     except ValueError as error:
         journal.write_decision(
             'record_unreadable',
-            topic=subject.topic,
+            topic=handler.topic,
             reason=str(error),
         )
         return
-    subject.apply_record(keyed, received)
+    handler.apply_record(keyed, received)
 
 
 async def _wait_for(wake: asyncio.Event) -> None:
--- a/packages/verbenahall/src/verbenahall/gateway/_freshness.py
+++ b/packages/verbenahall/src/verbenahall/gateway/_freshness.py
@@ -73,13 +73,13 @@
         longest_s = self.refresh_s * _POLL_SHARE - self.find_age(now)
         return max(_MIN_WAIT_S, min(wait_s, longest_s))
 
-    def note_confirmed(self, at: float) -> None:
+    def record_confirmed(self, at: float) -> None:
         """Record that the store held nothing newer at a time."""
         if at > self.confirmed_at:
             self.confirmed_at = at
             self._wake()
 
-    def note_lost(self, now: float) -> None:
+    def record_failure(self, now: float) -> None:
         """Record that a call of this instance to the store failed."""
         self.failed_at = now
         self._wake()
--- a/packages/verbenahall/src/verbenahall/gateway/_following.py
+++ b/packages/verbenahall/src/verbenahall/gateway/_record_handlers.py
@@ -10,7 +10,7 @@
 from verbenahall import journal
 from verbenahall.catalog import adopt
 from verbenahall.gateway._core import Core
-from verbenahall.gateway._followers import Follower, Subject
+from verbenahall.gateway._followers import Follower, TopicHandler
 from verbenahall.gateway._store_reachability import Received
 from verbenahall.peers import PeerExchange, TopicUpdate
 from verbenahall.platform import (
@@ -49,14 +49,14 @@
     ) -> list[Follower]:
         """Return one follower per topic; ``broadcast`` sends to the peers."""
         pause_s = self._core.settings.bounds.leaving_s * _ENDPOINTS_PAUSE_SHARE
-        subjects = (
-            Subject(
+        handlers = (
+            TopicHandler(
                 OPERATOR_TOPIC,
                 self._apply_manifest,
                 self._apply_manifests,
                 _MANIFEST_PAUSE_S,
             ),
-            Subject(
+            TopicHandler(
                 ENDPOINTS_TOPIC,
                 self._apply_entry,
                 self._apply_entries,
@@ -64,7 +64,7 @@
             ),
         )
         return [
-            Follower(self._core, subject, broadcast) for subject in subjects
+            Follower(self._core, handler, broadcast) for handler in handlers
         ]
 
     def _apply_manifest(self, record: KeyedRecord, received: Received) -> None:
@@ -163,7 +163,7 @@
         )
 
 
-def follow_store(core: Core, exchange: PeerExchange) -> list[Follower]:
+def make_followers(core: Core, exchange: PeerExchange) -> list[Follower]:
     """Return followers that share their reads with the peers of an exchange."""
     followers = RecordHandlers(core).make_followers(exchange.broadcast)
     exchange.followed_offsets = functools.partial(_list_followed, followers)
@@ -174,7 +174,7 @@
 
 def _list_followed(followers: Sequence[Follower]) -> Mapping[str, int]:
     return {
-        one.subject.topic: one.position
+        one.handler.topic: one.position
         for one in followers
         if one.is_polling_store()
     }
@@ -195,7 +195,7 @@
     update: TopicUpdate,
 ) -> None:
     for follower in followers:
-        if follower.subject.topic == update.topic:
+        if follower.handler.topic == update.topic:
             follower.receive_update(update)
 
 
--- a/packages/verbenahall/src/verbenahall/gateway/_refresh.py
+++ b/packages/verbenahall/src/verbenahall/gateway/_refresh.py
@@ -30,7 +30,7 @@
         """Watch the age of a follower's topic."""
         self._core = core
         self._follower = follower
-        self._freshness = core.freshness[follower.subject.topic]
+        self._freshness = core.freshness[follower.handler.topic]
 
     async def run(self) -> None:
         """Read the store whenever a refresh is due, until cancelled."""
--- a/packages/verbenahall/src/verbenahall/gateway/_serve.py
+++ b/packages/verbenahall/src/verbenahall/gateway/_serve.py
@@ -14,12 +14,12 @@
 from verbenahall.config import LimitsConfig
 from verbenahall.front import Patience, Runner
 from verbenahall.gateway._admission import Admissions
-from verbenahall.gateway._beliefs import Beliefs
+from verbenahall.gateway._fleet_state_log import FleetStateLog
 from verbenahall.gateway._core import Core
 from verbenahall.gateway._crash_reports import CrashReports
 from verbenahall.gateway._crashes import CrashWatch
 from verbenahall.gateway._dispatch import Dispatch
-from verbenahall.gateway._following import follow_store
+from verbenahall.gateway._record_handlers import make_followers
 from verbenahall.gateway._ingress import Ingress
 from verbenahall.gateway._orders import RoleController
 from verbenahall.gateway._peers import PeerFinder
@@ -81,8 +81,8 @@
         self.reports = CrashReports(self.core, self.finder.exchange)
         self.crashes = CrashWatch(self.core, self.reports)
         self.permits = Permits(self.core, self.finder.exchange)
-        followers = follow_store(self.core, self.finder.exchange)
-        self._followers = {one.subject.topic: one for one in followers}
+        followers = make_followers(self.core, self.finder.exchange)
+        self._followers = {one.handler.topic: one for one in followers}
         self._usage = make_usage_exchange(self.core, self.finder.exchange)
         self._supervisor = Supervisor()
         self._runners: list[web.AppRunner] = []
@@ -144,7 +144,7 @@
             'crash reports': self.reports.run,
             'permits': self.permits.run,
             'probes': EndpointProber(self.core).run,
-            'beliefs': Beliefs(self.core).run,
+            'beliefs': FleetStateLog(self.core).run,
             'lines': _flush_log,
         }
         if reports_usage(self.core.settings):
--- a/packages/verbenahall/src/verbenahall/gateway/_store_reachability.py
+++ b/packages/verbenahall/src/verbenahall/gateway/_store_reachability.py
@@ -51,7 +51,7 @@
         return now - self.answered_at < _REACHABLE_S
 
     def has_failed_lately(self, now: float) -> bool:
-        """Return whether a call of this instance failed within ``STORE_RECOVERY_S``.
+        """Whether a call of this instance failed within ``STORE_RECOVERY_S``.
 
         Failures that peers report don't count: otherwise two followers would
         keep reporting the same failure to each other for ever.
@@ -80,7 +80,7 @@
         """Record that a call failed; only the first in a row is logged."""
         self.answered_at = -float('inf')
         now = self._core.now()
-        self._freshness.note_lost(now)
+        self._freshness.record_failure(now)
         record_store_outage(self._core.roster, now)
         if not self._is_unreachable:
             self._is_unreachable = True
--- a/packages/verbenahall/tests/drains/fleet.py
+++ b/packages/verbenahall/tests/drains/fleet.py
@@ -17,7 +17,7 @@
 
 from verbenahall.catalog import Kind, Route, Service, Share
 from verbenahall.gateway._core import Core
-from verbenahall.gateway._following import follow_store
+from verbenahall.gateway._record_handlers import make_followers
 from verbenahall.gateway._messages import Call
 from verbenahall.gateway._plain import PlainFlow
 from verbenahall.gateway._refresh import Refresher
@@ -63,7 +63,7 @@
             self.core.peer_table, self.core.placement, bool
         )
         self.exchange.connection_made(SimulatedSocket(fleet, name))
-        self.followers = follow_store(self.core, self.exchange)
+        self.followers = make_followers(self.core, self.exchange)
         self._sender = Sender(self.core)
         self._tasks = []
 
--- a/packages/verbenahall/tests/drains/keyed_fleet.py
+++ b/packages/verbenahall/tests/drains/keyed_fleet.py
@@ -66,7 +66,7 @@
         self.publish()
         for name, instance in self.instances.items():
             operator = instance.followers[0]
-            assert operator.subject.topic == OPERATOR_TOPIC
+            assert operator.handler.topic == OPERATOR_TOPIC
             lookups = KeyLookups(operator.refresh, instance.core.now)
             self._admissions[name] = Admissions(instance.core, lookups)
 
--- a/packages/verbenahall/tests/drains/test_freshness.py
+++ b/packages/verbenahall/tests/drains/test_freshness.py
@@ -22,7 +22,7 @@
 def make_freshness(confirmed_at):
     """Return the age of a topic that was confirmed at a time."""
     freshness = Freshness(2)
-    freshness.note_confirmed(confirmed_at)
+    freshness.record_confirmed(confirmed_at)
     return freshness
 
 
@@ -36,7 +36,7 @@
     freshness = make_freshness(7)
 
     def confirm():
-        freshness.note_confirmed(10)
+        freshness.record_confirmed(10)
 
     assert run_simulated(wait(freshness, 0.1, confirm)) == 0.1
 
@@ -46,7 +46,7 @@
     freshness = make_freshness(5)
 
     def confirm():
-        freshness.note_confirmed(7)
+        freshness.record_confirmed(7)
 
     assert run_simulated(wait(freshness, 0.1, confirm)) == 0.5
 
@@ -54,7 +54,7 @@
 def test_nothing_is_waited_for_while_the_store_is_away():
     """Requests would be held up for as long as an outage lasts."""
     freshness = make_freshness(5)
-    freshness.note_lost(8)
+    freshness.record_failure(8)
     assert run_simulated(wait(freshness, 0.1, bool)) == 0
 
 
@@ -62,7 +62,7 @@
     freshness = make_freshness(5)
 
     def lose():
-        freshness.note_lost(10.1)
+        freshness.record_failure(10.1)
 
     assert run_simulated(wait(freshness, 0.1, lose)) == 0.1
 
