--- a/packages/verbenahall/src/verbenahall/gateway/_attempts.py
+++ b/packages/verbenahall/src/verbenahall/gateway/_attempts.py
@@ -40,7 +40,7 @@
         self.tried: set[str] = set()
         self._core = core
         self._call = call
-        self._budget = core.budget_of(call.service.name)
+        self._budget = core.get_retry_budget(call.service.name)
 
     @property
     def may_run_again(self) -> bool:
--- a/packages/verbenahall/src/verbenahall/gateway/_core.py
+++ b/packages/verbenahall/src/verbenahall/gateway/_core.py
@@ -98,7 +98,7 @@
         self.store = StoreClient(self.session, settings.store)
         self.now = clock.monotonic
         #: The longest wait that callers of each route have stated, in seconds.
-        self.patience: dict[str, float] = {}
+        self.longest_waits: dict[str, float] = {}
         self._budgets: dict[str, WindowBudget] = {}
         self._tasks: set[asyncio.Task[None]] = set()
 
@@ -108,7 +108,7 @@
         return self.catalog.catalog is not None and self.roster.is_loaded
 
     @property
-    def instances(self) -> int:
+    def instance_count(self) -> int:
         """Number of known instances, including this one."""
         return len(self.peer_table.peers) + 1
 
@@ -129,7 +129,7 @@
         ]
         return usable or live
 
-    def has_other(self, endpoint: Entry, now: float) -> bool:
+    def has_alternative(self, endpoint: Entry, now: float) -> bool:
         """Whether another endpoint could take a request that one refuses."""
         return any(
             one.name != endpoint.name
@@ -153,7 +153,7 @@
                 {name_start(listing.entry) for listing in listings}
             )
 
-    def budget_of(self, service: str) -> WindowBudget:
+    def get_retry_budget(self, service: str) -> WindowBudget:
         """Return the retry budget of a service.
 
         The operators bound the retries of all instances together, so each
@@ -161,7 +161,7 @@
         theirs or not.
         """
         bounds = self.settings.bounds
-        instances = max(self.instances, _MIN_INSTANCES)
+        instances = max(self.instance_count, _MIN_INSTANCES)
         slack = bounds.retry_slack * _BUDGET_SHARE / instances
         budget = self._budgets.get(service)
         if budget is None:
@@ -175,14 +175,14 @@
         budget.slack = slack
         return budget
 
-    def find_waited(self, route: str, wait_s: float) -> float:
+    def estimate_earlier_wait(self, route: str, wait_s: float) -> float:
         """Estimate how long a caller has waited in earlier attempts.
 
         Callers of a route wait for about the same time, and a returning caller
         states a much shorter wait than the longest one seen.
         """
-        longest = max(self.patience.get(route, 0), wait_s)
-        self.patience[route] = longest
+        longest = max(self.longest_waits.get(route, 0), wait_s)
+        self.longest_waits[route] = longest
         waited_s = longest - wait_s
         return waited_s if waited_s > longest * _MIN_WAITED_SHARE else 0
 
--- a/packages/verbenahall/src/verbenahall/gateway/_fleet_state_log.py
+++ b/packages/verbenahall/src/verbenahall/gateway/_fleet_state_log.py
@@ -38,7 +38,7 @@
             version=catalog.version if catalog else None,
             age_s=round(core.find_age(now), _DECIMALS),
             endpoints=len(core.roster.listings),
-            instances=core.instances,
+            instances=core.instance_count,
             unreachable=core.endpoint_health.list_unreachable(now),
             peers=core.placement.ledger.speakers,
             read_start_s=round(speed.start_s, _DECIMALS),
--- a/packages/verbenahall/src/verbenahall/gateway/_ingress.py
+++ b/packages/verbenahall/src/verbenahall/gateway/_ingress.py
@@ -70,7 +70,7 @@
         call: Call,
     ) -> web.StreamResponse:
         self._log_accepted(call)
-        self._core.budget_of(call.service.name).earn()
+        self._core.get_retry_budget(call.service.name).earn()
         try:
             response = await self._start_flow(request, call)
         except (ConnectionError, asyncio.CancelledError):
@@ -161,7 +161,7 @@
         wait_s = route.timeout_s
         waited_s: float = 0
         if ask.wait_s is not None:
-            waited_s = self._core.find_waited(route.name, ask.wait_s)
+            waited_s = self._core.estimate_earlier_wait(route.name, ask.wait_s)
             wait_s = min(wait_s, ask.wait_s)
         return self._check_quarantine(
             Call(
--- a/packages/verbenahall/src/verbenahall/gateway/_permits.py
+++ b/packages/verbenahall/src/verbenahall/gateway/_permits.py
@@ -76,7 +76,7 @@
         if current is None:
             return None
         # If another endpoint can take the request, it doesn't wait here.
-        has_alternative = self._core.has_other(endpoint, self._core.now())
+        has_alternative = self._core.has_alternative(endpoint, self._core.now())
         longest_s = 0 if has_alternative else left_s * _MAX_WAIT_SHARE
         response = await self._request_permit(
             endpoint,
