--- a/packages/verbenahall/src/verbenahall/gateway/_core.py
+++ b/packages/verbenahall/src/verbenahall/gateway/_core.py
@@ -16,7 +16,7 @@
     NoLimiter,
     NoObserver,
     RateLimiter,
-    name_start,
+    format_incarnation,
 )
 from verbenahall.gateway._endpoint_health import EndpointHealthTable
 from verbenahall.peers import PeerTable
@@ -150,7 +150,7 @@
         if not self.rates.is_empty:
             listings = self.roster.listings.values()
             self.rates.retain(
-                {name_start(listing.entry) for listing in listings}
+                {format_incarnation(listing.entry) for listing in listings}
             )
 
     def get_retry_budget(self, service: str) -> WindowBudget:
--- a/packages/verbenahall/src/verbenahall/gateway/_crash_reports.py
+++ b/packages/verbenahall/src/verbenahall/gateway/_crash_reports.py
@@ -32,7 +32,7 @@
 
 
 @final
-class CrashReports:
+class CrashLogReplicator:
     """Keeps the crash logs of all instances consistent."""
 
     __slots__ = (
@@ -73,10 +73,10 @@
             self._store_sync_until = self._core.now() + _STORE_SYNC_S
         self._core.spawn(self._broadcast_repeatedly(report))
 
-    def note_answered(self, fingerprint: str) -> None:
+    def record_answered(self, fingerprint: str) -> None:
         """Record that a request received a complete response."""
         log = self._core.crash_log
-        if quarantine.note_answered(log, fingerprint, self._core.now()):
+        if quarantine.record_answered(log, fingerprint, self._core.now()):
             journal.write_decision('suspect_cleared', fingerprint=fingerprint)
             self._broadcast(quarantine.CrashReport(answered={fingerprint: 0}))
 
--- a/packages/verbenahall/src/verbenahall/gateway/_crashes.py
+++ b/packages/verbenahall/src/verbenahall/gateway/_crashes.py
@@ -6,9 +6,9 @@
 
 from verbenahall import journal
 from verbenahall.gateway._core import Core
-from verbenahall.gateway._crash_reports import CrashReports
-from verbenahall.gateway._hooks import name_start
-from verbenahall.gateway._probes import Contact, contact
+from verbenahall.gateway._crash_reports import CrashLogReplicator
+from verbenahall.gateway._hooks import format_incarnation
+from verbenahall.gateway._probes import ConnectOutcome, try_connect
 from verbenahall.quarantine import Crash
 from verbenahall.roster import Entry
 
@@ -37,7 +37,7 @@
 
 
 @final
-class CrashWatch:
+class CrashDetector:
     """Distinguishes crashes of endpoints from other lost connections.
 
     A connection may also be lost because of the network, or because an
@@ -45,13 +45,13 @@
     if it is listed as serving and refuses a new connection.
     """
 
-    __slots__ = ('_core', '_losses', '_reports')
+    __slots__ = ('_core', '_losses', '_replicator')
 
-    def __init__(self, core: Core, reports: CrashReports) -> None:
+    def __init__(self, core: Core, replicator: CrashLogReplicator) -> None:
         """Install the detector as the core's observer."""
         self._core = core
         self._losses: dict[str, _LostConnections] = {}
-        self._reports = reports
+        self._replicator = replicator
         core.observer = self
 
     async def run(self) -> None:
@@ -60,12 +60,12 @@
             await asyncio.sleep(_CLEANUP_INTERVAL_S)
             self._remove_expired(self._core.now())
 
-    def note_lost(self, fingerprint: str, endpoint: Entry) -> None:
+    def record_lost_connection(self, fingerprint: str, endpoint: Entry) -> None:
         """Record a connection that was lost while a request was open."""
         core = self._core
         if not core.roster.is_live(endpoint.name, core.now()):
             return
-        incarnation = name_start(endpoint)
+        incarnation = format_incarnation(endpoint)
         losses = self._losses.get(incarnation)
         if losses is None:
             losses = _LostConnections(core.now(), set())
@@ -77,16 +77,16 @@
         if losses.crashed:
             self._report_new(incarnation, losses)
 
-    def note_answered(self, fingerprint: str) -> None:
+    def record_answered(self, fingerprint: str) -> None:
         """Record that a request received a complete response."""
-        self._reports.note_answered(fingerprint)
+        self._replicator.record_answered(fingerprint)
 
     async def _check_endpoint(
         self, incarnation: str, address: str, losses: _LostConnections
     ) -> None:
         """Connect to an endpoint; report a crash if it refuses."""
-        outcome = await contact(address)
-        losses.crashed = outcome is Contact.REFUSES
+        outcome = await try_connect(address)
+        losses.crashed = outcome is ConnectOutcome.REFUSES
         if losses.crashed:
             await asyncio.sleep(_SETTLE_S)
             self._report_new(incarnation, losses)
@@ -104,7 +104,7 @@
         unreported = losses.fingerprints - losses.reported
         losses.reported = frozenset(losses.fingerprints)
         age_s = self._core.now() - losses.lost_at
-        self._reports.report(
+        self._replicator.report(
             Crash(incarnation, age_s, tuple(sorted(unreported)))
         )
 
--- a/packages/verbenahall/src/verbenahall/gateway/_generation.py
+++ b/packages/verbenahall/src/verbenahall/gateway/_generation.py
@@ -182,7 +182,7 @@
         timing = ended.timing
         now = self._core.now()
         self._sender.record_outcome(plan.generator, good=True)
-        self._core.observer.note_answered(call.fingerprint)
+        self._core.observer.record_answered(call.fingerprint)
         placement = self._core.placement
         placement.note_kept(plan.generator, call.ask.work, call.service)
         if ended.step_s:
--- a/packages/verbenahall/src/verbenahall/gateway/_hooks.py
+++ b/packages/verbenahall/src/verbenahall/gateway/_hooks.py
@@ -50,10 +50,10 @@
 class CrashObserver(Protocol):
     """Receives lost connections and complete responses of requests."""
 
-    def note_lost(self, fingerprint: str, endpoint: Entry) -> None:
+    def record_lost_connection(self, fingerprint: str, endpoint: Entry) -> None:
         """Record a connection that was lost while a request was open."""
 
-    def note_answered(self, fingerprint: str) -> None:
+    def record_answered(self, fingerprint: str) -> None:
         """Record that a request received a complete response."""
 
 
@@ -63,13 +63,13 @@
 
     __slots__ = ()
 
-    def note_lost(self, fingerprint: str, endpoint: Entry) -> None:
+    def record_lost_connection(self, fingerprint: str, endpoint: Entry) -> None:
         """Ignore the lost connection."""
 
-    def note_answered(self, fingerprint: str) -> None:
+    def record_answered(self, fingerprint: str) -> None:
         """Ignore the response."""
 
 
-def name_start(endpoint: Entry) -> str:
+def format_incarnation(endpoint: Entry) -> str:
     """Return a name that identifies this incarnation of an endpoint."""
     return f'{endpoint.name}/{endpoint.born}'
--- a/packages/verbenahall/src/verbenahall/gateway/_orders.py
+++ b/packages/verbenahall/src/verbenahall/gateway/_orders.py
@@ -13,7 +13,7 @@
 from verbenahall.fleet import Role
 from verbenahall.gateway._core import Core
 from verbenahall.gateway._duty_leases import find_separation_s, make_lease
-from verbenahall.gateway._hooks import name_start
+from verbenahall.gateway._hooks import format_incarnation
 from verbenahall.peers import find_rank
 from verbenahall.placement import RoleChange, plan_roles
 from verbenahall.platform import RoleOrder
@@ -159,7 +159,7 @@
         unthrottled = [
             entry
             for entry in engines
-            if not core.rates.is_limited(name_start(entry))
+            if not core.rates.is_limited(format_incarnation(entry))
         ]
         return plan_roles(unthrottled or engines, stream_counts, lost)
 
--- a/packages/verbenahall/src/verbenahall/gateway/_permits.py
+++ b/packages/verbenahall/src/verbenahall/gateway/_permits.py
@@ -13,7 +13,7 @@
 
 from verbenahall import journal, metrics, throttling
 from verbenahall.gateway._core import Core
-from verbenahall.gateway._hooks import name_start
+from verbenahall.gateway._hooks import format_incarnation
 from verbenahall.peers import PeerExchange
 from verbenahall.platform import AnswerFacts
 from verbenahall.requests import Limited
@@ -64,14 +64,14 @@
             await asyncio.sleep(_ANNOUNCE_INTERVAL_S)
             local_name = Some(self._core.peer_table.name)
             for endpoint in _list_limited(self._core):
-                incarnation = name_start(endpoint)
+                incarnation = format_incarnation(endpoint)
                 if self._find_limiter(endpoint) == local_name:
                     rate = self._table.rates[incarnation].rate
                     self._broadcast(throttling.RateNotice(incarnation, rate))
 
     async def acquire(self, endpoint: Entry, left_s: float) -> Limited | None:
         """Wait for a permit; return Limited if that would take too long."""
-        incarnation = name_start(endpoint)
+        incarnation = format_incarnation(endpoint)
         current = self._table.rates.get(incarnation)
         if current is None:
             return None
@@ -110,7 +110,7 @@
         """Record the rate that a response advertises, or that it has none."""
         if facts.misdirected:
             return
-        incarnation = name_start(endpoint)
+        incarnation = format_incarnation(endpoint)
         if not facts.rates:
             if throttling.record_no_rate(self._table, incarnation, sent_at):
                 self._announce_change(incarnation, 0, 'none')
@@ -201,7 +201,7 @@
         return throttling.choose_limiter(
             self._table,
             self._core.peer_table,
-            name_start(endpoint),
+            format_incarnation(endpoint),
             endpoint.data_centre,
             self._core.now(),
         )
@@ -231,5 +231,5 @@
     return [
         listing.entry
         for listing in core.roster.listings.values()
-        if core.rates.is_limited(name_start(listing.entry))
+        if core.rates.is_limited(format_incarnation(listing.entry))
     ]
--- a/packages/verbenahall/src/verbenahall/gateway/_probes.py
+++ b/packages/verbenahall/src/verbenahall/gateway/_probes.py
@@ -16,7 +16,7 @@
 
 
 @final
-class Contact(enum.Enum):
+class ConnectOutcome(enum.Enum):
     """The outcome of an attempt to connect to an endpoint.
 
     A machine refuses at once if no process listens on the port. No response
@@ -28,18 +28,18 @@
     SILENT = 'silent'
 
 
-async def contact(address: str) -> Contact:
+async def try_connect(address: str) -> ConnectOutcome:
     """Connect to an endpoint, close the connection, return the outcome."""
     host, _, port = address.rpartition(':')
     try:
         async with asyncio.timeout(_CONNECT_TIMEOUT_S):
             _, writer = await asyncio.open_connection(host, int(port))
     except ConnectionRefusedError:
-        return Contact.REFUSES
+        return ConnectOutcome.REFUSES
     except OSError:
-        return Contact.SILENT
+        return ConnectOutcome.SILENT
     writer.close()
-    return Contact.LISTENS
+    return ConnectOutcome.LISTENS
 
 
 @final
@@ -65,6 +65,6 @@
         listing = self._core.roster.listings.get(name)
         if listing is None:
             return
-        if await contact(listing.entry.address) is Contact.LISTENS:
+        if await try_connect(listing.entry.address) is ConnectOutcome.LISTENS:
             self._core.endpoint_health.record_reachable(name)
             journal.write_decision('endpoint_reached', endpoint=name)
--- a/packages/verbenahall/src/verbenahall/gateway/_sender.py
+++ b/packages/verbenahall/src/verbenahall/gateway/_sender.py
@@ -166,7 +166,7 @@
         good = response.status < HTTPStatus.INTERNAL_SERVER_ERROR
         self.record_outcome(endpoint, good=good)
         if must_be_signed and good:
-            self._core.observer.note_answered(call.fingerprint)
+            self._core.observer.record_answered(call.fingerprint)
         return Success(
             Answered(
                 response.status,
@@ -195,7 +195,9 @@
             return TimedOut()
         if not isinstance(error, TimeoutError):
             self._log_lost_connection(call, endpoint)
-            self._core.observer.note_lost(call.fingerprint, endpoint)
+            self._core.observer.record_lost_connection(
+                call.fingerprint, endpoint
+            )
         return Broken(repr(error))
 
     async def _check_sendable(
--- a/packages/verbenahall/src/verbenahall/gateway/_serve.py
+++ b/packages/verbenahall/src/verbenahall/gateway/_serve.py
@@ -16,8 +16,8 @@
 from verbenahall.gateway._admission import Admissions
 from verbenahall.gateway._fleet_state_log import FleetStateLog
 from verbenahall.gateway._core import Core
-from verbenahall.gateway._crash_reports import CrashReports
-from verbenahall.gateway._crashes import CrashWatch
+from verbenahall.gateway._crash_reports import CrashLogReplicator
+from verbenahall.gateway._crashes import CrashDetector
 from verbenahall.gateway._dispatch import Dispatch
 from verbenahall.gateway._record_handlers import make_followers
 from verbenahall.gateway._ingress import Ingress
@@ -78,8 +78,12 @@
         self.finder = PeerFinder(self.core)
         self.scheduling = Scheduling(self.core, self.finder.exchange)
         self.scheduling.scheduler.stopping = self._is_stopping
-        self.reports = CrashReports(self.core, self.finder.exchange)
-        self.crashes = CrashWatch(self.core, self.reports)
+        self.crash_log_replicator = CrashLogReplicator(
+            self.core, self.finder.exchange
+        )
+        self.crash_detector = CrashDetector(
+            self.core, self.crash_log_replicator
+        )
         self.permits = Permits(self.core, self.finder.exchange)
         followers = make_followers(self.core, self.finder.exchange)
         self._followers = {one.handler.topic: one for one in followers}
@@ -140,8 +144,8 @@
             'scheduler': self.scheduling.scheduler.run,
             'roles': role_controller.run,
             'readiness': readiness.run,
-            'crashes': self.crashes.run,
-            'crash reports': self.reports.run,
+            'crashes': self.crash_detector.run,
+            'crash reports': self.crash_log_replicator.run,
             'permits': self.permits.run,
             'probes': EndpointProber(self.core).run,
             'beliefs': FleetStateLog(self.core).run,
--- a/packages/verbenahall/src/verbenahall/quarantine/__init__.py
+++ b/packages/verbenahall/src/verbenahall/quarantine/__init__.py
@@ -12,7 +12,7 @@
     list_recent,
     list_repeated,
     merge,
-    note_answered,
+    record_answered,
     record_crash,
     remove_expired,
 )
@@ -39,7 +39,7 @@
     'list_repeated',
     'make_fingerprint',
     'merge',
-    'note_answered',
+    'record_answered',
     'record_crash',
     'remove_expired',
     'split',
--- a/packages/verbenahall/src/verbenahall/quarantine/_decisions.py
+++ b/packages/verbenahall/src/verbenahall/quarantine/_decisions.py
@@ -36,7 +36,7 @@
     return log.touch(fingerprint).add(incarnation, at)
 
 
-def note_answered(log: CrashLog, fingerprint: str, at: float) -> bool:
+def record_answered(log: CrashLog, fingerprint: str, at: float) -> bool:
     """Record a complete response; True if it clears a suspect of its crashes.
 
     A request that a caller sends all the time is running whenever an endpoint
@@ -71,7 +71,7 @@
         if record_crash(log, crash.incarnation, fingerprint, now - crash.age_s)
     )
     for fingerprint, age_s in report.answered.items():
-        note_answered(log, fingerprint, now - age_s)
+        record_answered(log, fingerprint, now - age_s)
     return changed
 
 
--- a/packages/verbenahall/tests/drains/crashing_fleet.py
+++ b/packages/verbenahall/tests/drains/crashing_fleet.py
@@ -11,8 +11,8 @@
 
 from verbenahall.catalog import Kind
 from verbenahall.gateway import _crashes as crashes
-from verbenahall.gateway._crash_reports import CrashReports
-from verbenahall.gateway._probes import Contact
+from verbenahall.gateway._crash_reports import CrashLogReplicator
+from verbenahall.gateway._probes import ConnectOutcome
 from verbenahall.quarantine import find_quarantine_s, make_fingerprint
 
 from .fleet import ROUTE, Fleet
@@ -50,8 +50,8 @@
         self.store.put('keyed.crashes', 'nobody', b'')
         await super().open()
         for instance in self.instances.values():
-            reports = CrashReports(instance.core, instance.exchange)
-            watch = crashes.CrashWatch(instance.core, reports)
+            reports = CrashLogReplicator(instance.core, instance.exchange)
+            watch = crashes.CrashDetector(instance.core, reports)
             for loop in (reports.run(), watch.run()):
                 self._watching.append(asyncio.create_task(loop))
 
@@ -100,11 +100,15 @@
         loop.call_later(3, self.remove, name)
         return True
 
-    async def contact(self, address):
+    async def try_connect(self, address):
         """Try to connect to an endpoint."""
         await asyncio.sleep(0.002)
         name = self.find_endpoint(address.partition(':')[0])
-        return Contact.REFUSES if name in self._down else Contact.LISTENS
+        return (
+            ConnectOutcome.REFUSES
+            if name in self._down
+            else ConnectOutcome.LISTENS
+        )
 
     async def ask(self, instance, path):
         """Ask once, as a caller whose request is told by its path."""
@@ -176,7 +180,7 @@
     draw = random.Random(seed)
     fleet = CrashingFleet(seed, draw.randint(4, 9))
     fleet.stable_s = 3
-    with mock.patch.object(crashes, 'contact', fleet.contact):
+    with mock.patch.object(crashes, 'try_connect', fleet.try_connect):
         await fleet.open()
         await asyncio.sleep(3)
         trouble = asyncio.create_task(harm(fleet, draw))
--- a/packages/verbenahall/tests/gateway/test_roles.py
+++ b/packages/verbenahall/tests/gateway/test_roles.py
@@ -3,7 +3,7 @@
 import dataclasses
 
 from verbenahall.fleet import Role
-from verbenahall.gateway._hooks import name_start
+from verbenahall.gateway._hooks import format_incarnation
 from verbenahall.gateway._orders import _RoleObserver
 from verbenahall.roster import Entry
 from verbenahall.throttling import record_rate
@@ -54,7 +54,7 @@
             for engine in engines[4:]:
                 listing = core.roster.listings[engine.name]
                 record_rate(
-                    core.rates, name_start(listing.entry), 2, core.now()
+                    core.rates, format_incarnation(listing.entry), 2, core.now()
                 )
             await desk.until(
                 lambda: any(one.orders for one in engines[:4]),
--- a/packages/verbenahall/tests/quarantine/test_crash_log.py
+++ b/packages/verbenahall/tests/quarantine/test_crash_log.py
@@ -11,7 +11,7 @@
     encode,
     find_quarantine_s,
     merge,
-    note_answered,
+    record_answered,
     record_crash,
     remove_expired,
     split,
@@ -47,7 +47,7 @@
     log = CrashLog()
     for number in range(20):
         crash(log, 'f', f'e{number}', at=number)
-        assert note_answered(log, 'f', number + 0.5)
+        assert record_answered(log, 'f', number + 0.5)
         assert not find_quarantine_s(log, 'f', number + 1)
 
 
