--- a/packages/verbenahall/src/verbenahall/authentication/__init__.py
+++ b/packages/verbenahall/src/verbenahall/authentication/__init__.py
@@ -4,9 +4,9 @@
     KeyHistory,
     authenticate,
     is_retired,
-    note_replaced,
+    record_retired,
 )
-from verbenahall.authentication._lookups import KeyLookups
+from verbenahall.authentication._refresh import KeyRefresher
 from verbenahall.authentication._messages import (
     KeyTable,
     Workspace,
@@ -16,12 +16,12 @@
 
 __all__ = (
     'KeyHistory',
-    'KeyLookups',
+    'KeyRefresher',
     'KeyTable',
     'Workspace',
     'authenticate',
     'build_key_table',
     'digest_key',
     'is_retired',
-    'note_replaced',
+    'record_retired',
 )
--- a/packages/verbenahall/src/verbenahall/authentication/_decisions.py
+++ b/packages/verbenahall/src/verbenahall/authentication/_decisions.py
@@ -42,7 +42,7 @@
     return Success(holder)
 
 
-def note_replaced(
+def record_retired(
     history: KeyHistory,
     before: KeyTable | None,
     after: KeyTable | None,
--- a/packages/verbenahall/src/verbenahall/authentication/_lookups.py
+++ b/packages/verbenahall/src/verbenahall/authentication/_refresh.py
@@ -12,7 +12,7 @@
 
 
 @final
-class KeyLookups:
+class KeyRefresher:
     """Limits the calls to the store that unknown keys cause.
 
     ``refresh`` reads newer manifests from the store.
@@ -31,7 +31,7 @@
         self._clock = now
         self._refresh = refresh
 
-    async def look(self) -> bool:
+    async def refresh(self) -> bool:
         """Refresh the keys, sharing a call in progress.
 
         Return False without a call if the last one was too recent.
--- a/packages/verbenahall/src/verbenahall/catalog/_state.py
+++ b/packages/verbenahall/src/verbenahall/catalog/_state.py
@@ -2,7 +2,7 @@
 
 from typing import final
 
-from verbenahall.authentication import KeyHistory, note_replaced
+from verbenahall.authentication import KeyHistory, record_retired
 from verbenahall.catalog._messages import Catalog
 
 
@@ -31,6 +31,6 @@
     known = state.catalog
     if known is not None and catalog.version <= known.version:
         return False
-    note_replaced(state.keys, known.keys if known else None, catalog.keys)
+    record_retired(state.keys, known.keys if known else None, catalog.keys)
     state.catalog = catalog
     return True
--- a/packages/verbenahall/src/verbenahall/gateway/_admission.py
+++ b/packages/verbenahall/src/verbenahall/gateway/_admission.py
@@ -8,7 +8,7 @@
 from returns.result import Failure, Result, Success
 
 from verbenahall.authentication import (
-    KeyLookups,
+    KeyRefresher,
     Workspace,
     authenticate,
     is_retired,
@@ -33,15 +33,15 @@
 
 
 @final
-class Admissions:
+class RequestAdmitter:
     """Admits requests by the newest manifest that was read."""
 
-    __slots__ = ('_core', '_lookups')
+    __slots__ = ('_core', '_key_refresher')
 
-    def __init__(self, core: Core, lookups: KeyLookups) -> None:
+    def __init__(self, core: Core, key_refresher: KeyRefresher) -> None:
         """Look unknown keys up in the store before they are refused."""
         self._core = core
-        self._lookups = lookups
+        self._key_refresher = key_refresher
 
     async def admit(
         self,
@@ -51,7 +51,7 @@
         """Return the route and the workspace, or why the request is refused."""
         found = _find_admission(self._core, request, ask)
         if _may_be_stale(self._core, ask, found):
-            if await self._lookups.look():
+            if await self._key_refresher.refresh():
                 found = _find_admission(self._core, request, ask)
         return found
 
--- a/packages/verbenahall/src/verbenahall/gateway/_hooks.py
+++ b/packages/verbenahall/src/verbenahall/gateway/_hooks.py
@@ -20,7 +20,7 @@
         ``left_s`` is the time left for the response, in seconds.
         """
 
-    def note_answer(
+    def record_answer(
         self,
         endpoint: Entry,
         facts: AnswerFacts,
@@ -38,7 +38,7 @@
     async def acquire(self, endpoint: Entry, left_s: float) -> Limited | None:
         """Permit the send at once."""
 
-    def note_answer(
+    def record_answer(
         self,
         endpoint: Entry,
         facts: AnswerFacts,
--- a/packages/verbenahall/src/verbenahall/gateway/_ingress.py
+++ b/packages/verbenahall/src/verbenahall/gateway/_ingress.py
@@ -11,13 +11,13 @@
 from verbenahall.errors import ErrorKind, Problem, Ran
 from verbenahall.gateway._admission import (
     Admission,
-    Admissions,
+    RequestAdmitter,
     read_host,
 )
 from verbenahall.gateway._answers import build_problem_response
 from verbenahall.gateway._core import Core
 from verbenahall.gateway._dispatch import Dispatch
-from verbenahall.gateway._limits import read_within
+from verbenahall.gateway._limits import read_limited_body
 from verbenahall.gateway._messages import Call
 from verbenahall.gateway._plain import PlainFlow
 from verbenahall.gateway._sender import Sender
@@ -36,18 +36,18 @@
 class Ingress:
     """Handles callers' requests; each one is answered exactly once."""
 
-    __slots__ = ('_admissions', '_core', '_dispatch', '_sender', '_stop')
+    __slots__ = ('_admitter', '_core', '_dispatch', '_sender', '_stop')
 
     def __init__(
         self,
         core: Core,
         stop: GracefulStop,
         dispatch: Dispatch,
-        admissions: Admissions,
+        admitter: RequestAdmitter,
     ) -> None:
         """Route by the state of ``core``, until ``stop`` ends the process."""
         self._core = core
-        self._admissions = admissions
+        self._admitter = admitter
         self._stop = stop
         self._sender = Sender(core)
         self._dispatch = dispatch
@@ -135,7 +135,7 @@
                 ),
             )
         await self._core.freshness[OPERATOR_TOPIC].wait_usable()
-        found = await self._admissions.admit(request, ask)
+        found = await self._admitter.admit(request, ask)
         match found:
             case Success(admission):
                 return await self._read(request, ask, received, admission)
@@ -150,7 +150,7 @@
         admission: Admission,
     ) -> Result[Call, Problem]:
         catalog, route = admission.catalog, admission.route
-        read = await read_within(request, catalog.limits)
+        read = await read_limited_body(request, catalog.limits)
         if isinstance(read, Failure):
             return read
         body = read.unwrap()
--- a/packages/verbenahall/src/verbenahall/gateway/_limits.py
+++ b/packages/verbenahall/src/verbenahall/gateway/_limits.py
@@ -13,7 +13,7 @@
 _SEPARATOR_BYTES: Final = len(': \r\n')
 
 
-async def read_within(
+async def read_limited_body(
     request: web.Request,
     limits: Limits,
 ) -> Result[bytes, Problem]:
--- a/packages/verbenahall/src/verbenahall/gateway/_permits.py
+++ b/packages/verbenahall/src/verbenahall/gateway/_permits.py
@@ -35,7 +35,7 @@
 
 
 @final
-class Permits:
+class DistributedRateLimiter:
     """Enforces the rates that endpoints advertise, together with the peers."""
 
     __slots__ = (
@@ -101,7 +101,7 @@
                 )
                 return Limited(wait_s)
 
-    def note_answer(
+    def record_answer(
         self,
         endpoint: Entry,
         facts: AnswerFacts,
--- a/packages/verbenahall/src/verbenahall/gateway/_sender.py
+++ b/packages/verbenahall/src/verbenahall/gateway/_sender.py
@@ -285,7 +285,7 @@
         sent_at: float,
     ) -> Opened:
         facts = read_answer(response.status, response.headers)
-        self._core.limiter.note_answer(endpoint, facts, sent_at)
+        self._core.limiter.record_answer(endpoint, facts, sent_at)
         if not facts.not_run:
             return Success(response)
         if not order.kv_source:
--- a/packages/verbenahall/src/verbenahall/gateway/_serve.py
+++ b/packages/verbenahall/src/verbenahall/gateway/_serve.py
@@ -10,10 +10,10 @@
 from aiohttp import web
 
 from verbenahall import journal, metrics
-from verbenahall.authentication import KeyLookups
+from verbenahall.authentication import KeyRefresher
 from verbenahall.config import LimitsConfig
 from verbenahall.front import Patience, Runner
-from verbenahall.gateway._admission import Admissions
+from verbenahall.gateway._admission import RequestAdmitter
 from verbenahall.gateway._fleet_state_log import FleetStateLog
 from verbenahall.gateway._core import Core
 from verbenahall.gateway._crash_reports import CrashLogReplicator
@@ -23,7 +23,7 @@
 from verbenahall.gateway._ingress import Ingress
 from verbenahall.gateway._orders import RoleController
 from verbenahall.gateway._peers import PeerFinder
-from verbenahall.gateway._permits import Permits
+from verbenahall.gateway._permits import DistributedRateLimiter
 from verbenahall.gateway._probes import EndpointProber
 from verbenahall.gateway._readiness import Readiness
 from verbenahall.gateway._refresh import Refresher
@@ -84,7 +84,9 @@
         self.crash_detector = CrashDetector(
             self.core, self.crash_log_replicator
         )
-        self.permits = Permits(self.core, self.finder.exchange)
+        self.rate_limiter = DistributedRateLimiter(
+            self.core, self.finder.exchange
+        )
         followers = make_followers(self.core, self.finder.exchange)
         self._followers = {one.handler.topic: one for one in followers}
         self._usage = make_usage_exchange(self.core, self.finder.exchange)
@@ -118,13 +120,13 @@
         journal.flush()
 
     def _make_ingress(self) -> Ingress:
-        lookups = KeyLookups(
+        key_refresher = KeyRefresher(
             self._followers[OPERATOR_TOPIC].refresh,
             self.core.now,
         )
         dispatch = Dispatch(self.core, self.scheduling.assignments)
-        admissions = Admissions(self.core, lookups)
-        return Ingress(self.core, self.stop, dispatch, admissions)
+        admitter = RequestAdmitter(self.core, key_refresher)
+        return Ingress(self.core, self.stop, dispatch, admitter)
 
     def _is_stopping(self) -> bool:
         return self.stop.stopping
@@ -146,7 +148,7 @@
             'readiness': readiness.run,
             'crashes': self.crash_detector.run,
             'crash reports': self.crash_log_replicator.run,
-            'permits': self.permits.run,
+            'permits': self.rate_limiter.run,
             'probes': EndpointProber(self.core).run,
             'beliefs': FleetStateLog(self.core).run,
             'lines': _flush_log,
--- a/packages/verbenahall/tests/authentication/test_keys.py
+++ b/packages/verbenahall/tests/authentication/test_keys.py
@@ -7,13 +7,13 @@
 
 from verbenahall.authentication import (
     KeyHistory,
-    KeyLookups,
+    KeyRefresher,
     Workspace,
     authenticate,
     build_key_table,
     digest_key,
     is_retired,
-    note_replaced,
+    record_retired,
 )
 from verbenahall.errors import ErrorKind
 
@@ -62,13 +62,13 @@
 def test_retired_keys_are_kept_until_they_are_valid_again():
     history = KeyHistory()
     later = build_key_table([(CLUB, ['three', 'four'])])
-    note_replaced(history, TABLE, later)
+    record_retired(history, TABLE, later)
     assert is_retired(history, digest_key('one'))
     assert not is_retired(history, digest_key('three'))
-    note_replaced(history, later, TABLE)
+    record_retired(history, later, TABLE)
     assert not is_retired(history, digest_key('one'))
     assert is_retired(history, digest_key('four'))
-    note_replaced(history, TABLE, None)
+    record_retired(history, TABLE, None)
     assert is_retired(history, digest_key('three'))
 
 
@@ -95,15 +95,17 @@
             return True
 
         clock = Clock()
-        lookups = KeyLookups(refresh, clock)
-        waiting = [asyncio.create_task(lookups.look()) for _ in range(5)]
+        key_refresher = KeyRefresher(refresh, clock)
+        waiting = [
+            asyncio.create_task(key_refresher.refresh()) for _ in range(5)
+        ]
         await asyncio.sleep(0)
         waiting[0].cancel()
         answer.set()
         assert all(await asyncio.gather(*waiting[1:]))
-        assert not await lookups.look()
+        assert not await key_refresher.refresh()
         clock.seconds += 1
-        assert await lookups.look()
+        assert await key_refresher.refresh()
         assert len(calls) == 2
 
     asyncio.run(check())
--- a/packages/verbenahall/tests/drains/keyed_fleet.py
+++ b/packages/verbenahall/tests/drains/keyed_fleet.py
@@ -4,9 +4,9 @@
 import json
 from types import SimpleNamespace
 
-from verbenahall.authentication import KeyLookups, digest_key
+from verbenahall.authentication import KeyRefresher, digest_key
 from verbenahall.catalog import Service
-from verbenahall.gateway._admission import Admissions
+from verbenahall.gateway._admission import RequestAdmitter
 from verbenahall.gateway._messages import Call
 from verbenahall.gateway._plain import PlainFlow
 from verbenahall.gateway._sender import Sender
@@ -55,7 +55,7 @@
         self.stale = []
         self.denied = []
         self.served = 0
-        self._admissions = {}
+        self._admitters = {}
         self._version = 0
 
     async def open(self):
@@ -67,8 +67,10 @@
         for name, instance in self.instances.items():
             operator = instance.followers[0]
             assert operator.handler.topic == OPERATOR_TOPIC
-            lookups = KeyLookups(operator.refresh, instance.core.now)
-            self._admissions[name] = Admissions(instance.core, lookups)
+            key_refresher = KeyRefresher(operator.refresh, instance.core.now)
+            self._admitters[name] = RequestAdmitter(
+                instance.core, key_refresher
+            )
 
     def publish(self):
         """Publish the keys as they are now."""
@@ -124,7 +126,7 @@
             raw_path='/proof/',
             headers={'Host': 'desk.example'},
         )
-        found = await self._admissions[instance.name].admit(request, ask)
+        found = await self._admitters[instance.name].admit(request, ask)
         admission = found.value_or(None)
         if admission is None:
             self._judge_refusal(instance, key, now)
--- a/packages/verbenahall/tests/drains/rated_fleet.py
+++ b/packages/verbenahall/tests/drains/rated_fleet.py
@@ -5,7 +5,7 @@
 import random
 
 from verbenahall.catalog import Kind
-from verbenahall.gateway._permits import Permits
+from verbenahall.gateway._permits import DistributedRateLimiter
 
 from .fleet import ROUTE, Fleet
 from .simulated_network import SimulatedResponse
@@ -39,7 +39,7 @@
         """Start the instances with what asks for permits."""
         await super().open()
         for instance in self.instances.values():
-            permits = Permits(instance.core, instance.exchange)
+            permits = DistributedRateLimiter(instance.core, instance.exchange)
             self._running.append(asyncio.create_task(permits.run()))
 
     async def close(self):
