--- a/packages/verbenahall/src/verbenahall/duties/_lease.py
+++ b/packages/verbenahall/src/verbenahall/duties/_lease.py
@@ -112,7 +112,7 @@
         due = find_claim_time(self._state, self._candidacy, self._timing)
         return max(0, due - self._now())
 
-    def forget(self) -> None:
+    def discard_token(self) -> None:
         """Discard a token that was refused, so that it isn't used again.
 
         The candidate takes a new holder's name. Its old record then counts as
--- a/packages/verbenahall/src/verbenahall/duties/_succession.py
+++ b/packages/verbenahall/src/verbenahall/duties/_succession.py
@@ -71,7 +71,7 @@
             return False
         return await self._claim(now)
 
-    def note_lost(self) -> None:
+    def step_down(self) -> None:
         """Become a standby again after the loss of the lease."""
         self._seen_grant = self._lease.grant.last
         self._should_claim = False
--- a/packages/verbenahall/src/verbenahall/gateway/_orders.py
+++ b/packages/verbenahall/src/verbenahall/gateway/_orders.py
@@ -263,6 +263,6 @@
             status=status,
         )
         if status == HTTPStatus.PRECONDITION_FAILED:
-            self._lease.forget()
+            self._lease.discard_token()
         if status in {HTTPStatus.ACCEPTED, HTTPStatus.OK}:
             metrics.ROLE_CHANGES.inc({'role': change.role.value})
--- a/packages/verbenahall/src/verbenahall/gateway/_scaling.py
+++ b/packages/verbenahall/src/verbenahall/gateway/_scaling.py
@@ -10,7 +10,7 @@
 from verbenahall.platform import (
     ENDPOINTS_TOPIC,
     SCALE_DUTY,
-    DutyCalls,
+    DutyClient,
     ProcessSettings,
 )
 from verbenahall.roster import had_store_outage
@@ -18,7 +18,7 @@
     DUTY,
     LEASE_S,
     Scaler,
-    Surroundings,
+    Dependencies,
 )
 
 #: Interval at which standbys check the holder, in seconds; the holder renews
@@ -36,10 +36,10 @@
     settings = core.settings
     lease = make_lease(core, DUTY, LEASE_S)
     return Scaler(
-        Surroundings(
+        Dependencies(
             name=settings.name,
             store=core.store,
-            calls=DutyCalls(core.session, settings.duty_api),
+            calls=DutyClient(core.session, settings.duty_api),
             lease=lease,
             succession=Succession(
                 lease, core.peer_table, core.now, _RENEWAL_PERIOD_S
@@ -48,13 +48,13 @@
             list_engines=lambda name: list(
                 core.roster.list_live(name, core.now())
             ),
-            is_listed=lambda: _is_listed(core),
+            is_list_current=lambda: _is_list_current(core),
             now=core.now,
         ),
     )
 
 
-def _is_listed(core: Core) -> bool:
+def _is_list_current(core: Core) -> bool:
     """Whether the list of engines is fresh and was not interrupted lately."""
     now = core.now()
     freshness = core.freshness[ENDPOINTS_TOPIC]
--- a/packages/verbenahall/src/verbenahall/gateway/_usage.py
+++ b/packages/verbenahall/src/verbenahall/gateway/_usage.py
@@ -4,12 +4,12 @@
 from verbenahall.gateway._core import Core
 from verbenahall.gateway._duty_leases import make_lease
 from verbenahall.peers import PeerExchange
-from verbenahall.platform import USAGE_DUTY, DutyCalls, ProcessSettings
+from verbenahall.platform import USAGE_DUTY, DutyClient, ProcessSettings
 from verbenahall.usage import (
     DUTY,
     LEASE_S,
     Reports,
-    Surroundings,
+    Dependencies,
     UsageExchange,
     UsageReporter,
     Windows,
@@ -42,10 +42,10 @@
     settings = core.settings
     bounds = settings.bounds
     windows = Windows(bounds.usage_window_s, bounds.usage_late_s)
-    calls = DutyCalls(core.session, settings.duty_api)
+    calls = DutyClient(core.session, settings.duty_api)
     lease = make_lease(core, DUTY, LEASE_S)
     return UsageReporter(
-        Surroundings(
+        Dependencies(
             name=settings.name,
             exchange=usage,
             reports=Reports(core.store, calls, windows),
--- a/packages/verbenahall/src/verbenahall/platform/__init__.py
+++ b/packages/verbenahall/src/verbenahall/platform/__init__.py
@@ -20,10 +20,10 @@
     make_session,
 )
 from verbenahall.platform._duties import (
-    DutyCalls,
+    DutyClient,
     DutyOutcome,
     ScaleOrder,
-    Seal,
+    LeaseToken,
 )
 from verbenahall.platform._entries import decode_entry
 from verbenahall.platform._headers import (
@@ -95,7 +95,7 @@
     'CRASHES_TOPIC',
     'ENDPOINTS_TOPIC',
     'EXPECT_ENDPOINT',
-    'DutyCalls',
+    'DutyClient',
     'DutyOutcome',
     'EngineReport',
     'INSTANCES_TOPIC',
@@ -116,7 +116,7 @@
     'SCALE_DUTY',
     'SCALING_TOPIC',
     'ScaleOrder',
-    'Seal',
+    'LeaseToken',
     'SendOrder',
     'StoreClient',
     'USAGE_DUTY',
--- a/packages/verbenahall/src/verbenahall/platform/_duties.py
+++ b/packages/verbenahall/src/verbenahall/platform/_duties.py
@@ -47,7 +47,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Seal:
+class LeaseToken:
     """The lease under which a call is made: holder and fencing token."""
 
     holder: str
@@ -64,7 +64,7 @@
 
 
 @final
-class DutyCalls:
+class DutyClient:
     """Client of the duty calls; each call returns a ``DutyOutcome``."""
 
     __slots__ = ('_base', '_session')
@@ -76,17 +76,17 @@
 
     async def report_usage(
         self,
-        seal: Seal,
+        lease_token: LeaseToken,
         window: int,
         counts: Mapping[str, int],
     ) -> DutyOutcome:
         """Report the requests of each workspace that began in a window."""
         body = {'windowId': window, 'counts': dict(counts)}
-        return await self._call(names.USAGE, seal, body)
+        return await self._call(names.USAGE, lease_token, body)
 
     async def scale(
         self,
-        seal: Seal,
+        lease_token: LeaseToken,
         service: str,
         order: ScaleOrder,
     ) -> DutyOutcome:
@@ -98,18 +98,18 @@
             'desired': order.engines,
             'spot': order.spot,
         }
-        return await self._call(names.SCALE, seal, body)
+        return await self._call(names.SCALE, lease_token, body)
 
     async def _call(
         self,
         path: str,
-        seal: Seal,
+        lease_token: LeaseToken,
         body: dict[str, Any],
     ) -> DutyOutcome:
         headers = {
             'Content-Type': 'application/json',
-            names.DUTY_HOLDER: seal.holder,
-            names.DUTY_TOKEN: str(seal.token),
+            names.DUTY_HOLDER: lease_token.holder,
+            names.DUTY_TOKEN: str(lease_token.token),
         }
         answer = ''
         try:
@@ -131,7 +131,7 @@
         journal.write_decision(
             'duty_call',
             call=path,
-            token=seal.token,
+            token=lease_token.token,
             outcome=outcome.value,
             answer=answer[:_MAX_LOGGED_CHARS],
         )
--- a/packages/verbenahall/src/verbenahall/scaling/__init__.py
+++ b/packages/verbenahall/src/verbenahall/scaling/__init__.py
@@ -1,7 +1,7 @@
 """Scales services: orders on-demand and spot engines by data centre."""
 
 from verbenahall.scaling._messages import CapacityKind, Pool
-from verbenahall.scaling._shell import DUTY, LEASE_S, Scaler, Surroundings
+from verbenahall.scaling._shell import DUTY, LEASE_S, Scaler, Dependencies
 
 __all__ = (
     'DUTY',
@@ -9,5 +9,5 @@
     'CapacityKind',
     'Pool',
     'Scaler',
-    'Surroundings',
+    'Dependencies',
 )
--- a/packages/verbenahall/src/verbenahall/scaling/_shell.py
+++ b/packages/verbenahall/src/verbenahall/scaling/_shell.py
@@ -10,10 +10,10 @@
 from verbenahall.clock import Clock
 from verbenahall.duties import DutyLease, Succession
 from verbenahall.platform import (
-    DutyCalls,
+    DutyClient,
     DutyOutcome,
     ScaleOrder,
-    Seal,
+    LeaseToken,
     StoreClient,
 )
 from verbenahall.roster import Entry
@@ -34,22 +34,22 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Surroundings:
+class Dependencies:
     """Dependencies of the scaler; ``name`` is the instance's.
 
     ``list_rules`` returns the rules of the services that are scaled, and
     ``list_engines`` the engines of a service that may get requests.
-    ``is_listed`` returns whether the store's list of engines is current.
+    ``is_list_current`` returns whether the store's list of engines is current.
     """
 
     name: str
     store: StoreClient
-    calls: DutyCalls
+    calls: DutyClient
     lease: DutyLease
     succession: Succession
     list_rules: Callable[[], Mapping[str, ScalingRules]]
     list_engines: Callable[[str], list[Entry]]
-    is_listed: Callable[[], bool]
+    is_list_current: Callable[[], bool]
     now: Clock
 
 
@@ -65,7 +65,7 @@
         '_dependencies',
     )
 
-    def __init__(self, dependencies: Surroundings) -> None:
+    def __init__(self, dependencies: Dependencies) -> None:
         """Create the scaler; nothing is ordered before ``run``."""
         self._bases = BaseSizes(dependencies.store, dependencies.now)
         self._holds_duty = False
@@ -91,7 +91,7 @@
         # lost engines, all of them would be ordered again.
         if (
             now - self._failed_at < _RETRY_INTERVAL_S
-            or not self._dependencies.is_listed()
+            or not self._dependencies.is_list_current()
         ):
             return
         lease = self._dependencies.lease
@@ -134,9 +134,9 @@
         size: int,
         token: int,
     ) -> None:
-        seal = Seal(self._dependencies.name, token)
+        lease_token = LeaseToken(self._dependencies.name, token)
         outcome = await self._dependencies.calls.scale(
-            seal,
+            lease_token,
             service,
             ScaleOrder(pool.data_centre, size, pool.kind is CapacityKind.SPOT),
         )
@@ -157,7 +157,7 @@
             case DutyOutcome.FENCED if (
                 self._dependencies.lease.token() != token
             ):
-                self._dependencies.lease.forget()
+                self._dependencies.lease.discard_token()
                 self._step_down('a higher token was seen')
             case DutyOutcome.FENCED | DutyOutcome.REJECTED:
                 # The lease is still held, so the pool has no capacity.
@@ -168,7 +168,7 @@
     def _step_down(self, reason: str) -> None:
         journal.write_decision('duty_lost', duty=DUTY, reason=reason)
         self._holds_duty = False
-        self._dependencies.succession.note_lost()
+        self._dependencies.succession.step_down()
 
 
 def _count(engines: list[Entry]) -> Sizes:
--- a/packages/verbenahall/src/verbenahall/usage/__init__.py
+++ b/packages/verbenahall/src/verbenahall/usage/__init__.py
@@ -7,7 +7,7 @@
 from verbenahall.usage._reports import Reports
 from verbenahall.usage._shell import (
     LEASE_S,
-    Surroundings,
+    Dependencies,
     UsageReporter,
 )
 
@@ -15,7 +15,7 @@
     'DUTY',
     'LEASE_S',
     'Reports',
-    'Surroundings',
+    'Dependencies',
     'TrueClock',
     'UsageExchange',
     'UsageMeter',
--- a/packages/verbenahall/src/verbenahall/usage/_reports.py
+++ b/packages/verbenahall/src/verbenahall/usage/_reports.py
@@ -16,10 +16,10 @@
 from verbenahall.platform import (
     REPORTS_TOPIC,
     Appended,
-    DutyCalls,
+    DutyClient,
     DutyOutcome,
     KeyedRecord,
-    Seal,
+    LeaseToken,
     StoreClient,
     encode_keyed,
 )
@@ -56,7 +56,7 @@
     def __init__(
         self,
         store: StoreClient,
-        calls: DutyCalls,
+        calls: DutyClient,
         windows: Windows,
     ) -> None:
         """Start without a ledger."""
@@ -145,15 +145,15 @@
             journal.write_decision('usage_missed', window=window)
         self._overdue = max(self._overdue, overdue)
 
-    async def send(self, window: int, seal: Seal) -> DutyOutcome:
+    async def send(self, window: int, lease_token: LeaseToken) -> DutyOutcome:
         """Send the report of a decided window."""
         counts = self.ledger.open[window] if self.ledger else {}
-        outcome = await self._calls.report_usage(seal, window, counts)
+        outcome = await self._calls.report_usage(lease_token, window, counts)
         metrics.USAGE_WINDOWS.add(outcome.value)
         journal.write_decision(
             'usage_sent',
             window=window,
-            token=seal.token,
+            token=lease_token.token,
             outcome=outcome.value,
         )
         if outcome in {DutyOutcome.DONE, DutyOutcome.REJECTED}:
--- a/packages/verbenahall/src/verbenahall/usage/_shell.py
+++ b/packages/verbenahall/src/verbenahall/usage/_shell.py
@@ -7,7 +7,7 @@
 from verbenahall import journal
 from verbenahall.clock import Clock
 from verbenahall.duties import DutyLease, Succession
-from verbenahall.platform import DutyOutcome, Seal
+from verbenahall.platform import DutyOutcome, LeaseToken
 from verbenahall.usage._clock import TrueClock
 from verbenahall.usage._decisions import (
     Windows,
@@ -33,7 +33,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Surroundings:
+class Dependencies:
     """Dependencies of the reporter; ``name`` is the instance's."""
 
     name: str
@@ -58,7 +58,7 @@
         '_written_window',
     )
 
-    def __init__(self, dependencies: Surroundings) -> None:
+    def __init__(self, dependencies: Dependencies) -> None:
         """Create the reporter; nothing is sent before ``run``."""
         self._dependencies = dependencies
         self._holds_duty = False
@@ -154,10 +154,10 @@
         for window in reports.list_unsent(at):
             if self._dependencies.lease.token() != token:
                 return False
-            seal = Seal(self._dependencies.name, token)
-            outcome = await reports.send(window, seal)
+            lease_token = LeaseToken(self._dependencies.name, token)
+            outcome = await reports.send(window, lease_token)
             if outcome is DutyOutcome.FENCED:
-                self._dependencies.lease.forget()
+                self._dependencies.lease.discard_token()
                 self._step_down('a higher token was seen')
             if outcome is not DutyOutcome.DONE:
                 return False
@@ -173,7 +173,7 @@
     def _step_down(self, reason: str) -> None:
         journal.write_decision('duty_lost', duty=DUTY, reason=reason)
         self._holds_duty = False
-        self._dependencies.succession.note_lost()
+        self._dependencies.succession.step_down()
         self._dependencies.reports.discard()
 
     async def _write_unpolled(self, at: float) -> None:
--- a/packages/verbenahall/tests/duties/test_lease.py
+++ b/packages/verbenahall/tests/duties/test_lease.py
@@ -112,7 +112,7 @@
     async def check(store, make, clock):
         first = make('a')
         await first.acquire()
-        first.forget()
+        first.discard_token()
         assert first.token() is None
 
     asyncio.run(run_with_store(check))
@@ -139,7 +139,7 @@
     async def check(store, make, clock):
         first = make('a')
         token = await first.acquire()
-        first.forget()
+        first.discard_token()
         assert await first.acquire() is None
         clock.seconds += 11
         later = await first.acquire()
--- a/packages/verbenahall/tests/platform/test_duties.py
+++ b/packages/verbenahall/tests/platform/test_duties.py
@@ -8,22 +8,24 @@
 from verbenahall_standins.platform._serving import listen
 
 from verbenahall.platform import (
-    DutyCalls,
+    DutyClient,
     DutyOutcome,
     ScaleOrder,
-    Seal,
+    LeaseToken,
     make_session,
 )
 
-SEAL = Seal('front-1', 12)
+LEASE_TOKEN = LeaseToken('front-1', 12)
 
 
 def report(duties):
-    return duties.report_usage(SEAL, 353_445_120, {'club': 4})
+    return duties.report_usage(LEASE_TOKEN, 353_445_120, {'club': 4})
 
 
 def order(duties):
-    return duties.scale(SEAL, 'llm', ScaleOrder('lampeter', 6, spot=True))
+    return duties.scale(
+        LEASE_TOKEN, 'llm', ScaleOrder('lampeter', 6, spot=True)
+    )
 
 
 async def call(status, calls, make):
@@ -42,7 +44,7 @@
     app.router.add_post('/scale', answer)
     served = await listen(app)
     session = make_session()
-    duties = DutyCalls(session, served.address)
+    duties = DutyClient(session, served.address)
     try:
         return await make(duties)
     finally:
@@ -85,8 +87,8 @@
 
     async def check():
         session = make_session()
-        duties = DutyCalls(session, '127.0.0.1:9')
-        outcome = await duties.report_usage(SEAL, 1, {})
+        duties = DutyClient(session, '127.0.0.1:9')
+        outcome = await duties.report_usage(LEASE_TOKEN, 1, {})
         await session.close()
         return outcome
 
