--- a/packages/verbenahall/src/verbenahall/gateway/_core.py
+++ b/packages/verbenahall/src/verbenahall/gateway/_core.py
@@ -33,7 +33,7 @@
 from verbenahall.requests import WindowBudget
 from verbenahall.roster import LAPSE_GRACE_S, Entry, Roster, RosterRules
 from verbenahall.throttling import RateTable
-from verbenahall.usage import TrueClock, UsageMeter
+from verbenahall.usage import SyncedClock, UsageMeter
 
 #: Share of the operators' bound on retries that is used. The bound applies to
 #: the times at which sends arrive, which differ from the times at which they
@@ -77,10 +77,10 @@
                 _find_usable_age(settings.bounds.manifest_s),
             ),
         }
-        self.true_clock = TrueClock(clock.boottime, clock.wall)
+        self.synced_clock = SyncedClock(clock.boottime, clock.wall)
         self.meter = UsageMeter(
             settings.bounds.usage_window_s,
-            self.true_clock.now,
+            self.synced_clock.now,
         )
         self.endpoint_health = EndpointHealthTable()
         self.crash_log = CrashLog()
--- a/packages/verbenahall/src/verbenahall/gateway/_generation.py
+++ b/packages/verbenahall/src/verbenahall/gateway/_generation.py
@@ -174,7 +174,7 @@
         """Count the request in its workspace's usage, once for all attempts."""
         workspace = self._call.workspace
         if workspace is not None and not self._counted:
-            self._core.meter.note_begun(workspace.name)
+            self._core.meter.record_started(workspace.name)
         self._counted = True
 
     def _record_completion(self, plan: Plan, ended: StreamEnded) -> None:
--- a/packages/verbenahall/src/verbenahall/gateway/_plain.py
+++ b/packages/verbenahall/src/verbenahall/gateway/_plain.py
@@ -108,7 +108,7 @@
         """
         workspace = self._call.workspace
         if workspace is not None and not self._counted:
-            self._core.meter.note_begun(workspace.name, ago_s)
+            self._core.meter.record_started(workspace.name, ago_s)
         self._counted = True
 
     def _handle_result(
--- a/packages/verbenahall/src/verbenahall/gateway/_serve.py
+++ b/packages/verbenahall/src/verbenahall/gateway/_serve.py
@@ -111,7 +111,7 @@
 
     async def close(self) -> None:
         """Stop the background loops and close every connection."""
-        self._usage.tell_last()
+        self._usage.send_final_counts()
         await self._supervisor.stop()
         closing = [runner.cleanup() for runner in self._runners]
         await asyncio.gather(*closing)
--- a/packages/verbenahall/src/verbenahall/gateway/_usage.py
+++ b/packages/verbenahall/src/verbenahall/gateway/_usage.py
@@ -8,7 +8,7 @@
 from verbenahall.usage import (
     DUTY,
     LEASE_S,
-    Reports,
+    UsageReports,
     Dependencies,
     UsageExchange,
     UsageReporter,
@@ -33,7 +33,7 @@
         core.peer_table,
         core.store,
         core.meter,
-        core.true_clock,
+        core.synced_clock,
     )
 
 
@@ -48,7 +48,7 @@
         Dependencies(
             name=settings.name,
             exchange=usage,
-            reports=Reports(core.store, calls, windows),
+            reports=UsageReports(core.store, calls, windows),
             lease=lease,
             succession=Succession(
                 lease,
@@ -57,7 +57,7 @@
                 windows.length_s,
             ),
             windows=windows,
-            clock=core.true_clock,
+            clock=core.synced_clock,
             now=core.now,
         ),
     )
--- a/packages/verbenahall/src/verbenahall/usage/_clock.py
+++ b/packages/verbenahall/src/verbenahall/usage/_clock.py
@@ -14,7 +14,7 @@
 
 
 @final
-class TrueClock:
+class SyncedClock:
     """Seconds since 1970, on a clock that a wall clock step does not move.
 
     It adds an offset to ``boottime``, which also advances while a machine is
--- a/packages/verbenahall/src/verbenahall/usage/_exchange.py
+++ b/packages/verbenahall/src/verbenahall/usage/_exchange.py
@@ -16,7 +16,7 @@
     StoreClient,
     encode_keyed,
 )
-from verbenahall.usage._clock import TrueClock
+from verbenahall.usage._clock import SyncedClock
 from verbenahall.usage._gathering import GatheredCounts
 from verbenahall.usage._messages import (
     UsagePoll,
@@ -65,7 +65,7 @@
         peer_table: PeerTable,
         store: StoreClient,
         meter: UsageMeter,
-        clock: TrueClock,
+        clock: SyncedClock,
     ) -> None:
         """Register for datagrams of the exchange between peers."""
         self.polled_at: float = 0
@@ -104,7 +104,7 @@
         self.gathered.merge(self._run, self.meter.counts)
         self._send_to_successors()
 
-    def tell_last(self) -> None:
+    def send_final_counts(self) -> None:
         """Send the final counts to the last poller before the process ends."""
         if self._poller:
             self._send_counts(0, self._poller)
--- a/packages/verbenahall/src/verbenahall/usage/_meter.py
+++ b/packages/verbenahall/src/verbenahall/usage/_meter.py
@@ -26,7 +26,7 @@
         self.counts: dict[int, collections.Counter[str]] = {}
         self._now = now
 
-    def note_begun(self, workspace: str, ago_s: float = 0) -> None:
+    def record_started(self, workspace: str, ago_s: float = 0) -> None:
         """Count a request that started to run ``ago_s`` seconds ago."""
         if not self.window_s:
             return
--- a/packages/verbenahall/src/verbenahall/usage/_reports.py
+++ b/packages/verbenahall/src/verbenahall/usage/_reports.py
@@ -36,7 +36,7 @@
 
 
 @final
-class Reports:
+class UsageReports:
     """The ledger in the store, and the windows whose reports were sent.
 
     ``ledger`` is None until it has been read, and again after an append that
--- a/packages/verbenahall/src/verbenahall/usage/_shell.py
+++ b/packages/verbenahall/src/verbenahall/usage/_shell.py
@@ -8,7 +8,7 @@
 from verbenahall.clock import Clock
 from verbenahall.duties import DutyLease, Succession
 from verbenahall.platform import DutyOutcome, LeaseToken
-from verbenahall.usage._clock import TrueClock
+from verbenahall.usage._clock import SyncedClock
 from verbenahall.usage._decisions import (
     Windows,
     find_settled,
@@ -17,7 +17,7 @@
     may_decide,
 )
 from verbenahall.usage._exchange import DUTY, UsageExchange
-from verbenahall.usage._reports import Reports
+from verbenahall.usage._reports import UsageReports
 
 #: Interval of the loop, in seconds.
 _CHECK_INTERVAL_S: Final = 0.1
@@ -38,11 +38,11 @@
 
     name: str
     exchange: UsageExchange
-    reports: Reports
+    reports: UsageReports
     lease: DutyLease
     succession: Succession
     windows: Windows
-    clock: TrueClock
+    clock: SyncedClock
     now: Clock
 
 
--- a/packages/verbenahall/tests/drains/usage_fleet.py
+++ b/packages/verbenahall/tests/drains/usage_fleet.py
@@ -28,7 +28,7 @@
 
 def skew_clock(core, skew_s):
     """Have an instance's wall clock be off, as it was when it started."""
-    core.true_clock._own += skew_s
+    core.synced_clock._local_offset += skew_s
 
 
 @dataclasses.dataclass(frozen=True)
@@ -125,7 +125,7 @@
                 continue
             workspace = f'w-{int(self.source.paretovariate(1)) % 60}'
             instance = self.source.choice(tuple(self.instances.values()))
-            instance.core.meter.note_begun(workspace)
+            instance.core.meter.record_started(workspace)
             window = int((START + loop.time()) // WINDOW_S)
             truth = self.truth.setdefault(window, collections.Counter())
             truth[workspace] += 1
--- a/packages/verbenahall/tests/usage/test_clock.py
+++ b/packages/verbenahall/tests/usage/test_clock.py
@@ -1,6 +1,6 @@
 """The time of day on machines whose clocks are wrong."""
 
-from verbenahall.usage import TrueClock
+from verbenahall.usage import SyncedClock
 
 
 class Clock:
@@ -13,13 +13,13 @@
 
 def make_clock(wall):
     boottime = Clock(50)
-    return TrueClock(boottime, Clock(wall)), boottime
+    return SyncedClock(boottime, Clock(wall)), boottime
 
 
 def test_step_of_the_wall_clock_changes_nothing():
     wall = Clock(1000)
     boottime = Clock(50)
-    clock = TrueClock(boottime, wall)
+    clock = SyncedClock(boottime, wall)
     wall.seconds += 30
     boottime.seconds += 1
     assert clock.now() == 1001
