--- a/packages/verbenahall/src/verbenahall/platform/_store.py
+++ b/packages/verbenahall/src/verbenahall/platform/_store.py
@@ -40,7 +40,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Away:
+class StoreUnavailable:
     """The store gave no usable answer; the effect of the call is unknown."""
 
     reason: str
@@ -52,7 +52,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Newest:
+class NewestRecords:
     """The newest record of each key, and the offset to read from next.
 
     ``offsets`` holds the offset of each of these records.
@@ -67,7 +67,7 @@
 class _Page:
     """A page of the newest records; the next page follows key ``after``."""
 
-    newest: Newest
+    newest: NewestRecords
     after: str
 
 
@@ -106,7 +106,9 @@
         self._session = session
         self._base = f'http://{address}'
 
-    async def read_newest(self, topic: str) -> Result[Newest, Away]:
+    async def read_newest(
+        self, topic: str
+    ) -> Result[NewestRecords, StoreUnavailable]:
         """Read the newest record of each key, page by page.
 
         The pages are no snapshot. The offset to read from next is that of
@@ -129,7 +131,7 @@
         start: int,
         wait_s: float = 0,
         answer_s: float = ANSWER_S,
-    ) -> Result[Batch, Away | Deleted]:
+    ) -> Result[Batch, StoreUnavailable | Deleted]:
         """Read from an offset; wait up to ``wait_s`` for a first record.
 
         ``answer_s`` is the timeout of the answer after this wait.
@@ -149,7 +151,7 @@
             case Success((HTTPStatus.GONE, _)):
                 return Failure(Deleted())
             case Success((status, _)):
-                return Failure(Away(f'status {status}'))
+                return Failure(StoreUnavailable(f'status {status}'))
             case _:
                 return answer
 
@@ -176,7 +178,7 @@
         self,
         topic: str,
         after: str,
-    ) -> Result[_Page, Away]:
+    ) -> Result[_Page, StoreUnavailable]:
         params = {'topic': topic, 'part': '0'}
         if after:
             params['after'] = after
@@ -185,7 +187,7 @@
             case Success((HTTPStatus.OK, body)):
                 return _decode_page(body)
             case Success((status, _)):
-                return Failure(Away(f'status {status}'))
+                return Failure(StoreUnavailable(f'status {status}'))
             case _:
                 return answer
 
@@ -196,7 +198,7 @@
         params: dict[str, str],
         body: bytes,
         timeout_s: float,
-    ) -> Result[tuple[int, bytes], Away]:
+    ) -> Result[tuple[int, bytes], StoreUnavailable]:
         try:
             async with asyncio.timeout(timeout_s):
                 async with self._session.request(
@@ -208,7 +210,7 @@
                     answered = response.status, await response.read()
         except CALL_FAILURES as error:
             _log_call(path, params['topic'], 'no_answer', 0)
-            return Failure(Away(repr(error)))
+            return Failure(StoreUnavailable(repr(error)))
         status, answer = answered
         _log_call(path, params['topic'], str(status), len(answer))
         return Success(answered)
@@ -226,28 +228,28 @@
     )
 
 
-def _join_pages(pages: Sequence[_Page]) -> Newest:
-    newest = Newest({}, {}, pages[0].newest.end)
+def _join_pages(pages: Sequence[_Page]) -> NewestRecords:
+    newest = NewestRecords({}, {}, pages[0].newest.end)
     for page in pages:
         newest.items.update(page.newest.items)
         newest.offsets.update(page.newest.offsets)
     return newest
 
 
-def _decode_page(body: bytes) -> Result[_Page, Away]:
+def _decode_page(body: bytes) -> Result[_Page, StoreUnavailable]:
     match wire.decode_table(body):
         case Success(table):
             return _build_page(table)
         case Failure(problem):
-            return Failure(Away(problem.message))
-    return Failure(Away('no answer'))
+            return Failure(StoreUnavailable(problem.message))
+    return Failure(StoreUnavailable('no answer'))
 
 
-def _build_page(table: dict[str, Any]) -> Result[_Page, Away]:
+def _build_page(table: dict[str, Any]) -> Result[_Page, StoreUnavailable]:
     try:
         return Success(_read_page(table))
     except (LookupError, TypeError, ValueError) as error:
-        return Failure(Away(f'invalid page: {error!r}'))
+        return Failure(StoreUnavailable(f'invalid page: {error!r}'))
 
 
 def _read_page(table: dict[str, Any]) -> _Page:
@@ -259,7 +261,7 @@
         )
         for row in table['items']
     ]
-    newest = Newest(
+    newest = NewestRecords(
         items={key: content for key, content, _ in rows},
         offsets={key: offset for key, _, offset in rows},
         end=fields.integer(table, 'end'),
@@ -269,11 +271,11 @@
     return _Page(newest, after)
 
 
-def _decode_read(body: bytes) -> Result[Batch, Away | Deleted]:
+def _decode_read(body: bytes) -> Result[Batch, StoreUnavailable | Deleted]:
     try:
         return Success(decode_batch(body))
     except ValueError as error:
-        return Failure(Away(str(error)))
+        return Failure(StoreUnavailable(str(error)))
 
 
 def _read_append(status: int, body: bytes) -> AppendOutcome:
--- a/packages/verbenahall/tests/platform/test_store_client.py
+++ b/packages/verbenahall/tests/platform/test_store_client.py
@@ -10,7 +10,7 @@
 
 from verbenahall.platform import (
     Appended,
-    Away,
+    StoreUnavailable,
     Refused,
     StoreClient,
     Unknown,
@@ -76,7 +76,7 @@
     # exception here would end the loop that follows the manifest, and the
     # instance would serve an old manifest from then on.
     match call(200, body, read_newest):
-        case Failure(Away()):
+        case Failure(StoreUnavailable()):
             pass
         case other:
             pytest.fail(repr(other))
@@ -87,7 +87,7 @@
     # client would read the same page in an endless loop.
     body = dump_page(items=[], hasMore=True)
     match call(200, body, read_newest):
-        case Failure(Away()):
+        case Failure(StoreUnavailable()):
             pass
         case other:
             pytest.fail(repr(other))
