--- a/packages/verbenahall/src/verbenahall/gateway/_generation.py
+++ b/packages/verbenahall/src/verbenahall/gateway/_generation.py
@@ -13,7 +13,7 @@
 from verbenahall.gateway._relay import EventRelay
 from verbenahall.gateway._sender import SUCCESS_STATUSES, Opened, Sender
 from verbenahall.placement import InFlight, Plan, Totals
-from verbenahall.platform import CALL_FAILURES, SendOrder, read_answer
+from verbenahall.platform import CALL_FAILURES, SendOptions, read_answer_head
 from verbenahall.requests import Broken, Outcome
 
 Generated = Result[StreamEnded | Answered, Outcome]
@@ -68,7 +68,7 @@
         ``resumable`` means that another engine may take over the stream.
         """
         self._grant: Grant = grant
-        order = self._make_order(plan, handle)
+        options = self._make_options(plan, handle)
         ledger = self._core.placement.ledger
         self._handed_over = handle is not None
         self._flight = ledger.open(
@@ -81,11 +81,11 @@
         )
         self._sent_at = self._core.now()
         until = self._relay.find_idle_deadline(resumable=resumable)
-        sending = self._sender.open(self._call, plan.generator, order, until)
+        sending = self._sender.open(self._call, plan.generator, options, until)
         try:
             async with sending as opened:
                 result = await self._handle_opened(
-                    plan, order, opened, resumable
+                    plan, options, opened, resumable
                 )
         finally:
             ledger.close(self._flight)
@@ -94,9 +94,11 @@
             self._record_completion(plan, ended)
         return result
 
-    def _make_order(self, plan: Plan, handle: CacheHandle | None) -> SendOrder:
+    def _make_options(
+        self, plan: Plan, handle: CacheHandle | None
+    ) -> SendOptions:
         call = self._call
-        return SendOrder(
+        return SendOptions(
             plan.generator.name,
             call.left_s(self._core.now()),
             priority=call.priority,
@@ -107,14 +109,14 @@
     async def _handle_opened(
         self,
         plan: Plan,
-        order: SendOrder,
+        options: SendOptions,
         opened: Opened,
         resumable: bool,
     ) -> Generated:
         match opened:
             case Success(response):
                 return await self._handle_response(
-                    plan, order, response, resumable
+                    plan, options, response, resumable
                 )
             case _:
                 return opened
@@ -122,7 +124,7 @@
     async def _handle_response(
         self,
         plan: Plan,
-        order: SendOrder,
+        options: SendOptions,
         response: aiohttp.ClientResponse,
         resumable: bool,
     ) -> Generated:
@@ -133,11 +135,11 @@
             return await self._sender.read_whole(
                 call,
                 engine,
-                order,
+                options,
                 response,
                 call.deadline,
             )
-        if not read_answer(response.status, response.headers).signed:
+        if not read_answer_head(response.status, response.headers).signed:
             # Engines sign their answers, so this one comes from something else
             # at the address.
             self._sender.record_outcome(engine, good=False)
--- a/packages/verbenahall/src/verbenahall/gateway/_hooks.py
+++ b/packages/verbenahall/src/verbenahall/gateway/_hooks.py
@@ -6,7 +6,7 @@
 
 from typing import Protocol, final
 
-from verbenahall.platform import AnswerFacts
+from verbenahall.platform import AnswerHead
 from verbenahall.requests import Limited
 from verbenahall.roster import Entry
 
@@ -23,7 +23,7 @@
     def record_answer(
         self,
         endpoint: Entry,
-        facts: AnswerFacts,
+        answer_head: AnswerHead,
         sent_at: float,
     ) -> None:
         """Record the rate in the response to a request sent at ``sent_at``."""
@@ -41,7 +41,7 @@
     def record_answer(
         self,
         endpoint: Entry,
-        facts: AnswerFacts,
+        answer_head: AnswerHead,
         sent_at: float,
     ) -> None:
         """Ignore the response."""
--- a/packages/verbenahall/src/verbenahall/gateway/_permits.py
+++ b/packages/verbenahall/src/verbenahall/gateway/_permits.py
@@ -15,7 +15,7 @@
 from verbenahall.gateway._core import Core
 from verbenahall.gateway._hooks import format_incarnation
 from verbenahall.peers import PeerExchange
-from verbenahall.platform import AnswerFacts
+from verbenahall.platform import AnswerHead
 from verbenahall.requests import Limited
 from verbenahall.roster import Entry
 
@@ -104,27 +104,27 @@
     def record_answer(
         self,
         endpoint: Entry,
-        facts: AnswerFacts,
+        answer_head: AnswerHead,
         sent_at: float,
     ) -> None:
         """Record the rate that a response advertises, or that it has none."""
-        if facts.misdirected:
+        if answer_head.misdirected:
             return
         incarnation = format_incarnation(endpoint)
-        if not facts.rates:
+        if not answer_head.rates:
             if throttling.record_no_rate(self._table, incarnation, sent_at):
                 self._announce_change(incarnation, 0, 'none')
             return
-        match throttling.read_rate(facts.rates):
+        match throttling.read_rate(answer_head.rates):
             case Some(rate):
                 now = self._core.now()
                 if throttling.record_rate(self._table, incarnation, rate, now):
-                    self._announce_change(incarnation, rate, facts.rates)
+                    self._announce_change(incarnation, rate, answer_head.rates)
             case _:
                 journal.write_decision(
                     'rate_unreadable',
                     endpoint=incarnation,
-                    named=facts.rates,
+                    named=answer_head.rates,
                 )
 
     def handle_datagram(self, datagram: bytes, sender: str) -> bool:
--- a/packages/verbenahall/src/verbenahall/gateway/_plain.py
+++ b/packages/verbenahall/src/verbenahall/gateway/_plain.py
@@ -14,7 +14,7 @@
 from verbenahall.gateway._core import Core
 from verbenahall.gateway._messages import Answered, Call
 from verbenahall.gateway._sender import Sender
-from verbenahall.platform import SendOrder
+from verbenahall.platform import SendOptions
 from verbenahall.requests import Outcome
 from verbenahall.roster import Entry
 
@@ -94,8 +94,8 @@
         may_repeat = call.route.repeatable and self._attempts.may_run_again
         if others and may_repeat:
             until = now + call.left_s(now) * _FIRST_ATTEMPT_SHARE
-        order = SendOrder(endpoint.name, call.left_s(now))
-        result = await self._sender.exchange(call, endpoint, order, until)
+        options = SendOptions(endpoint.name, call.left_s(now))
+        result = await self._sender.exchange(call, endpoint, options, until)
         self._attempts.record(endpoint.name, result)
         if self._attempts.runs == 1:
             self._count_usage(self._core.now() - now)
--- a/packages/verbenahall/src/verbenahall/gateway/_reads.py
+++ b/packages/verbenahall/src/verbenahall/gateway/_reads.py
@@ -13,10 +13,10 @@
 from verbenahall.gateway._sender import Sender
 from verbenahall.placement import Plan, Totals
 from verbenahall.platform import (
-    ReadPrompt,
-    SendOrder,
-    decode_read_prompt,
-    name_handle,
+    PrefillResult,
+    SendOptions,
+    decode_prefill_result,
+    format_kv_source,
 )
 from verbenahall.requests import Broken, Outcome
 from verbenahall.roster import Entry
@@ -38,7 +38,7 @@
     @property
     def source(self) -> str:
         """The name of this KV cache in the headers of a send."""
-        return name_handle(self.engine.address, self.name)
+        return format_kv_source(self.engine.address, self.name)
 
 
 @final
@@ -60,11 +60,11 @@
     ) -> Result[CacheHandle, Outcome]:
         """Prefill the prompt; return the handle of its KV cache."""
         now = self._core.now()
-        order = SendOrder(
+        options = SendOptions(
             prefill_engine.name,
             call.left_s(now),
             priority=call.priority,
-            read_only=True,
+            prefill_only=True,
         )
         timeout_at = now + _TIMEOUT_MARGIN_S + plan.wait_s * _TIMEOUT_FACTOR
         ledger = self._core.placement.ledger
@@ -74,7 +74,7 @@
             result = await self._sender.exchange(
                 call,
                 prefill_engine,
-                order,
+                options,
                 min(call.deadline, timeout_at),
             )
         finally:
@@ -129,7 +129,7 @@
 
 def _decode_handle(
     result: Result[Answered, Outcome],
-) -> Result[ReadPrompt, Outcome]:
+) -> Result[PrefillResult, Outcome]:
     match result:
         case Success(Answered(status=status, body=body)):
             pass
@@ -137,7 +137,7 @@
             return result
     if status != HTTPStatus.OK:
         return Failure(Broken(f'the prefill was answered with status {status}'))
-    match decode_read_prompt(body):
+    match decode_prefill_result(body):
         case Some(prompt):
             return Success(prompt)
         case _:
--- a/packages/verbenahall/src/verbenahall/gateway/_sender.py
+++ b/packages/verbenahall/src/verbenahall/gateway/_sender.py
@@ -19,9 +19,9 @@
     CALL_FAILURES,
     CONNECT_FAILURES,
     ENDPOINTS_TOPIC,
-    SendOrder,
+    SendOptions,
     build_send_headers,
-    read_answer,
+    read_answer_head,
     strip_hop_headers,
 )
 from verbenahall.quarantine import find_quarantine_s
@@ -67,7 +67,7 @@
         self,
         call: Call,
         endpoint: Entry,
-        order: SendOrder,
+        options: SendOptions,
         until: float,
     ) -> AsyncIterator[Opened]:
         """Send a call and yield the response once its head has arrived.
@@ -90,7 +90,7 @@
             yarl.URL(f'http://{endpoint.address}{call.path}', encoded=True),
             headers=build_send_headers(
                 call.raw_headers,
-                order,
+                options,
                 workspace.name if workspace else '',
             ),
             data=call.body or None,
@@ -98,7 +98,7 @@
         )
         health = self._core.endpoint_health.get(endpoint.name)
         health.open += 1
-        self._log_sent(call, endpoint, order)
+        self._log_sent(call, endpoint, options)
         response = None
         sent_at = self._core.now()
         try:
@@ -106,7 +106,9 @@
         except CALL_FAILURES as error:
             yield Failure(self.classify_failure(call, endpoint, error))
         else:
-            yield await self._check_refusal(endpoint, order, response, sent_at)
+            yield await self._check_refusal(
+                endpoint, options, response, sent_at
+            )
         finally:
             health.open -= 1
             if response is not None:
@@ -116,17 +118,17 @@
         self,
         call: Call,
         endpoint: Entry,
-        order: SendOrder,
+        options: SendOptions,
         until: float,
     ) -> Result[Answered, Outcome]:
         """Send a call and read the whole answer."""
-        async with self.open(call, endpoint, order, until) as opened:
+        async with self.open(call, endpoint, options, until) as opened:
             match opened:
                 case Success(response):
                     return await self.read_whole(
                         call,
                         endpoint,
-                        order,
+                        options,
                         response,
                         until,
                     )
@@ -143,7 +145,7 @@
         self,
         call: Call,
         endpoint: Entry,
-        order: SendOrder,
+        options: SendOptions,
         response: aiohttp.ClientResponse,
         until: float,
     ) -> Result[Answered, Outcome]:
@@ -152,12 +154,12 @@
             body = await self._wait_until(until, response.read())
         except CALL_FAILURES as error:
             return Failure(self.classify_failure(call, endpoint, error))
-        facts = read_answer(response.status, response.headers)
-        must_be_signed = not order.read_only
+        answer_head = read_answer_head(response.status, response.headers)
+        must_be_signed = not options.prefill_only
         if (
             response.status in SUCCESS_STATUSES
             and must_be_signed
-            and not facts.signed
+            and not answer_head.signed
         ):
             # Endpoints sign their answers, so this one comes from something
             # else at the address.
@@ -250,7 +252,7 @@
         self,
         call: Call,
         endpoint: Entry,
-        order: SendOrder,
+        options: SendOptions,
     ) -> None:
         """Log a send with the age of the endpoint list that it relies on."""
         core = self._core
@@ -263,7 +265,7 @@
             'sent',
             request=call.ask.identity,
             endpoint=endpoint.name,
-            prefill=order.read_only,
+            prefill=options.prefill_only,
             age_s=journal.round_seconds(age_s),
             listed=listing is not None and listing.usable_until == float('inf'),
             left_s=journal.round_seconds(call.left_s(now)),
@@ -280,15 +282,15 @@
     async def _check_refusal(
         self,
         endpoint: Entry,
-        order: SendOrder,
+        options: SendOptions,
         response: aiohttp.ClientResponse,
         sent_at: float,
     ) -> Opened:
-        facts = read_answer(response.status, response.headers)
-        self._core.limiter.record_answer(endpoint, facts, sent_at)
-        if not facts.not_run:
+        answer_head = read_answer_head(response.status, response.headers)
+        self._core.limiter.record_answer(endpoint, answer_head, sent_at)
+        if not answer_head.not_run:
             return Success(response)
-        if not order.kv_source:
+        if not options.kv_source:
             # A send with a handle may be refused because the engine that
             # holds the KV cache has crashed, so only refusals of sends without
             # one count against the endpoint.
--- a/packages/verbenahall/src/verbenahall/platform/_calls.py
+++ b/packages/verbenahall/src/verbenahall/platform/_calls.py
@@ -13,7 +13,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class ReadPrompt:
+class PrefillResult:
     """The result of a prefill: the handle of the KV cache and its tokens."""
 
     handle: str
@@ -47,11 +47,11 @@
     orders: int
 
 
-def decode_read_prompt(body: bytes) -> Maybe[ReadPrompt]:
+def decode_prefill_result(body: bytes) -> Maybe[PrefillResult]:
     """Decode an engine's answer to a prefill; Nothing if it is malformed."""
     match wire.decode_table(body):
         case Success({'kvHandle': str(handle), 'tokens': int(tokens)}):
-            return Some(ReadPrompt(handle, tokens))
+            return Some(PrefillResult(handle, tokens))
         case _:
             return Nothing
 
@@ -79,7 +79,7 @@
     )
 
 
-def name_handle(address: str, handle: str) -> str:
+def format_kv_source(address: str, handle: str) -> str:
     """Return the header value that locates KV cache: ``address/handle``."""
     return f'{address}/{handle}'
 
--- a/packages/verbenahall/src/verbenahall/platform/_headers.py
+++ b/packages/verbenahall/src/verbenahall/platform/_headers.py
@@ -53,23 +53,23 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class SendOrder:
+class SendOptions:
     """The headers that the system sets on one send to an endpoint.
 
     ``kv_source`` locates the KV cache of the prompt (address and handle).
-    With ``read_only`` the engine prefills the prompt and decodes nothing.
+    With ``prefill_only`` the engine prefills the prompt and decodes nothing.
     """
 
     endpoint: str
     wait_s: float
     priority: int | None = None
-    read_only: bool = False
+    prefill_only: bool = False
     kv_source: str = ''
     last_event: int | None = None
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class AnswerFacts:
+class AnswerHead:
     """The headers of an endpoint's answer that the system uses.
 
     ``not_run`` means that the endpoint has not started the request.
@@ -102,7 +102,7 @@
 
 def build_send_headers(
     raw: RawHeaders,
-    order: SendOrder,
+    options: SendOptions,
     workspace: str = '',
 ) -> CIMultiDict[str]:
     """Build the headers of a send from those of the caller.
@@ -112,19 +112,19 @@
     them a caller could read the KV cache of another one.
     """
     headers = strip_hop_headers(raw, names.SYSTEM_HEADERS)
-    headers[names.EXPECT_ENDPOINT] = order.endpoint
+    headers[names.EXPECT_ENDPOINT] = options.endpoint
     if workspace:
         headers[names.TENANT] = workspace
-    wait_ms = max(1, int(order.wait_s * _MS_IN_SECOND))
+    wait_ms = max(1, int(options.wait_s * _MS_IN_SECOND))
     headers[names.DEADLINE_MS] = str(wait_ms)
-    if order.priority is not None:
-        headers[names.PRIORITY] = str(order.priority)
-    if order.read_only:
+    if options.priority is not None:
+        headers[names.PRIORITY] = str(options.priority)
+    if options.prefill_only:
         headers[names.STAGE] = _PREFILL_STAGE
-    if order.kv_source:
-        headers[names.KV_FROM] = order.kv_source
-    if order.last_event is not None:
-        headers[names.LAST_EVENT_ID] = str(order.last_event)
+    if options.kv_source:
+        headers[names.KV_FROM] = options.kv_source
+    if options.last_event is not None:
+        headers[names.LAST_EVENT_ID] = str(options.last_event)
     return headers
 
 
@@ -147,10 +147,10 @@
     return CIMultiDict(pair for pair in pairs if pair[0].lower() not in dropped)
 
 
-def read_answer(status: int, headers: Mapping[str, str]) -> AnswerFacts:
+def read_answer_head(status: int, headers: Mapping[str, str]) -> AnswerHead:
     """Decode the headers of an endpoint's answer."""
     all_headers = CIMultiDict(headers)
-    return AnswerFacts(
+    return AnswerHead(
         not_run=names.NOT_RUN in headers or status == _MISDIRECTED,
         signed=names.STAMP in headers,
         rates=tuple(
--- a/packages/verbenahall/tests/gateway/test_keys.py
+++ b/packages/verbenahall/tests/gateway/test_keys.py
@@ -111,7 +111,7 @@
     async def acquire(self, endpoint, left_s):
         await self.released.wait()
 
-    def record_answer(self, endpoint, facts, sent_at):
+    def record_answer(self, endpoint, answer_head, sent_at):
         """Ignore the answer."""
 
 
--- a/packages/verbenahall/tests/platform/test_wire.py
+++ b/packages/verbenahall/tests/platform/test_wire.py
@@ -12,14 +12,14 @@
 from verbenahall.catalog import Kind, ScalingRules
 from verbenahall.fleet import Role
 from verbenahall.platform import (
-    SendOrder,
+    SendOptions,
     build_send_headers,
     decode_entry,
     decode_keyed,
     decode_manifest,
-    decode_read_prompt,
+    decode_prefill_result,
     decode_report,
-    read_answer,
+    read_answer_head,
     read_ask,
     read_settings,
     strip_hop_headers,
@@ -275,7 +275,7 @@
         (b'x-verbenahall-request-id', b'9c41'),
         (b'X-Verbenahall-Deadline-Ms', b'99999'),
     ]
-    order = SendOrder('i-1', 1.25, priority=2, kv_source='10.0.0.1:80/h')
+    order = SendOptions('i-1', 1.25, priority=2, kv_source='10.0.0.1:80/h')
     headers = build_send_headers(raw, order)
     assert headers['X-Verbenahall-Kv-From'] == '10.0.0.1:80/h'
     assert headers['X-Verbenahall-Deadline-Ms'] == '1250'
@@ -284,9 +284,9 @@
 
 
 def test_answers_that_have_not_run():
-    assert read_answer(503, {'X-Verbenahall-Not-Run': '1'}).not_run
-    assert read_answer(421, {}).not_run
-    assert not read_answer(503, {}).not_run
+    assert read_answer_head(503, {'X-Verbenahall-Not-Run': '1'}).not_run
+    assert read_answer_head(421, {}).not_run
+    assert not read_answer_head(503, {}).not_run
 
 
 def test_report_and_read_prompt():
@@ -295,7 +295,7 @@
     ).unwrap()
     assert (report.orders, report.running) == (2, 12)
     assert decode_report(b'{"stage":"other","seq":2}') is Nothing
-    assert decode_read_prompt(b'{"kvHandle":5}') is Nothing
+    assert decode_prefill_result(b'{"kvHandle":5}') is Nothing
 
 
 def test_records():
