--- a/packages/verbenahall/src/verbenahall/catalog/__init__.py
+++ b/packages/verbenahall/src/verbenahall/catalog/__init__.py
@@ -4,26 +4,26 @@
 from verbenahall.catalog._messages import (
     Catalog,
     EngineTraits,
-    Kind,
+    RouteKind,
     Limits,
     Route,
     ScalingRules,
     Service,
     Share,
 )
-from verbenahall.catalog._state import CatalogState, adopt
+from verbenahall.catalog._state import CatalogState, apply_catalog
 
 __all__ = (
     'Catalog',
     'CatalogState',
     'EngineTraits',
-    'Kind',
+    'RouteKind',
     'Limits',
     'Route',
     'ScalingRules',
     'Service',
     'Share',
-    'adopt',
+    'apply_catalog',
     'find_route',
     'pick_service',
 )
--- a/packages/verbenahall/src/verbenahall/catalog/_messages.py
+++ b/packages/verbenahall/src/verbenahall/catalog/_messages.py
@@ -9,7 +9,7 @@
 
 
 @final
-class Kind(enum.Enum):
+class RouteKind(enum.Enum):
     """Whether a request may be repeated, or its answer is an event stream."""
 
     IDEMPOTENT = 'idempotent'
@@ -29,17 +29,17 @@
 class Route:
     """A route for requests of one host below one path prefix.
 
-    A caller gets an answer within ``timeout_s``. ``objective_s`` is the
-    latency objective to the answer or the first event, ``gap_s`` the longest
-    pause between two events that is still on time. Priority 0 is the most
-    urgent. Callers of a stream leave after ``patience_s`` without an event. A
+    A caller gets an answer within ``timeout_s``. ``objective_s`` is the latency
+    objective to the answer or the first event, ``gap_s`` the longest pause
+    between two events that is still on time. Priority 0 is the most urgent.
+    Callers of a stream leave after ``abandon_after_s`` without an event. A
     ``public`` route requires no API key.
     """
 
     name: str
     host: str
     prefix: str
-    kind: Kind
+    kind: RouteKind
     shares: tuple[Share, ...]
     timeout_s: float
     objective_s: float
@@ -47,15 +47,15 @@
     max_attempts: int
     resumable: bool = False
     gap_s: float = 0
-    patience_s: float = float('inf')
+    abandon_after_s: float = float('inf')
     public: bool = False
 
     @property
     def repeatable(self) -> bool:
         """Whether a request may safely run twice."""
-        if self.kind is Kind.STREAM:
+        if self.kind is RouteKind.STREAM:
             return self.resumable
-        return self.kind is Kind.IDEMPOTENT
+        return self.kind is RouteKind.IDEMPOTENT
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -80,14 +80,14 @@
 class ScalingRules:
     """The limits for the scaling of a service, and the costs of engines.
 
-    ``least`` and ``most`` limit the number of spot and on-demand engines
-    together, in each data centre. An engine is ready ``boot_s`` after its
-    order. ``spot_share`` is the price of a spot instance as a fraction of
+    ``min_engines`` and ``max_engines`` limit the number of spot and on-demand
+    engines together, in each data centre. An engine is ready ``boot_s`` after
+    its order. ``spot_share`` is the price of a spot instance as a fraction of
     that of an on-demand one. ``prices`` are relative prices by data centre.
     """
 
-    least: int
-    most: int
+    min_engines: int
+    max_engines: int
     boot_s: float
     spot_share: float
     prices: Mapping[str, float]
--- a/packages/verbenahall/src/verbenahall/catalog/_state.py
+++ b/packages/verbenahall/src/verbenahall/catalog/_state.py
@@ -21,7 +21,7 @@
         self.keys = KeyHistory()
 
 
-def adopt(state: CatalogState, catalog: Catalog) -> bool:
+def apply_catalog(state: CatalogState, catalog: Catalog) -> bool:
     """Put a catalog in force if it is newer; return whether it is.
 
     A fresh read of the store may return an older record than one that was
--- a/packages/verbenahall/src/verbenahall/gateway/_ingress.py
+++ b/packages/verbenahall/src/verbenahall/gateway/_ingress.py
@@ -7,7 +7,7 @@
 from returns.result import Failure, Result, Success
 
 from verbenahall import journal, metrics
-from verbenahall.catalog import Kind, pick_service
+from verbenahall.catalog import RouteKind, pick_service
 from verbenahall.errors import ErrorKind, Problem, Ran
 from verbenahall.gateway._admission import (
     Admission,
@@ -84,7 +84,7 @@
         request: web.Request,
         call: Call,
     ) -> web.StreamResponse:
-        if call.route.kind is Kind.STREAM and call.service.engine:
+        if call.route.kind is RouteKind.STREAM and call.service.engine:
             flow = StreamFlow(self._core, self._sender, call, request)
             return await flow.run(self._dispatch)
         return await PlainFlow(self._core, self._sender, call).run()
--- a/packages/verbenahall/src/verbenahall/gateway/_messages.py
+++ b/packages/verbenahall/src/verbenahall/gateway/_messages.py
@@ -49,7 +49,7 @@
     @property
     def leaves(self) -> float:
         """When the caller leaves if no event came, in monotonic seconds."""
-        return min(self.deadline, self.received + self.route.patience_s)
+        return min(self.deadline, self.received + self.route.abandon_after_s)
 
     def left_s(self, now: float) -> float:
         """Return the time until the deadline, in seconds."""
--- a/packages/verbenahall/src/verbenahall/gateway/_record_handlers.py
+++ b/packages/verbenahall/src/verbenahall/gateway/_record_handlers.py
@@ -8,7 +8,7 @@
 from returns.result import Failure, Success
 
 from verbenahall import journal
-from verbenahall.catalog import adopt
+from verbenahall.catalog import apply_catalog
 from verbenahall.gateway._core import Core
 from verbenahall.gateway._followers import Follower, TopicHandler
 from verbenahall.gateway._store_reachability import Received
@@ -72,7 +72,7 @@
             return
         match decode_manifest(record.content):
             case Success(catalog):
-                adopted = adopt(self._core.catalog, catalog)
+                adopted = apply_catalog(self._core.catalog, catalog)
                 journal.write_decision(
                     'manifest',
                     version=catalog.version,
--- a/packages/verbenahall/src/verbenahall/platform/_manifest.py
+++ b/packages/verbenahall/src/verbenahall/platform/_manifest.py
@@ -15,7 +15,7 @@
 from verbenahall.catalog import (
     Catalog,
     EngineTraits,
-    Kind,
+    RouteKind,
     Limits,
     Route,
     ScalingRules,
@@ -35,7 +35,7 @@
 _ABANDON_GAPS: Final = 8.0
 #: An unknown kind is treated as non-idempotent: running a request at most
 #: once is always correct.
-_KINDS: Final = MappingProxyType({kind.value: kind for kind in Kind})
+_KINDS: Final = MappingProxyType({kind.value: kind for kind in RouteKind})
 
 
 def decode_manifest(record: bytes) -> Result[Catalog, Problem]:
@@ -83,7 +83,7 @@
         name=fields.text(row, 'name'),
         host=fields.text(row, 'host').lower(),
         prefix=fields.text(row, 'pathPrefix'),
-        kind=_KINDS.get(row['kind'], Kind.NON_IDEMPOTENT),
+        kind=_KINDS.get(row['kind'], RouteKind.NON_IDEMPOTENT),
         shares=_build_shares(row),
         timeout_s=fields.seconds(row, 'timeoutMs'),
         objective_s=objective_s,
@@ -93,7 +93,7 @@
         resumable=row.get('resumable') is True,
         gap_s=gap_s,
         public=row.get('public') is True,
-        patience_s=max(
+        abandon_after_s=max(
             _MIN_ABANDON_S,
             _ABANDON_OBJECTIVES * objective_s,
             _ABANDON_GAPS * gap_s,
@@ -124,13 +124,15 @@
 def _build_scaling(row: dict[str, Any] | None) -> ScalingRules | None:
     if not row:
         return None
-    least = fields.integer(row, 'min')
-    most = fields.integer(row, 'max')
-    if least > most:
-        raise ValueError(f'autoscale.min {least} is above its max {most}')
+    min_engines = fields.integer(row, 'min')
+    max_engines = fields.integer(row, 'max')
+    if min_engines > max_engines:
+        raise ValueError(
+            f'autoscale.min {min_engines} is above its max {max_engines}'
+        )
     return ScalingRules(
-        least=least,
-        most=most,
+        min_engines=min_engines,
+        max_engines=max_engines,
         boot_s=fields.number(row, 'bootTimeoutS', 0),
         spot_share=fields.number(row, 'spotPrice', 1),
         prices=_read_prices(row.get('zonePrices')),
--- a/packages/verbenahall/src/verbenahall/scaling/_decisions.py
+++ b/packages/verbenahall/src/verbenahall/scaling/_decisions.py
@@ -32,14 +32,14 @@
     """Return the cheapest mix that keeps ``base`` engines after reclaims."""
     centres = max(1, len(rules.prices))
     reclaimed = min(_MAX_RECLAIMED, max(1, centres - 1))
-    max_on_demand = min(rules.most, math.ceil(base / centres))
+    max_on_demand = min(rules.max_engines, math.ceil(base / centres))
     mixes = [
         _add_spot(on_demand, base - centres * on_demand, centres - reclaimed)
         for on_demand in range(max_on_demand + 1)
     ]
     # If no mix fits, one without spot instances leaves the service as it is.
     return min(
-        (mix for mix in mixes if mix.on_demand + mix.spot <= rules.most),
+        (mix for mix in mixes if mix.on_demand + mix.spot <= rules.max_engines),
         key=lambda mix: mix.on_demand + mix.spot * rules.spot_share,
         default=EngineMix(max_on_demand, 0),
     )
@@ -91,7 +91,7 @@
     sizes = {}
     for pool, wanted in on_demand.items():
         # The limit applies to both kinds together.
-        room = rules.most - max(wanted, present.get(pool, 0))
+        room = rules.max_engines - max(wanted, present.get(pool, 0))
         beside = Pool(pool.data_centre, CapacityKind.SPOT)
         sizes[beside] = max(0, min(mix.spot, room))
     return sizes
@@ -110,11 +110,11 @@
     kept first, and new ones are added where they cost least.
     """
     pools = list_pools(rules, CapacityKind.ON_DEMAND)
-    least = max(mix.on_demand, rules.least - mix.spot)
-    further = missing - least * len(pools)
+    min_on_demand = max(mix.on_demand, rules.min_engines - mix.spot)
+    further = missing - min_on_demand * len(pools)
     kept = _spread(
         further,
-        {pool: max(0, present.get(pool, 0) - least) for pool in pools},
+        {pool: max(0, present.get(pool, 0) - min_on_demand) for pool in pools},
     )
     rooms = {
         pool: _find_room(rules, pool.data_centre, present)
@@ -122,7 +122,7 @@
         if pool not in closed
     }
     added = _spread(further - sum(kept.values()), rooms)
-    sizes = collections.Counter(dict.fromkeys(pools, least))
+    sizes = collections.Counter(dict.fromkeys(pools, min_on_demand))
     sizes.update(kept)
     sizes.update(added)
     return sizes
@@ -145,4 +145,4 @@
         for pool, count in present.items()
         if pool.data_centre == data_centre
     )
-    return max(0, rules.most - there)
+    return max(0, rules.max_engines - there)
--- a/packages/verbenahall/tests/catalog/test_catalog.py
+++ b/packages/verbenahall/tests/catalog/test_catalog.py
@@ -7,11 +7,11 @@
 from verbenahall.catalog import (
     Catalog,
     CatalogState,
-    Kind,
+    RouteKind,
     Limits,
     Route,
     Share,
-    adopt,
+    apply_catalog,
     find_route,
     pick_service,
 )
@@ -24,7 +24,7 @@
         'name': f'r{prefix}',
         'host': host,
         'prefix': prefix,
-        'kind': Kind.IDEMPOTENT,
+        'kind': RouteKind.IDEMPOTENT,
         'shares': (Share(service, 1),),
         'timeout_s': 2,
         'objective_s': 0.3,
@@ -78,13 +78,13 @@
     # an instance would route to a service that the operator has removed, and
     # users would get old answers again.
     state = CatalogState()
-    assert adopt(state, make_catalog(version=7))
-    assert not adopt(state, make_catalog(version=5))
-    assert not adopt(state, make_catalog(version=7))
+    assert apply_catalog(state, make_catalog(version=7))
+    assert not apply_catalog(state, make_catalog(version=5))
+    assert not apply_catalog(state, make_catalog(version=7))
     assert state.catalog.version == 7
 
 
 def test_streams_repeat_only_when_resumable():
-    assert not make_route('/a/', kind=Kind.STREAM).repeatable
-    assert make_route('/a/', kind=Kind.STREAM, resumable=True).repeatable
-    assert not make_route('/a/', kind=Kind.NON_IDEMPOTENT).repeatable
+    assert not make_route('/a/', kind=RouteKind.STREAM).repeatable
+    assert make_route('/a/', kind=RouteKind.STREAM, resumable=True).repeatable
+    assert not make_route('/a/', kind=RouteKind.NON_IDEMPOTENT).repeatable
--- a/packages/verbenahall/tests/drains/crashing_fleet.py
+++ b/packages/verbenahall/tests/drains/crashing_fleet.py
@@ -9,7 +9,7 @@
 import aiohttp
 from aiohttp.client_reqrep import ConnectionKey
 
-from verbenahall.catalog import Kind
+from verbenahall.catalog import RouteKind
 from verbenahall.gateway import _crashes as crashes
 from verbenahall.gateway._crash_reports import CrashLogReplicator
 from verbenahall.gateway._probes import ConnectOutcome
@@ -21,7 +21,7 @@
 CRASHING = '/proof/crashing'
 STAMP = 'X-Verbenahall-Server-Stamp'
 REPEATABLE = dataclasses.replace(
-    ROUTE, kind=Kind.IDEMPOTENT, max_attempts=2, timeout_s=4
+    ROUTE, kind=RouteKind.IDEMPOTENT, max_attempts=2, timeout_s=4
 )
 #: Time from the start of a run to the endpoint's crash, in seconds.
 CRASH_S = 0.06
--- a/packages/verbenahall/tests/drains/fleet.py
+++ b/packages/verbenahall/tests/drains/fleet.py
@@ -15,7 +15,7 @@
 import aiohttp
 from verbenahall_standins.platform import write_settings
 
-from verbenahall.catalog import Kind, Route, Service, Share
+from verbenahall.catalog import RouteKind, Route, Service, Share
 from verbenahall.gateway._core import Core
 from verbenahall.gateway._record_handlers import make_followers
 from verbenahall.gateway._messages import Call
@@ -39,7 +39,7 @@
     name='proof',
     host='desk.example',
     prefix='/proof/',
-    kind=Kind.NON_IDEMPOTENT,
+    kind=RouteKind.NON_IDEMPOTENT,
     shares=(Share(SERVICE, 1),),
     timeout_s=3,
     objective_s=0.4,
--- a/packages/verbenahall/tests/drains/rated_fleet.py
+++ b/packages/verbenahall/tests/drains/rated_fleet.py
@@ -4,13 +4,15 @@
 import dataclasses
 import random
 
-from verbenahall.catalog import Kind
+from verbenahall.catalog import RouteKind
 from verbenahall.gateway._permits import DistributedRateLimiter
 
 from .fleet import ROUTE, Fleet
 from .simulated_network import SimulatedResponse
 
-REPEATABLE = dataclasses.replace(ROUTE, kind=Kind.IDEMPOTENT, max_attempts=2)
+REPEATABLE = dataclasses.replace(
+    ROUTE, kind=RouteKind.IDEMPOTENT, max_attempts=2
+)
 STAMP = 'X-Verbenahall-Server-Stamp'
 WINDOW_S = 4
 SLACK = 5
--- a/packages/verbenahall/tests/platform/test_wire.py
+++ b/packages/verbenahall/tests/platform/test_wire.py
@@ -9,7 +9,7 @@
 
 import verbenahall
 from verbenahall.authentication import Workspace, digest_key
-from verbenahall.catalog import Kind, ScalingRules
+from verbenahall.catalog import RouteKind, ScalingRules
 from verbenahall.fleet import Role
 from verbenahall.platform import (
     SendOptions,
@@ -112,7 +112,7 @@
     }
     catalog = decode_manifest(dump(manifest)).unwrap()
     route = catalog.routes['ficu95.example']['/pufi791/']
-    assert route.kind is Kind.STREAM
+    assert route.kind is RouteKind.STREAM
     assert (route.timeout_s, route.objective_s, route.gap_s) == (3, 0.5, 0.25)
     assert [share.service for share in route.shares] == ['a']
 
