--- a/packages/verbenahall/src/verbenahall/gateway/_followers.py
+++ b/packages/verbenahall/src/verbenahall/gateway/_followers.py
@@ -78,7 +78,7 @@
     and after the store has deleted records that were not read.
     An example::
 
-        follower = Follower(core, subject, exchange.broadcast)
+        follower = Follower(core, handler, exchange.broadcast)
         await asyncio.gather(follower.run(), Refresher(core, follower).run())
     """
 
--- a/packages/verbenahall/src/verbenahall/peers/_ranks.py
+++ b/packages/verbenahall/src/verbenahall/peers/_ranks.py
@@ -30,11 +30,11 @@
 
 
 def list_top_ranked(
-    peer_table: PeerTable, duty: str, now: float, most: int
+    peer_table: PeerTable, duty: str, now: float, limit: int
 ) -> list[str]:
     """Return the names of the top-ranked live peers for a duty."""
     live = list_live_peers(peer_table, now, _LIVE_S)
-    return rank_by_rendezvous(duty, live)[:most]
+    return rank_by_rendezvous(duty, live)[:limit]
 
 
 def _is_local(peer_table: PeerTable, name: str) -> bool:
--- a/packages/verbenahall/src/verbenahall/peers/_shell.py
+++ b/packages/verbenahall/src/verbenahall/peers/_shell.py
@@ -155,7 +155,7 @@
             heartbeat.data_centre,
             heartbeat.cores,
         )
-        known = (
+        received = (
             heartbeat.author,
             heartbeat.number,
             now,
@@ -163,7 +163,7 @@
         )
         if record_heartbeat(
             self._peer_table,
-            *known,
+            *received,
             self._arrivals.find_confirmations(heartbeat),
         ):
             self._ledger.hear(heartbeat.author, heartbeat.loads, now)
--- a/packages/verbenahall/src/verbenahall/peers/_state.py
+++ b/packages/verbenahall/src/verbenahall/peers/_state.py
@@ -28,7 +28,7 @@
 #: A peer became unresponsive lately if its last heartbeat is older than the
 #: first and younger than the second of these times, in seconds.
 _TIMEOUT_S: Final = 1.5
-_FORGOTTEN_AFTER_S: Final = 30.0
+_EXPIRED_AFTER_S: Final = 30.0
 #: Peers that are kept at most.
 _MAX_PEERS: Final = 2048
 _NO_OFFSETS: Final[Mapping[str, int]] = MappingProxyType({})
@@ -183,7 +183,7 @@
 def has_unresponsive_peer(peer_table: PeerTable, now: float) -> bool:
     """Whether heartbeats of a peer that was live lately are missing."""
     return any(
-        _TIMEOUT_S < now - peer.last_heartbeat_at < _FORGOTTEN_AFTER_S
+        _TIMEOUT_S < now - peer.last_heartbeat_at < _EXPIRED_AFTER_S
         for peer in peer_table.peers.values()
     )
 
--- a/packages/verbenahall/tests/drains/crashing_fleet.py
+++ b/packages/verbenahall/tests/drains/crashing_fleet.py
@@ -50,9 +50,9 @@
         self.store.put('keyed.crashes', 'nobody', b'')
         await super().open()
         for instance in self.instances.values():
-            reports = CrashLogReplicator(instance.core, instance.exchange)
-            watch = crashes.CrashDetector(instance.core, reports)
-            for loop in (reports.run(), watch.run()):
+            replicator = CrashLogReplicator(instance.core, instance.exchange)
+            detector = crashes.CrashDetector(instance.core, replicator)
+            for loop in (replicator.run(), detector.run()):
                 self._watching.append(asyncio.create_task(loop))
 
     async def close(self):
--- a/packages/verbenahall/tests/drains/rated_fleet.py
+++ b/packages/verbenahall/tests/drains/rated_fleet.py
@@ -41,8 +41,8 @@
         """Start the instances with what asks for permits."""
         await super().open()
         for instance in self.instances.values():
-            permits = DistributedRateLimiter(instance.core, instance.exchange)
-            self._running.append(asyncio.create_task(permits.run()))
+            limiter = DistributedRateLimiter(instance.core, instance.exchange)
+            self._running.append(asyncio.create_task(limiter.run()))
 
     async def close(self):
         """Stop what still runs."""
--- a/packages/verbenahall/tests/platform/test_wire.py
+++ b/packages/verbenahall/tests/platform/test_wire.py
@@ -275,8 +275,8 @@
         (b'x-verbenahall-request-id', b'9c41'),
         (b'X-Verbenahall-Deadline-Ms', b'99999'),
     ]
-    order = SendOptions('i-1', 1.25, priority=2, kv_source='10.0.0.1:80/h')
-    headers = build_send_headers(raw, order)
+    options = SendOptions('i-1', 1.25, priority=2, kv_source='10.0.0.1:80/h')
+    headers = build_send_headers(raw, options)
     assert headers['X-Verbenahall-Kv-From'] == '10.0.0.1:80/h'
     assert headers['X-Verbenahall-Deadline-Ms'] == '1250'
     assert headers['X-Verbenahall-Request-Id'] == '9c41'
