--- a/packages/verbenahall/src/verbenahall/authentication/_refresh.py
+++ b/packages/verbenahall/src/verbenahall/authentication/_refresh.py
@@ -15,7 +15,7 @@
 class KeyRefresher:
     """Limits the calls to the store that unknown keys cause.
 
-    ``refresh`` reads newer manifests from the store.
+    The argument ``refresh`` reads newer manifests from the store.
     """
 
     __slots__ = ('_pending', '_started_at', '_clock', '_refresh')
--- a/packages/verbenahall/src/verbenahall/gateway/_admission.py
+++ b/packages/verbenahall/src/verbenahall/gateway/_admission.py
@@ -39,7 +39,7 @@
     __slots__ = ('_core', '_key_refresher')
 
     def __init__(self, core: Core, key_refresher: KeyRefresher) -> None:
-        """Look unknown keys up in the store before they are refused."""
+        """Refresh the keys from the store before an unknown one is refused."""
         self._core = core
         self._key_refresher = key_refresher
 
--- a/packages/verbenahall/src/verbenahall/gateway/_readiness.py
+++ b/packages/verbenahall/src/verbenahall/gateway/_readiness.py
@@ -13,7 +13,7 @@
 #: How long a service must have had no reachable endpoint before the instance
 #: reports that it is not ready, in seconds.
 _UNREACHABLE_S: Final = 0.4
-#: Interval between checks, in seconds; the load balancer asks once a second.
+#: Interval between checks, in seconds; the load balancer polls once a second.
 _CHECK_INTERVAL_S: Final = 0.1
 #: A peer counts as reachable for this long after its last heartbeat, in
 #: seconds.
--- a/packages/verbenahall/src/verbenahall/gateway/_reads.py
+++ b/packages/verbenahall/src/verbenahall/gateway/_reads.py
@@ -37,7 +37,7 @@
 
     @property
     def source(self) -> str:
-        """The name of this KV cache in the headers of a send."""
+        """The header value of a send that locates this KV cache."""
         return format_kv_source(self.engine.address, self.name)
 
 
--- a/packages/verbenahall/src/verbenahall/gateway/_refresh.py
+++ b/packages/verbenahall/src/verbenahall/gateway/_refresh.py
@@ -19,7 +19,7 @@
 class Refresher:
     """Bounds the age of the local copy of a topic.
 
-    Peers that follow the topic may have lost contact with the store, their
+    Peers that follow the topic may be partitioned from the store, their
     datagrams may get lost, and a poll may never be answered. These delays
     don't add up: at a fixed age the store is read by a separate call.
     """
@@ -27,7 +27,7 @@
     __slots__ = ('_core', '_follower', '_freshness')
 
     def __init__(self, core: Core, follower: Follower) -> None:
-        """Watch the age of a follower's topic."""
+        """Check the age of a follower's topic."""
         self._core = core
         self._follower = follower
         self._freshness = core.freshness[follower.handler.topic]
--- a/packages/verbenahall/src/verbenahall/peers/_topic_followers.py
+++ b/packages/verbenahall/src/verbenahall/peers/_topic_followers.py
@@ -4,8 +4,9 @@
 Therefore only two of the instances that receive each other's heartbeats
 follow it, and forward what they read. There is no election: an instance
 follows a topic unless two instances that are ranked before it report in their
-heartbeats that they are in contact with the store. An instance that is dead,
-frozen, cut off or refused by the store is replaced within about 1.2 seconds.
+heartbeats that the store answers them. An instance that is dead, frozen,
+partitioned from the others or refused by the store is replaced within about
+1.2 seconds.
 """
 
 from collections.abc import Iterator
