--- a/packages/verbenahall/src/verbenahall/gateway/_core.py
+++ b/packages/verbenahall/src/verbenahall/gateway/_core.py
@@ -16,10 +16,10 @@
     NoLimiter,
     NoObserver,
     RateLimiter,
-    name_start,
+    format_incarnation,
 )
-from verbenahall.gateway._standing import Standings
-from verbenahall.peers import PeerBook
+from verbenahall.gateway._endpoint_health import EndpointHealthTable
+from verbenahall.peers import PeerTable
 from verbenahall.placement import PlacementState
 from verbenahall.platform import (
     CONNECT_S,
@@ -31,9 +31,9 @@
 )
 from verbenahall.quarantine import CrashLog
 from verbenahall.requests import WindowBudget
-from verbenahall.roster import LAPSE_S, Entry, Roster, RosterRules
+from verbenahall.roster import LAPSE_GRACE_S, Entry, Roster, RosterRules
 from verbenahall.throttling import RateTable
-from verbenahall.usage import TrueClock, UsageMeter
+from verbenahall.usage import SyncedClock, UsageMeter
 
 #: Share of the operators' bound on retries that is used. The bound applies to
 #: the times at which sends arrive, which differ from the times at which they
@@ -66,7 +66,9 @@
         self.catalog = CatalogState()
         usable_s = _find_usable_age(settings.bounds.leaving_s)
         self.roster = Roster(
-            RosterRules(lapse_s=min(LAPSE_S, usable_s), usable_s=usable_s),
+            RosterRules(
+                lapse_grace_s=min(LAPSE_GRACE_S, usable_s), usable_s=usable_s
+            ),
         )
         #: Age of the local copy of each topic.
         self.freshness = {
@@ -75,18 +77,18 @@
                 _find_usable_age(settings.bounds.manifest_s),
             ),
         }
-        self.true_clock = TrueClock(clock.boottime, clock.wall)
+        self.synced_clock = SyncedClock(clock.boottime, clock.wall)
         self.meter = UsageMeter(
             settings.bounds.usage_window_s,
-            self.true_clock.now,
+            self.synced_clock.now,
         )
-        self.standings = Standings()
+        self.endpoint_health = EndpointHealthTable()
         self.crash_log = CrashLog()
         self.rates = RateTable()
         self.limiter: RateLimiter = NoLimiter()
         self.observer: CrashObserver = NoObserver()
         self.placement = PlacementState()
-        self.book = PeerBook(
+        self.peer_table = PeerTable(
             settings.name,
             settings.data_centre,
             settings.cores,
@@ -96,19 +98,19 @@
         self.store = StoreClient(self.session, settings.store)
         self.now = clock.monotonic
         #: The longest wait that callers of each route have stated, in seconds.
-        self.patience: dict[str, float] = {}
+        self.longest_waits: dict[str, float] = {}
         self._budgets: dict[str, WindowBudget] = {}
         self._tasks: set[asyncio.Task[None]] = set()
 
     @property
     def ready(self) -> bool:
         """Whether requests can be routed."""
-        return self.catalog.catalog is not None and self.roster.known
+        return self.catalog.catalog is not None and self.roster.is_loaded
 
     @property
-    def instances(self) -> int:
+    def instance_count(self) -> int:
         """Number of known instances, including this one."""
-        return len(self.book.peers) + 1
+        return len(self.peer_table.peers) + 1
 
     def find_age(self, now: float) -> float:
         """Return the greatest age of a local copy of a topic, in seconds."""
@@ -119,35 +121,39 @@
 
         If all are avoided, all are returned, as one may have recovered.
         """
-        live = list(self.roster.live(service, now))
+        live = list(self.roster.list_live(service, now))
         usable = [
-            one for one in live if not self.standings.paused(one.name, now)
+            one
+            for one in live
+            if not self.endpoint_health.is_avoided(one.name, now)
         ]
         return usable or live
 
-    def has_other(self, endpoint: Entry, now: float) -> bool:
+    def has_alternative(self, endpoint: Entry, now: float) -> bool:
         """Whether another endpoint could take a request that one refuses."""
         return any(
             one.name != endpoint.name
             and one.role is endpoint.role
-            and not self.standings.paused(one.name, now)
-            for one in self.roster.live(endpoint.service, now)
+            and not self.endpoint_health.is_avoided(one.name, now)
+            for one in self.roster.list_live(endpoint.service, now)
         )
 
-    def forget_unlisted(self) -> None:
+    def remove_unlisted(self) -> None:
         """Remove the state kept for endpoints that are no longer listed.
 
         Each start of an endpoint has a new name, so state that is kept by name
         would grow for as long as the instance runs.
         """
-        names = self.roster.seats.keys()
-        self.standings.keep_only(names)
-        self.placement.keep_only(names)
+        names = self.roster.listings.keys()
+        self.endpoint_health.retain(names)
+        self.placement.retain(names)
         if not self.rates.is_empty:
-            seats = self.roster.seats.values()
-            self.rates.keep_only({name_start(seat.entry) for seat in seats})
+            listings = self.roster.listings.values()
+            self.rates.retain(
+                {format_incarnation(listing.entry) for listing in listings}
+            )
 
-    def budget_of(self, service: str) -> WindowBudget:
+    def get_retry_budget(self, service: str) -> WindowBudget:
         """Return the retry budget of a service.
 
         The operators bound the retries of all instances together, so each
@@ -155,7 +161,7 @@
         theirs or not.
         """
         bounds = self.settings.bounds
-        instances = max(self.instances, _MIN_INSTANCES)
+        instances = max(self.instance_count, _MIN_INSTANCES)
         slack = bounds.retry_slack * _BUDGET_SHARE / instances
         budget = self._budgets.get(service)
         if budget is None:
@@ -169,14 +175,14 @@
         budget.slack = slack
         return budget
 
-    def find_waited(self, route: str, wait_s: float) -> float:
+    def estimate_earlier_wait(self, route: str, wait_s: float) -> float:
         """Estimate how long a caller has waited in earlier attempts.
 
         Callers of a route wait for about the same time, and a returning caller
         states a much shorter wait than the longest one seen.
         """
-        longest = max(self.patience.get(route, 0), wait_s)
-        self.patience[route] = longest
+        longest = max(self.longest_waits.get(route, 0), wait_s)
+        self.longest_waits[route] = longest
         waited_s = longest - wait_s
         return waited_s if waited_s > longest * _MIN_WAITED_SHARE else 0
 
--- a/packages/verbenahall/src/verbenahall/gateway/_beliefs.py
+++ b/packages/verbenahall/src/verbenahall/gateway/_fleet_state_log.py
@@ -13,7 +13,7 @@
 
 
 @final
-class Beliefs:
+class FleetStateLog:
     """Logs versions, ages and counts of the state that placement uses."""
 
     __slots__ = ('_core',)
@@ -37,9 +37,9 @@
             'beliefs',
             version=catalog.version if catalog else None,
             age_s=round(core.find_age(now), _DECIMALS),
-            endpoints=len(core.roster.seats),
-            instances=core.instances,
-            unreachable=core.standings.unreachable(now),
+            endpoints=len(core.roster.listings),
+            instances=core.instance_count,
+            unreachable=core.endpoint_health.list_unreachable(now),
             peers=core.placement.ledger.speakers,
             read_start_s=round(speed.start_s, _DECIMALS),
             read_thousand_s=round(speed.token_s * _THOUSAND, _DECIMALS),
--- a/packages/verbenahall/src/verbenahall/gateway/_generation.py
+++ b/packages/verbenahall/src/verbenahall/gateway/_generation.py
@@ -9,11 +9,11 @@
 from verbenahall.gateway._core import Core
 from verbenahall.gateway._grants import Grant
 from verbenahall.gateway._messages import Answered, Call, StreamEnded
-from verbenahall.gateway._reads import KvHandle
+from verbenahall.gateway._reads import CacheHandle
 from verbenahall.gateway._relay import EventRelay
 from verbenahall.gateway._sender import SUCCESS_STATUSES, Opened, Sender
 from verbenahall.placement import InFlight, Plan, Totals
-from verbenahall.platform import CALL_FAILURES, SendOrder, read_answer
+from verbenahall.platform import CALL_FAILURES, SendOptions, read_answer_head
 from verbenahall.requests import Broken, Outcome
 
 Generated = Result[StreamEnded | Answered, Outcome]
@@ -58,7 +58,7 @@
     async def run(
         self,
         plan: Plan,
-        handle: KvHandle | None,
+        handle: CacheHandle | None,
         grant: Grant,
         *,
         resumable: bool,
@@ -68,7 +68,7 @@
         ``resumable`` means that another engine may take over the stream.
         """
         self._grant: Grant = grant
-        order = self._make_order(plan, handle)
+        options = self._make_options(plan, handle)
         ledger = self._core.placement.ledger
         self._handed_over = handle is not None
         self._flight = ledger.open(
@@ -81,11 +81,11 @@
         )
         self._sent_at = self._core.now()
         until = self._relay.find_idle_deadline(resumable=resumable)
-        sending = self._sender.open(self._call, plan.generator, order, until)
+        sending = self._sender.open(self._call, plan.generator, options, until)
         try:
             async with sending as opened:
                 result = await self._handle_opened(
-                    plan, order, opened, resumable
+                    plan, options, opened, resumable
                 )
         finally:
             ledger.close(self._flight)
@@ -94,9 +94,11 @@
             self._record_completion(plan, ended)
         return result
 
-    def _make_order(self, plan: Plan, handle: KvHandle | None) -> SendOrder:
+    def _make_options(
+        self, plan: Plan, handle: CacheHandle | None
+    ) -> SendOptions:
         call = self._call
-        return SendOrder(
+        return SendOptions(
             plan.generator.name,
             call.left_s(self._core.now()),
             priority=call.priority,
@@ -107,14 +109,14 @@
     async def _handle_opened(
         self,
         plan: Plan,
-        order: SendOrder,
+        options: SendOptions,
         opened: Opened,
         resumable: bool,
     ) -> Generated:
         match opened:
             case Success(response):
                 return await self._handle_response(
-                    plan, order, response, resumable
+                    plan, options, response, resumable
                 )
             case _:
                 return opened
@@ -122,7 +124,7 @@
     async def _handle_response(
         self,
         plan: Plan,
-        order: SendOrder,
+        options: SendOptions,
         response: aiohttp.ClientResponse,
         resumable: bool,
     ) -> Generated:
@@ -133,11 +135,11 @@
             return await self._sender.read_whole(
                 call,
                 engine,
-                order,
+                options,
                 response,
                 call.deadline,
             )
-        if not read_answer(response.status, response.headers).signed:
+        if not read_answer_head(response.status, response.headers).signed:
             # Engines sign their answers, so this one comes from something else
             # at the address.
             self._sender.record_outcome(engine, good=False)
@@ -174,7 +176,7 @@
         """Count the request in its workspace's usage, once for all attempts."""
         workspace = self._call.workspace
         if workspace is not None and not self._counted:
-            self._core.meter.note_begun(workspace.name)
+            self._core.meter.record_started(workspace.name)
         self._counted = True
 
     def _record_completion(self, plan: Plan, ended: StreamEnded) -> None:
@@ -182,7 +184,7 @@
         timing = ended.timing
         now = self._core.now()
         self._sender.record_outcome(plan.generator, good=True)
-        self._core.observer.note_answered(call.fingerprint)
+        self._core.observer.record_answered(call.fingerprint)
         placement = self._core.placement
         placement.note_kept(plan.generator, call.ask.work, call.service)
         if ended.step_s:
--- a/packages/verbenahall/src/verbenahall/gateway/_hooks.py
+++ b/packages/verbenahall/src/verbenahall/gateway/_hooks.py
@@ -6,7 +6,7 @@
 
 from typing import Protocol, final
 
-from verbenahall.platform import AnswerFacts
+from verbenahall.platform import AnswerHead
 from verbenahall.requests import Limited
 from verbenahall.roster import Entry
 
@@ -20,10 +20,10 @@
         ``left_s`` is the time left for the response, in seconds.
         """
 
-    def note_answer(
+    def record_answer(
         self,
         endpoint: Entry,
-        facts: AnswerFacts,
+        answer_head: AnswerHead,
         sent_at: float,
     ) -> None:
         """Record the rate in the response to a request sent at ``sent_at``."""
@@ -38,10 +38,10 @@
     async def acquire(self, endpoint: Entry, left_s: float) -> Limited | None:
         """Permit the send at once."""
 
-    def note_answer(
+    def record_answer(
         self,
         endpoint: Entry,
-        facts: AnswerFacts,
+        answer_head: AnswerHead,
         sent_at: float,
     ) -> None:
         """Ignore the response."""
@@ -50,10 +50,10 @@
 class CrashObserver(Protocol):
     """Receives lost connections and complete responses of requests."""
 
-    def note_lost(self, fingerprint: str, endpoint: Entry) -> None:
+    def record_lost_connection(self, fingerprint: str, endpoint: Entry) -> None:
         """Record a connection that was lost while a request was open."""
 
-    def note_answered(self, fingerprint: str) -> None:
+    def record_answered(self, fingerprint: str) -> None:
         """Record that a request received a complete response."""
 
 
@@ -63,13 +63,13 @@
 
     __slots__ = ()
 
-    def note_lost(self, fingerprint: str, endpoint: Entry) -> None:
+    def record_lost_connection(self, fingerprint: str, endpoint: Entry) -> None:
         """Ignore the lost connection."""
 
-    def note_answered(self, fingerprint: str) -> None:
+    def record_answered(self, fingerprint: str) -> None:
         """Ignore the response."""
 
 
-def name_start(endpoint: Entry) -> str:
+def format_incarnation(endpoint: Entry) -> str:
     """Return a name that identifies this incarnation of an endpoint."""
     return f'{endpoint.name}/{endpoint.born}'
--- a/packages/verbenahall/src/verbenahall/gateway/_ingress.py
+++ b/packages/verbenahall/src/verbenahall/gateway/_ingress.py
@@ -7,17 +7,17 @@
 from returns.result import Failure, Result, Success
 
 from verbenahall import journal, metrics
-from verbenahall.catalog import Kind, pick_service
+from verbenahall.catalog import RouteKind, pick_service
 from verbenahall.errors import ErrorKind, Problem, Ran
 from verbenahall.gateway._admission import (
     Admission,
-    Admissions,
+    RequestAdmitter,
     read_host,
 )
 from verbenahall.gateway._answers import build_problem_response
 from verbenahall.gateway._core import Core
 from verbenahall.gateway._dispatch import Dispatch
-from verbenahall.gateway._limits import read_within
+from verbenahall.gateway._limits import read_limited_body
 from verbenahall.gateway._messages import Call
 from verbenahall.gateway._plain import PlainFlow
 from verbenahall.gateway._sender import Sender
@@ -36,18 +36,18 @@
 class Ingress:
     """Handles callers' requests; each one is answered exactly once."""
 
-    __slots__ = ('_admissions', '_core', '_dispatch', '_sender', '_stop')
+    __slots__ = ('_admitter', '_core', '_dispatch', '_sender', '_stop')
 
     def __init__(
         self,
         core: Core,
         stop: GracefulStop,
         dispatch: Dispatch,
-        admissions: Admissions,
+        admitter: RequestAdmitter,
     ) -> None:
         """Route by the state of ``core``, until ``stop`` ends the process."""
         self._core = core
-        self._admissions = admissions
+        self._admitter = admitter
         self._stop = stop
         self._sender = Sender(core)
         self._dispatch = dispatch
@@ -70,7 +70,7 @@
         call: Call,
     ) -> web.StreamResponse:
         self._log_accepted(call)
-        self._core.budget_of(call.service.name).earn()
+        self._core.get_retry_budget(call.service.name).earn()
         try:
             response = await self._start_flow(request, call)
         except (ConnectionError, asyncio.CancelledError):
@@ -84,7 +84,7 @@
         request: web.Request,
         call: Call,
     ) -> web.StreamResponse:
-        if call.route.kind is Kind.STREAM and call.service.engine:
+        if call.route.kind is RouteKind.STREAM and call.service.engine:
             flow = StreamFlow(self._core, self._sender, call, request)
             return await flow.run(self._dispatch)
         return await PlainFlow(self._core, self._sender, call).run()
@@ -135,7 +135,7 @@
                 ),
             )
         await self._core.freshness[OPERATOR_TOPIC].wait_usable()
-        found = await self._admissions.admit(request, ask)
+        found = await self._admitter.admit(request, ask)
         match found:
             case Success(admission):
                 return await self._read(request, ask, received, admission)
@@ -150,7 +150,7 @@
         admission: Admission,
     ) -> Result[Call, Problem]:
         catalog, route = admission.catalog, admission.route
-        read = await read_within(request, catalog.limits)
+        read = await read_limited_body(request, catalog.limits)
         if isinstance(read, Failure):
             return read
         body = read.unwrap()
@@ -161,7 +161,7 @@
         wait_s = route.timeout_s
         waited_s: float = 0
         if ask.wait_s is not None:
-            waited_s = self._core.find_waited(route.name, ask.wait_s)
+            waited_s = self._core.estimate_earlier_wait(route.name, ask.wait_s)
             wait_s = min(wait_s, ask.wait_s)
         return self._check_quarantine(
             Call(
--- a/packages/verbenahall/src/verbenahall/gateway/_orders.py
+++ b/packages/verbenahall/src/verbenahall/gateway/_orders.py
@@ -13,7 +13,7 @@
 from verbenahall.fleet import Role
 from verbenahall.gateway._core import Core
 from verbenahall.gateway._duty_leases import find_separation_s, make_lease
-from verbenahall.gateway._hooks import name_start
+from verbenahall.gateway._hooks import format_incarnation
 from verbenahall.peers import find_rank
 from verbenahall.placement import RoleChange, plan_roles
 from verbenahall.platform import RoleOrder
@@ -133,7 +133,7 @@
     def _plan(self, service: str) -> Sequence[RoleChange]:
         core = self._core
         now = core.now()
-        listed = list(core.roster.live(service, now))
+        listed = list(core.roster.list_live(service, now))
         if self._role_observer.update(service, listed):
             # Another instance is ordering changes. A large fleet needs several
             # rounds; unless the delay starts anew here, one instance after the
@@ -142,7 +142,7 @@
         engines = [
             entry
             for entry in listed
-            if core.standings.reachable(entry.name, now)
+            if core.endpoint_health.is_reachable(entry.name, now)
         ]
         if self._has_recent_joins(service, engines, now):
             return ()
@@ -159,7 +159,7 @@
         unthrottled = [
             entry
             for entry in engines
-            if not core.rates.is_limited(name_start(entry))
+            if not core.rates.is_limited(format_incarnation(entry))
         ]
         return plan_roles(unthrottled or engines, stream_counts, lost)
 
@@ -174,7 +174,7 @@
         for engine in engines:
             last_reachable[engine.name] = now
         for name, reachable_at in tuple(last_reachable.items()):
-            if now - reachable_at > _RETURN_S or self._core.roster.has_left(
+            if now - reachable_at > _RETURN_S or self._core.roster.is_leaving(
                 name
             ):
                 last_reachable.pop(name)
@@ -197,10 +197,10 @@
     def _is_pending(self, name: str, born: int, now: float) -> bool:
         """Whether an order to this incarnation of an engine is pending."""
         sent = self._pending.get((name, born))
-        seat = self._core.roster.seats.get(name)
-        if sent is None or seat is None or seat.entry.born != born:
+        listing = self._core.roster.listings.get(name)
+        if sent is None or listing is None or listing.entry.born != born:
             return False
-        return seat.entry.role is not sent.role and now < self._find_expiry(
+        return listing.entry.role is not sent.role and now < self._find_expiry(
             sent
         )
 
@@ -231,7 +231,7 @@
         now = self._core.now()
         if self._changes_needed_at is None:
             self._changes_needed_at = now
-        rank = find_rank(self._core.book, _DUTY, now)
+        rank = find_rank(self._core.peer_table, _DUTY, now)
         return now - self._changes_needed_at >= rank * _RANK_DELAY_S
 
     async def _order_all(self, changes: Sequence[RoleChange]) -> None:
@@ -263,6 +263,6 @@
             status=status,
         )
         if status == HTTPStatus.PRECONDITION_FAILED:
-            self._lease.forget()
+            self._lease.discard_token()
         if status in {HTTPStatus.ACCEPTED, HTTPStatus.OK}:
             metrics.ROLE_CHANGES.inc({'role': change.role.value})
--- a/packages/verbenahall/src/verbenahall/gateway/_permits.py
+++ b/packages/verbenahall/src/verbenahall/gateway/_permits.py
@@ -13,9 +13,9 @@
 
 from verbenahall import journal, metrics, throttling
 from verbenahall.gateway._core import Core
-from verbenahall.gateway._hooks import name_start
+from verbenahall.gateway._hooks import format_incarnation
 from verbenahall.peers import PeerExchange
-from verbenahall.platform import AnswerFacts
+from verbenahall.platform import AnswerHead
 from verbenahall.requests import Limited
 from verbenahall.roster import Entry
 
@@ -35,7 +35,7 @@
 
 
 @final
-class Permits:
+class DistributedRateLimiter:
     """Enforces the rates that endpoints advertise, together with the peers."""
 
     __slots__ = (
@@ -51,32 +51,32 @@
         """Install the limiter in the core and its handler in the exchange."""
         self._core = core
         self._exchange = exchange
-        self._next_handler = exchange.hear_other
+        self._next_handler = exchange.fallback_handler
         self._request_ids = itertools.count()
         self._table = core.rates
         self._pending: dict[int, asyncio.Future[PermitResponse]] = {}
         core.limiter = self
-        exchange.hear_other = self.handle_datagram
+        exchange.fallback_handler = self.handle_datagram
 
     async def run(self) -> None:
         """Announce the rates that this instance limits, until cancelled."""
         while True:
             await asyncio.sleep(_ANNOUNCE_INTERVAL_S)
-            local_name = Some(self._core.book.name)
+            local_name = Some(self._core.peer_table.name)
             for endpoint in _list_limited(self._core):
-                incarnation = name_start(endpoint)
+                incarnation = format_incarnation(endpoint)
                 if self._find_limiter(endpoint) == local_name:
                     rate = self._table.rates[incarnation].rate
                     self._broadcast(throttling.RateNotice(incarnation, rate))
 
     async def acquire(self, endpoint: Entry, left_s: float) -> Limited | None:
         """Wait for a permit; return Limited if that would take too long."""
-        incarnation = name_start(endpoint)
+        incarnation = format_incarnation(endpoint)
         current = self._table.rates.get(incarnation)
         if current is None:
             return None
         # If another endpoint can take the request, it doesn't wait here.
-        has_alternative = self._core.has_other(endpoint, self._core.now())
+        has_alternative = self._core.has_alternative(endpoint, self._core.now())
         longest_s = 0 if has_alternative else left_s * _MAX_WAIT_SHARE
         response = await self._request_permit(
             endpoint,
@@ -94,37 +94,37 @@
                 return None
             case throttling.Denial(wait_s=wait_s):
                 metrics.PERMITS.add('denied')
-                self._core.standings.note_refusal(
+                self._core.endpoint_health.record_refusal(
                     endpoint.name,
                     self._core.now(),
                     wait_s,
                 )
                 return Limited(wait_s)
 
-    def note_answer(
+    def record_answer(
         self,
         endpoint: Entry,
-        facts: AnswerFacts,
+        answer_head: AnswerHead,
         sent_at: float,
     ) -> None:
         """Record the rate that a response advertises, or that it has none."""
-        if facts.misdirected:
+        if answer_head.misdirected:
             return
-        incarnation = name_start(endpoint)
-        if not facts.rates:
+        incarnation = format_incarnation(endpoint)
+        if not answer_head.rates:
             if throttling.record_no_rate(self._table, incarnation, sent_at):
                 self._announce_change(incarnation, 0, 'none')
             return
-        match throttling.read_rate(facts.rates):
+        match throttling.read_rate(answer_head.rates):
             case Some(rate):
                 now = self._core.now()
                 if throttling.record_rate(self._table, incarnation, rate, now):
-                    self._announce_change(incarnation, rate, facts.rates)
+                    self._announce_change(incarnation, rate, answer_head.rates)
             case _:
                 journal.write_decision(
                     'rate_unreadable',
                     endpoint=incarnation,
-                    named=facts.rates,
+                    named=answer_head.rates,
                 )
 
     def handle_datagram(self, datagram: bytes, sender: str) -> bool:
@@ -160,7 +160,7 @@
         request: throttling.PermitRequest,
     ) -> PermitResponse:
         match self._find_limiter(endpoint):
-            case Some(self._core.book.name):
+            case Some(self._core.peer_table.name):
                 return self._grant_permit(request)
             case Some(name):
                 return await self._request_from_peer(name, request)
@@ -174,7 +174,7 @@
     ) -> PermitResponse:
         future = asyncio.get_running_loop().create_future()
         self._pending[request.key] = future
-        peer = self._core.book.peers[name]
+        peer = self._core.peer_table.peers[name]
         self._exchange.send(throttling.encode(request), peer.address)
         try:
             async with asyncio.timeout(_RESPONSE_TIMEOUT_S):
@@ -194,14 +194,14 @@
         self, request: throttling.PermitRequest
     ) -> PermitResponse:
         now = self._core.now()
-        share = throttling.find_rate_share(self._core.book, now)
+        share = throttling.find_rate_share(self._core.peer_table, now)
         return throttling.grant_permit(self._table, request, share, now)
 
     def _find_limiter(self, endpoint: Entry) -> Maybe[str]:
         return throttling.choose_limiter(
             self._table,
-            self._core.book,
-            name_start(endpoint),
+            self._core.peer_table,
+            format_incarnation(endpoint),
             endpoint.data_centre,
             self._core.now(),
         )
@@ -220,7 +220,7 @@
 
     def _broadcast(self, notice: throttling.RateNotice) -> None:
         datagram = throttling.encode(notice)
-        for peer in self._core.book.peers.values():
+        for peer in self._core.peer_table.peers.values():
             self._exchange.send(datagram, peer.address)
 
 
@@ -229,7 +229,7 @@
     if not core.rates.rates:
         return []
     return [
-        seat.entry
-        for seat in core.roster.seats.values()
-        if core.rates.is_limited(name_start(seat.entry))
+        listing.entry
+        for listing in core.roster.listings.values()
+        if core.rates.is_limited(format_incarnation(listing.entry))
     ]
--- a/packages/verbenahall/src/verbenahall/gateway/_plain.py
+++ b/packages/verbenahall/src/verbenahall/gateway/_plain.py
@@ -14,7 +14,7 @@
 from verbenahall.gateway._core import Core
 from verbenahall.gateway._messages import Answered, Call
 from verbenahall.gateway._sender import Sender
-from verbenahall.platform import SendOrder
+from verbenahall.platform import SendOptions
 from verbenahall.requests import Outcome
 from verbenahall.roster import Entry
 
@@ -76,7 +76,7 @@
 
     def _list_untried(self, now: float) -> Sequence[Entry]:
         """Return the live endpoints that have not failed this call."""
-        live = self._core.roster.live(self._call.service.name, now)
+        live = self._core.roster.list_live(self._call.service.name, now)
         tried = self._attempts.tried
         return [one for one in live if one.name not in tried]
 
@@ -94,8 +94,8 @@
         may_repeat = call.route.repeatable and self._attempts.may_run_again
         if others and may_repeat:
             until = now + call.left_s(now) * _FIRST_ATTEMPT_SHARE
-        order = SendOrder(endpoint.name, call.left_s(now))
-        result = await self._sender.exchange(call, endpoint, order, until)
+        options = SendOptions(endpoint.name, call.left_s(now))
+        result = await self._sender.exchange(call, endpoint, options, until)
         self._attempts.record(endpoint.name, result)
         if self._attempts.runs == 1:
             self._count_usage(self._core.now() - now)
@@ -108,7 +108,7 @@
         """
         workspace = self._call.workspace
         if workspace is not None and not self._counted:
-            self._core.meter.note_begun(workspace.name, ago_s)
+            self._core.meter.record_started(workspace.name, ago_s)
         self._counted = True
 
     def _handle_result(
@@ -171,7 +171,9 @@
     Endpoints that are avoided for now are used only if there is no other.
     """
     usable = [
-        one for one in endpoints if not core.standings.paused(one.name, now)
+        one
+        for one in endpoints
+        if not core.endpoint_health.is_avoided(one.name, now)
     ]
     return min(
         usable or endpoints,
@@ -181,9 +183,9 @@
 
 
 def _estimate_load(core: Core, endpoint: Entry, now: float) -> float:
-    standing = core.standings.of(endpoint.name)
-    failing = core.standings.failing(endpoint.name, now)
-    load = standing.open + failing * _FAILING_LOAD
+    health = core.endpoint_health.get(endpoint.name)
+    failure_rate = core.endpoint_health.failure_rate(endpoint.name, now)
+    load = health.open + failure_rate * _FAILING_LOAD
     if endpoint.data_centre != core.settings.data_centre:
         load += _REMOTE_LOAD
     return load
--- a/packages/verbenahall/src/verbenahall/gateway/_reads.py
+++ b/packages/verbenahall/src/verbenahall/gateway/_reads.py
@@ -13,10 +13,10 @@
 from verbenahall.gateway._sender import Sender
 from verbenahall.placement import Plan, Totals
 from verbenahall.platform import (
-    ReadPrompt,
-    SendOrder,
-    decode_read_prompt,
-    name_handle,
+    PrefillResult,
+    SendOptions,
+    decode_prefill_result,
+    format_kv_source,
 )
 from verbenahall.requests import Broken, Outcome
 from verbenahall.roster import Entry
@@ -29,7 +29,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class KvHandle:
+class CacheHandle:
     """KV cache of a prompt, held by an engine until fetched or freed."""
 
     engine: Entry
@@ -37,8 +37,8 @@
 
     @property
     def source(self) -> str:
-        """The name of this KV cache in the headers of a send."""
-        return name_handle(self.engine.address, self.name)
+        """The header value of a send that locates this KV cache."""
+        return format_kv_source(self.engine.address, self.name)
 
 
 @final
@@ -57,14 +57,14 @@
         call: Call,
         plan: Plan,
         prefill_engine: Entry,
-    ) -> Result[KvHandle, Outcome]:
+    ) -> Result[CacheHandle, Outcome]:
         """Prefill the prompt; return the handle of its KV cache."""
         now = self._core.now()
-        order = SendOrder(
+        options = SendOptions(
             prefill_engine.name,
             call.left_s(now),
             priority=call.priority,
-            read_only=True,
+            prefill_only=True,
         )
         timeout_at = now + _TIMEOUT_MARGIN_S + plan.wait_s * _TIMEOUT_FACTOR
         ledger = self._core.placement.ledger
@@ -74,7 +74,7 @@
             result = await self._sender.exchange(
                 call,
                 prefill_engine,
-                order,
+                options,
                 min(call.deadline, timeout_at),
             )
         finally:
@@ -85,10 +85,10 @@
                 call, plan, prefill_engine, tokens_ahead, self._core.now() - now
             )
         return prefilled.map(
-            lambda prompt: KvHandle(prefill_engine, prompt.handle)
+            lambda prompt: CacheHandle(prefill_engine, prompt.handle)
         )
 
-    def free(self, handle: KvHandle) -> None:
+    def free(self, handle: CacheHandle) -> None:
         """Free a handle in the background.
 
         An unused handle would occupy the engine's memory for seconds, and the
@@ -129,7 +129,7 @@
 
 def _decode_handle(
     result: Result[Answered, Outcome],
-) -> Result[ReadPrompt, Outcome]:
+) -> Result[PrefillResult, Outcome]:
     match result:
         case Success(Answered(status=status, body=body)):
             pass
@@ -137,7 +137,7 @@
             return result
     if status != HTTPStatus.OK:
         return Failure(Broken(f'the prefill was answered with status {status}'))
-    match decode_read_prompt(body):
+    match decode_prefill_result(body):
         case Some(prompt):
             return Success(prompt)
         case _:
--- a/packages/verbenahall/src/verbenahall/gateway/_following.py
+++ b/packages/verbenahall/src/verbenahall/gateway/_record_handlers.py
@@ -8,9 +8,9 @@
 from returns.result import Failure, Success
 
 from verbenahall import journal
-from verbenahall.catalog import adopt
+from verbenahall.catalog import apply_catalog
 from verbenahall.gateway._core import Core
-from verbenahall.gateway._followers import Follower, Subject
+from verbenahall.gateway._followers import Follower, TopicHandler
 from verbenahall.gateway._store_reachability import Received
 from verbenahall.peers import PeerExchange, TopicUpdate
 from verbenahall.platform import (
@@ -21,7 +21,7 @@
     decode_entry,
     decode_manifest,
 )
-from verbenahall.roster import drop, put, replace
+from verbenahall.roster import apply_removal, apply_entry, apply_list
 
 #: Pause between a manifest and the poll for the next one, in seconds. A
 #: manifest must be in force within two seconds.
@@ -49,14 +49,14 @@
     ) -> list[Follower]:
         """Return one follower per topic; ``broadcast`` sends to the peers."""
         pause_s = self._core.settings.bounds.leaving_s * _ENDPOINTS_PAUSE_SHARE
-        subjects = (
-            Subject(
+        handlers = (
+            TopicHandler(
                 OPERATOR_TOPIC,
                 self._apply_manifest,
                 self._apply_manifests,
                 _MANIFEST_PAUSE_S,
             ),
-            Subject(
+            TopicHandler(
                 ENDPOINTS_TOPIC,
                 self._apply_entry,
                 self._apply_entries,
@@ -64,7 +64,7 @@
             ),
         )
         return [
-            Follower(self._core, subject, broadcast) for subject in subjects
+            Follower(self._core, handler, broadcast) for handler in handlers
         ]
 
     def _apply_manifest(self, record: KeyedRecord, received: Received) -> None:
@@ -72,7 +72,7 @@
             return
         match decode_manifest(record.content):
             case Success(catalog):
-                adopted = adopt(self._core.catalog, catalog)
+                adopted = apply_catalog(self._core.catalog, catalog)
                 journal.write_decision(
                     'manifest',
                     version=catalog.version,
@@ -101,7 +101,7 @@
             return
         match decode_entry(record.key, record.content):
             case Some(entry):
-                taken = put(self._core.roster, entry)
+                taken = apply_entry(self._core.roster, entry)
                 journal.write_decision(
                     'endpoint',
                     endpoint=entry.name,
@@ -121,15 +121,17 @@
     def _apply_removal(self, name: str, received: Received) -> None:
         roster = self._core.roster
         now = self._core.now()
-        gone = drop(roster, name, now, received.before)
-        seat = roster.seats.get(name)
-        self._core.forget_unlisted()
+        gone = apply_removal(roster, name, now, received.before)
+        listing = roster.listings.get(name)
+        self._core.remove_unlisted()
         journal.write_decision(
             'endpoint_gone' if gone else 'endpoint_lapsed',
             endpoint=name,
             source=received.source,
             age_s=journal.round_seconds(received.age_s),
-            used_for_s=journal.round_seconds(seat.until - now) if seat else 0,
+            used_for_s=journal.round_seconds(listing.usable_until - now)
+            if listing
+            else 0,
         )
 
     def _apply_entries(
@@ -146,14 +148,14 @@
                     unreadable.append(key)
                     _log_unreadable(key)
         now = self._core.now()
-        replace(
+        apply_list(
             self._core.roster,
             entries,
             unreadable,
             now,
             received.before,
         )
-        self._core.forget_unlisted()
+        self._core.remove_unlisted()
         journal.write_decision(
             'endpoints',
             readable=len(entries),
@@ -161,10 +163,10 @@
         )
 
 
-def follow_store(core: Core, exchange: PeerExchange) -> list[Follower]:
+def make_followers(core: Core, exchange: PeerExchange) -> list[Follower]:
     """Return followers that share their reads with the peers of an exchange."""
     followers = RecordHandlers(core).make_followers(exchange.broadcast)
-    exchange.followed = functools.partial(_list_followed, followers)
+    exchange.followed_offsets = functools.partial(_list_followed, followers)
     exchange.list_ages = functools.partial(_list_ages, core)
     exchange.on_update = functools.partial(_dispatch_update, followers)
     return followers
@@ -172,7 +174,7 @@
 
 def _list_followed(followers: Sequence[Follower]) -> Mapping[str, int]:
     return {
-        one.subject.topic: one.position
+        one.handler.topic: one.position
         for one in followers
         if one.is_polling_store()
     }
@@ -193,7 +195,7 @@
     update: TopicUpdate,
 ) -> None:
     for follower in followers:
-        if follower.subject.topic == update.topic:
+        if follower.handler.topic == update.topic:
             follower.receive_update(update)
 
 
--- a/packages/verbenahall/src/verbenahall/gateway/_scaling.py
+++ b/packages/verbenahall/src/verbenahall/gateway/_scaling.py
@@ -10,15 +10,15 @@
 from verbenahall.platform import (
     ENDPOINTS_TOPIC,
     SCALE_DUTY,
-    DutyCalls,
+    DutyClient,
     ProcessSettings,
 )
-from verbenahall.roster import was_cut_off
+from verbenahall.roster import had_store_outage
 from verbenahall.scaling import (
     DUTY,
     LEASE_S,
     Scaler,
-    Surroundings,
+    Dependencies,
 )
 
 #: Interval at which standbys check the holder, in seconds; the holder renews
@@ -36,28 +36,30 @@
     settings = core.settings
     lease = make_lease(core, DUTY, LEASE_S)
     return Scaler(
-        Surroundings(
+        Dependencies(
             name=settings.name,
             store=core.store,
-            calls=DutyCalls(core.session, settings.duty_api),
+            calls=DutyClient(core.session, settings.duty_api),
             lease=lease,
             succession=Succession(
-                lease, core.book, core.now, _RENEWAL_PERIOD_S
+                lease, core.peer_table, core.now, _RENEWAL_PERIOD_S
             ),
             list_rules=lambda: _list_rules(core),
-            list_engines=lambda name: list(core.roster.live(name, core.now())),
-            is_listed=lambda: _is_listed(core),
+            list_engines=lambda name: list(
+                core.roster.list_live(name, core.now())
+            ),
+            is_list_current=lambda: _is_list_current(core),
             now=core.now,
         ),
     )
 
 
-def _is_listed(core: Core) -> bool:
+def _is_list_current(core: Core) -> bool:
     """Whether the list of engines is fresh and was not interrupted lately."""
     now = core.now()
     freshness = core.freshness[ENDPOINTS_TOPIC]
     is_fresh = freshness.find_age(now) <= freshness.usable_s
-    return is_fresh and not was_cut_off(core.roster, now)
+    return is_fresh and not had_store_outage(core.roster, now)
 
 
 def _list_rules(core: Core) -> Mapping[str, ScalingRules]:
--- a/packages/verbenahall/src/verbenahall/gateway/_scheduler.py
+++ b/packages/verbenahall/src/verbenahall/gateway/_scheduler.py
@@ -133,7 +133,7 @@
         now = self._core.now()
         note(state, progress, service, now)
         if isinstance(progress, Released) and progress.refused:
-            self._core.standings.note_refusal(progress.refused, now)
+            self._core.endpoint_health.record_refusal(progress.refused, now)
         self._schedule_run(scope)
 
     def _schedule_run(self, scope: _Scope, within_s: float = 0) -> None:
@@ -248,7 +248,7 @@
         self._exchange = exchange
         self.assignments = Assignments(core, self.send)
         self.scheduler = Scheduler(core, self.send)
-        exchange.hear_other = self.receive_datagram
+        exchange.fallback_handler = self.receive_datagram
 
     def receive_datagram(self, datagram: bytes, sender: str) -> bool:
         """Dispatch a datagram; return False if it is of another kind."""
--- a/packages/verbenahall/src/verbenahall/gateway/_sender.py
+++ b/packages/verbenahall/src/verbenahall/gateway/_sender.py
@@ -19,9 +19,9 @@
     CALL_FAILURES,
     CONNECT_FAILURES,
     ENDPOINTS_TOPIC,
-    SendOrder,
+    SendOptions,
     build_send_headers,
-    read_answer,
+    read_answer_head,
     strip_hop_headers,
 )
 from verbenahall.quarantine import find_quarantine_s
@@ -67,7 +67,7 @@
         self,
         call: Call,
         endpoint: Entry,
-        order: SendOrder,
+        options: SendOptions,
         until: float,
     ) -> AsyncIterator[Opened]:
         """Send a call and yield the response once its head has arrived.
@@ -90,15 +90,15 @@
             yarl.URL(f'http://{endpoint.address}{call.path}', encoded=True),
             headers=build_send_headers(
                 call.raw_headers,
-                order,
+                options,
                 workspace.name if workspace else '',
             ),
             data=call.body or None,
             allow_redirects=False,
         )
-        standing = self._core.standings.of(endpoint.name)
-        standing.open += 1
-        self._log_sent(call, endpoint, order)
+        health = self._core.endpoint_health.get(endpoint.name)
+        health.open += 1
+        self._log_sent(call, endpoint, options)
         response = None
         sent_at = self._core.now()
         try:
@@ -106,9 +106,11 @@
         except CALL_FAILURES as error:
             yield Failure(self.classify_failure(call, endpoint, error))
         else:
-            yield await self._check_refusal(endpoint, order, response, sent_at)
+            yield await self._check_refusal(
+                endpoint, options, response, sent_at
+            )
         finally:
-            standing.open -= 1
+            health.open -= 1
             if response is not None:
                 response.close()
 
@@ -116,17 +118,17 @@
         self,
         call: Call,
         endpoint: Entry,
-        order: SendOrder,
+        options: SendOptions,
         until: float,
     ) -> Result[Answered, Outcome]:
         """Send a call and read the whole answer."""
-        async with self.open(call, endpoint, order, until) as opened:
+        async with self.open(call, endpoint, options, until) as opened:
             match opened:
                 case Success(response):
                     return await self.read_whole(
                         call,
                         endpoint,
-                        order,
+                        options,
                         response,
                         until,
                     )
@@ -137,13 +139,13 @@
     def record_outcome(self, endpoint: Entry, *, good: bool) -> None:
         """Record whether an endpoint's answer was good."""
         now = self._core.now()
-        self._core.standings.note(endpoint.name, now, good=good)
+        self._core.endpoint_health.record_outcome(endpoint.name, now, good=good)
 
     async def read_whole(
         self,
         call: Call,
         endpoint: Entry,
-        order: SendOrder,
+        options: SendOptions,
         response: aiohttp.ClientResponse,
         until: float,
     ) -> Result[Answered, Outcome]:
@@ -152,12 +154,12 @@
             body = await self._wait_until(until, response.read())
         except CALL_FAILURES as error:
             return Failure(self.classify_failure(call, endpoint, error))
-        facts = read_answer(response.status, response.headers)
-        must_be_signed = not order.read_only
+        answer_head = read_answer_head(response.status, response.headers)
+        must_be_signed = not options.prefill_only
         if (
             response.status in SUCCESS_STATUSES
             and must_be_signed
-            and not facts.signed
+            and not answer_head.signed
         ):
             # Endpoints sign their answers, so this one comes from something
             # else at the address.
@@ -166,7 +168,7 @@
         good = response.status < HTTPStatus.INTERNAL_SERVER_ERROR
         self.record_outcome(endpoint, good=good)
         if must_be_signed and good:
-            self._core.observer.note_answered(call.fingerprint)
+            self._core.observer.record_answered(call.fingerprint)
         return Success(
             Answered(
                 response.status,
@@ -185,17 +187,19 @@
         """Return the outcome of a failed send and record the failure."""
         now = self._core.now()
         if isinstance(error, CONNECT_FAILURES):
-            self._core.standings.note_unreachable(endpoint.name, now)
+            self._core.endpoint_health.record_unreachable(endpoint.name, now)
             return NeverWritten(repr(error))
         if isinstance(error, OSError) and error.errno in _NO_ACK_ERRNOS:
-            self._core.standings.note_unreachable(endpoint.name, now)
+            self._core.endpoint_health.record_unreachable(endpoint.name, now)
             return Broken(repr(error))
         self.record_outcome(endpoint, good=False)
         if isinstance(error, TimeoutError) and now >= call.deadline:
             return TimedOut()
         if not isinstance(error, TimeoutError):
             self._log_lost_connection(call, endpoint)
-            self._core.observer.note_lost(call.fingerprint, endpoint)
+            self._core.observer.record_lost_connection(
+                call.fingerprint, endpoint
+            )
         return Broken(repr(error))
 
     async def _check_sendable(
@@ -214,7 +218,7 @@
         left_s = find_quarantine_s(core.crash_log, call.fingerprint, now)
         if left_s:
             return Quarantined(left_s)
-        if not core.roster.may_get_work(endpoint.name, now):
+        if not core.roster.is_live(endpoint.name, now):
             return NeverWritten(_ENDPOINT_LEFT)
         if isinstance(find_workspace(core, call), Failure):
             return Unauthorized()
@@ -227,7 +231,7 @@
             fingerprint=call.fingerprint,
             endpoint=endpoint.name,
             born=endpoint.born,
-            open=self._core.standings.of(endpoint.name).open,
+            open=self._core.endpoint_health.get(endpoint.name).open,
         )
 
     def _log_not_sent(
@@ -248,22 +252,22 @@
         self,
         call: Call,
         endpoint: Entry,
-        order: SendOrder,
+        options: SendOptions,
     ) -> None:
         """Log a send with the age of the endpoint list that it relies on."""
         core = self._core
         now = core.now()
         age_s = core.freshness[ENDPOINTS_TOPIC].find_age(now)
-        seat = core.roster.seats.get(endpoint.name)
+        listing = core.roster.listings.get(endpoint.name)
         metrics.LEFT_SECONDS.observe(call.left_s(now))
         metrics.LIST_AGE_SECONDS.observe(age_s)
         journal.write_decision(
             'sent',
             request=call.ask.identity,
             endpoint=endpoint.name,
-            prefill=order.read_only,
+            prefill=options.prefill_only,
             age_s=journal.round_seconds(age_s),
-            listed=seat is not None and seat.until == float('inf'),
+            listed=listing is not None and listing.usable_until == float('inf'),
             left_s=journal.round_seconds(call.left_s(now)),
         )
 
@@ -278,20 +282,20 @@
     async def _check_refusal(
         self,
         endpoint: Entry,
-        order: SendOrder,
+        options: SendOptions,
         response: aiohttp.ClientResponse,
         sent_at: float,
     ) -> Opened:
-        facts = read_answer(response.status, response.headers)
-        self._core.limiter.note_answer(endpoint, facts, sent_at)
-        if not facts.not_run:
+        answer_head = read_answer_head(response.status, response.headers)
+        self._core.limiter.record_answer(endpoint, answer_head, sent_at)
+        if not answer_head.not_run:
             return Success(response)
-        if not order.kv_source:
+        if not options.kv_source:
             # A send with a handle may be refused because the engine that
             # holds the KV cache has crashed, so only refusals of sends without
             # one count against the endpoint.
             now = self._core.now()
-            self._core.standings.note_refusal(endpoint.name, now)
+            self._core.endpoint_health.record_refusal(endpoint.name, now)
         # Once the refusal is read to its end, the connection can be reused,
         # which saves the next send a handshake.
         with contextlib.suppress(*CALL_FAILURES):
--- a/packages/verbenahall/src/verbenahall/gateway/_serve.py
+++ b/packages/verbenahall/src/verbenahall/gateway/_serve.py
@@ -10,20 +10,20 @@
 from aiohttp import web
 
 from verbenahall import journal, metrics
-from verbenahall.authentication import KeyLookups
+from verbenahall.authentication import KeyRefresher
 from verbenahall.config import LimitsConfig
 from verbenahall.front import Patience, Runner
-from verbenahall.gateway._admission import Admissions
-from verbenahall.gateway._beliefs import Beliefs
+from verbenahall.gateway._admission import RequestAdmitter
+from verbenahall.gateway._fleet_state_log import FleetStateLog
 from verbenahall.gateway._core import Core
-from verbenahall.gateway._crash_reports import CrashReports
-from verbenahall.gateway._crashes import CrashWatch
+from verbenahall.gateway._crash_reports import CrashLogReplicator
+from verbenahall.gateway._crashes import CrashDetector
 from verbenahall.gateway._dispatch import Dispatch
-from verbenahall.gateway._following import follow_store
+from verbenahall.gateway._record_handlers import make_followers
 from verbenahall.gateway._ingress import Ingress
 from verbenahall.gateway._orders import RoleController
 from verbenahall.gateway._peers import PeerFinder
-from verbenahall.gateway._permits import Permits
+from verbenahall.gateway._permits import DistributedRateLimiter
 from verbenahall.gateway._probes import EndpointProber
 from verbenahall.gateway._readiness import Readiness
 from verbenahall.gateway._refresh import Refresher
@@ -78,11 +78,17 @@
         self.finder = PeerFinder(self.core)
         self.scheduling = Scheduling(self.core, self.finder.exchange)
         self.scheduling.scheduler.stopping = self._is_stopping
-        self.reports = CrashReports(self.core, self.finder.exchange)
-        self.crashes = CrashWatch(self.core, self.reports)
-        self.permits = Permits(self.core, self.finder.exchange)
-        followers = follow_store(self.core, self.finder.exchange)
-        self._followers = {one.subject.topic: one for one in followers}
+        self.crash_log_replicator = CrashLogReplicator(
+            self.core, self.finder.exchange
+        )
+        self.crash_detector = CrashDetector(
+            self.core, self.crash_log_replicator
+        )
+        self.rate_limiter = DistributedRateLimiter(
+            self.core, self.finder.exchange
+        )
+        followers = make_followers(self.core, self.finder.exchange)
+        self._followers = {one.handler.topic: one for one in followers}
         self._usage = make_usage_exchange(self.core, self.finder.exchange)
         self._supervisor = Supervisor()
         self._runners: list[web.AppRunner] = []
@@ -105,7 +111,7 @@
 
     async def close(self) -> None:
         """Stop the background loops and close every connection."""
-        self._usage.tell_last()
+        self._usage.send_final_counts()
         await self._supervisor.stop()
         closing = [runner.cleanup() for runner in self._runners]
         await asyncio.gather(*closing)
@@ -114,13 +120,13 @@
         journal.flush()
 
     def _make_ingress(self) -> Ingress:
-        lookups = KeyLookups(
+        key_refresher = KeyRefresher(
             self._followers[OPERATOR_TOPIC].refresh,
             self.core.now,
         )
         dispatch = Dispatch(self.core, self.scheduling.assignments)
-        admissions = Admissions(self.core, lookups)
-        return Ingress(self.core, self.stop, dispatch, admissions)
+        admitter = RequestAdmitter(self.core, key_refresher)
+        return Ingress(self.core, self.stop, dispatch, admitter)
 
     def _is_stopping(self) -> bool:
         return self.stop.stopping
@@ -140,11 +146,11 @@
             'scheduler': self.scheduling.scheduler.run,
             'roles': role_controller.run,
             'readiness': readiness.run,
-            'crashes': self.crashes.run,
-            'crash reports': self.reports.run,
-            'permits': self.permits.run,
+            'crashes': self.crash_detector.run,
+            'crash reports': self.crash_log_replicator.run,
+            'permits': self.rate_limiter.run,
             'probes': EndpointProber(self.core).run,
-            'beliefs': Beliefs(self.core).run,
+            'beliefs': FleetStateLog(self.core).run,
             'lines': _flush_log,
         }
         if reports_usage(self.core.settings):
--- a/packages/verbenahall/src/verbenahall/usage/_shell.py
+++ b/packages/verbenahall/src/verbenahall/usage/_shell.py
@@ -7,8 +7,8 @@
 from verbenahall import journal
 from verbenahall.clock import Clock
 from verbenahall.duties import DutyLease, Succession
-from verbenahall.platform import DutyOutcome, Seal
-from verbenahall.usage._clock import TrueClock
+from verbenahall.platform import DutyOutcome, LeaseToken
+from verbenahall.usage._clock import SyncedClock
 from verbenahall.usage._decisions import (
     Windows,
     find_settled,
@@ -17,7 +17,7 @@
     may_decide,
 )
 from verbenahall.usage._exchange import DUTY, UsageExchange
-from verbenahall.usage._reports import Reports
+from verbenahall.usage._reports import UsageReports
 
 #: Interval of the loop, in seconds.
 _CHECK_INTERVAL_S: Final = 0.1
@@ -33,16 +33,16 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Surroundings:
+class Dependencies:
     """Dependencies of the reporter; ``name`` is the instance's."""
 
     name: str
     exchange: UsageExchange
-    reports: Reports
+    reports: UsageReports
     lease: DutyLease
     succession: Succession
     windows: Windows
-    clock: TrueClock
+    clock: SyncedClock
     now: Clock
 
 
@@ -58,7 +58,7 @@
         '_written_window',
     )
 
-    def __init__(self, dependencies: Surroundings) -> None:
+    def __init__(self, dependencies: Dependencies) -> None:
         """Create the reporter; nothing is sent before ``run``."""
         self._dependencies = dependencies
         self._holds_duty = False
@@ -154,10 +154,10 @@
         for window in reports.list_unsent(at):
             if self._dependencies.lease.token() != token:
                 return False
-            seal = Seal(self._dependencies.name, token)
-            outcome = await reports.send(window, seal)
+            lease_token = LeaseToken(self._dependencies.name, token)
+            outcome = await reports.send(window, lease_token)
             if outcome is DutyOutcome.FENCED:
-                self._dependencies.lease.forget()
+                self._dependencies.lease.discard_token()
                 self._step_down('a higher token was seen')
             if outcome is not DutyOutcome.DONE:
                 return False
@@ -173,7 +173,7 @@
     def _step_down(self, reason: str) -> None:
         journal.write_decision('duty_lost', duty=DUTY, reason=reason)
         self._holds_duty = False
-        self._dependencies.succession.note_lost()
+        self._dependencies.succession.step_down()
         self._dependencies.reports.discard()
 
     async def _write_unpolled(self, at: float) -> None:
--- a/packages/verbenahall/tests/drains/crashing_fleet.py
+++ b/packages/verbenahall/tests/drains/crashing_fleet.py
@@ -9,10 +9,10 @@
 import aiohttp
 from aiohttp.client_reqrep import ConnectionKey
 
-from verbenahall.catalog import Kind
+from verbenahall.catalog import RouteKind
 from verbenahall.gateway import _crashes as crashes
-from verbenahall.gateway._crash_reports import CrashReports
-from verbenahall.gateway._probes import Contact
+from verbenahall.gateway._crash_reports import CrashLogReplicator
+from verbenahall.gateway._probes import ConnectOutcome
 from verbenahall.quarantine import find_quarantine_s, make_fingerprint
 
 from .fleet import ROUTE, Fleet
@@ -21,7 +21,7 @@
 CRASHING_PATH = '/proof/crashing'
 STAMP_HEADER = 'X-Verbenahall-Server-Stamp'
 REPEATABLE = dataclasses.replace(
-    ROUTE, kind=Kind.IDEMPOTENT, max_attempts=2, timeout_s=4
+    ROUTE, kind=RouteKind.IDEMPOTENT, max_attempts=2, timeout_s=4
 )
 #: Time from the crashing request's start to the crash, in seconds.
 CRASH_DELAY_S = 0.06
@@ -51,8 +51,8 @@
         self.store.put('keyed.crashes', 'nobody', b'')
         await super().open()
         for instance in self.instances.values():
-            replicator = CrashReports(instance.core, instance.exchange)
-            detector = crashes.CrashWatch(instance.core, replicator)
+            replicator = CrashLogReplicator(instance.core, instance.exchange)
+            detector = crashes.CrashDetector(instance.core, replicator)
             for loop in (replicator.run(), detector.run()):
                 self._crash_tasks.append(asyncio.create_task(loop))
 
@@ -108,9 +108,9 @@
         await asyncio.sleep(0.002)
         name = self.find_endpoint(address.partition(':')[0])
         return (
-            Contact.REFUSES
+            ConnectOutcome.REFUSES
             if name in self._crashed_endpoints
-            else Contact.LISTENS
+            else ConnectOutcome.LISTENS
         )
 
     async def send_request(self, instance, path):
--- a/packages/verbenahall/tests/drains/fleet.py
+++ b/packages/verbenahall/tests/drains/fleet.py
@@ -15,14 +15,14 @@
 import aiohttp
 from verbenahall_standins.platform import write_settings
 
-from verbenahall.catalog import Kind, Route, Service, Share
+from verbenahall.catalog import RouteKind, Route, Service, Share
 from verbenahall.gateway._core import Core
-from verbenahall.gateway._following import follow_store
+from verbenahall.gateway._following import make_followers
 from verbenahall.gateway._messages import Call
 from verbenahall.gateway._plain import PlainFlow
 from verbenahall.gateway._refresh import Refresher
 from verbenahall.gateway._sender import Sender
-from verbenahall.peers import PeerExchange, greet
+from verbenahall.peers import PeerExchange, add_peer
 from verbenahall.placement import Work
 from verbenahall.platform import (
     ENDPOINTS_TOPIC,
@@ -39,7 +39,7 @@
     name='proof',
     host='desk.example',
     prefix='/proof/',
-    kind=Kind.NON_IDEMPOTENT,
+    kind=RouteKind.NON_IDEMPOTENT,
     shares=(Share(SERVICE, 1),),
     timeout_s=3,
     objective_s=0.4,
@@ -59,9 +59,11 @@
         self.core.session = session
         self.core.random = random.Random(f'{fleet.seed} {name}')
         self.core.store._session = session
-        self.exchange = PeerExchange(self.core.book, self.core.placement, bool)
+        self.exchange = PeerExchange(
+            self.core.peer_table, self.core.placement, bool
+        )
         self.exchange.connection_made(SimulatedSocket(fleet, name))
-        self.followers = follow_store(self.core, self.exchange)
+        self.followers = make_followers(self.core, self.exchange)
         self._sender = Sender(self.core)
         self._tasks = []
 
@@ -183,7 +185,7 @@
         for instance in self.instances.values():
             for name, host in self.hosts.items():
                 address = f'{host}:{PEER_PORT}'
-                greet(instance.core.book, name, address, 'lampeter')
+                add_peer(instance.core.peer_table, name, address, 'lampeter')
             instance.start()
 
     async def close(self):
@@ -243,7 +245,7 @@
         return [
             name
             for name, instance in self.instances.items()
-            if ENDPOINTS_TOPIC in instance.exchange.followed()
+            if ENDPOINTS_TOPIC in instance.exchange.followed_offsets()
         ]
 
     def deliver(self, target, datagram, sender):
@@ -281,14 +283,14 @@
 
     def _describe_arrival(self, instance, endpoint, now):
         core = self.instances[instance].core
-        listing = core.roster.seats.get(endpoint)
+        listing = core.roster.listings.get(endpoint)
         return LateArrival(
             round(now, 3),
             instance,
             endpoint,
             late_s=round(now - self.departures[endpoint], 3),
             announced=endpoint in self.announced,
-            listed=listing is not None and listing.until == float('inf'),
+            listed=listing is not None and listing.usable_until == float('inf'),
             age_s=round(core.freshness[ENDPOINTS_TOPIC].find_age(now), 3),
         )
 
--- a/packages/verbenahall/tests/drains/keyed_fleet.py
+++ b/packages/verbenahall/tests/drains/keyed_fleet.py
@@ -4,9 +4,9 @@
 import json
 from types import SimpleNamespace
 
-from verbenahall.authentication import KeyLookups, digest_key
+from verbenahall.authentication import KeyRefresher, digest_key
 from verbenahall.catalog import Service
-from verbenahall.gateway._admission import Admissions
+from verbenahall.gateway._admission import RequestAdmitter
 from verbenahall.gateway._messages import Call
 from verbenahall.gateway._plain import PlainFlow
 from verbenahall.gateway._sender import Sender
@@ -67,9 +67,11 @@
         self.publish_manifest()
         for name, instance in self.instances.items():
             operator = instance.followers[0]
-            assert operator.subject.topic == OPERATOR_TOPIC
-            key_refresher = KeyLookups(operator.refresh, instance.core.now)
-            self._admitters[name] = Admissions(instance.core, key_refresher)
+            assert operator.handler.topic == OPERATOR_TOPIC
+            key_refresher = KeyRefresher(operator.refresh, instance.core.now)
+            self._admitters[name] = RequestAdmitter(
+                instance.core, key_refresher
+            )
 
     def publish_manifest(self):
         """Publish a manifest with the current keys."""
--- a/packages/verbenahall/tests/drains/rated_fleet.py
+++ b/packages/verbenahall/tests/drains/rated_fleet.py
@@ -4,13 +4,15 @@
 import dataclasses
 import random
 
-from verbenahall.catalog import Kind
-from verbenahall.gateway._permits import Permits
+from verbenahall.catalog import RouteKind
+from verbenahall.gateway._permits import DistributedRateLimiter
 
 from .fleet import ROUTE, Fleet
 from .simulated_network import SimulatedResponse
 
-REPEATABLE = dataclasses.replace(ROUTE, kind=Kind.IDEMPOTENT, max_attempts=2)
+REPEATABLE = dataclasses.replace(
+    ROUTE, kind=RouteKind.IDEMPOTENT, max_attempts=2
+)
 STAMP_HEADER = 'X-Verbenahall-Server-Stamp'
 WINDOW_S = 4
 SLACK_REQUESTS = 5
@@ -40,8 +42,8 @@
         """Start the instances with their rate limiters."""
         await super().open()
         for instance in self.instances.values():
-            permits = Permits(instance.core, instance.exchange)
-            self._permit_tasks.append(asyncio.create_task(permits.run()))
+            limiter = DistributedRateLimiter(instance.core, instance.exchange)
+            self._permit_tasks.append(asyncio.create_task(limiter.run()))
 
     async def close(self):
         """Stop the rate limiters, then the instances."""
--- a/packages/verbenahall/tests/drains/test_drains.py
+++ b/packages/verbenahall/tests/drains/test_drains.py
@@ -6,7 +6,7 @@
 
 import pytest
 
-from verbenahall.roster import was_cut_off
+from verbenahall.roster import had_store_outage
 
 from .fleet import Fleet
 from .simulated_clock import run_simulated
@@ -181,7 +181,7 @@
     fleet = Fleet(1, 4, leaving_s=3)
     run_simulated(refuse_one_follower(fleet))
     rosters = [instance.core.roster for instance in fleet.instances.values()]
-    assert not any(was_cut_off(roster, 12) for roster in rosters)
+    assert not any(had_store_outage(roster, 12) for roster in rosters)
 
 
 async def ignore_followers(fleet):
--- a/packages/verbenahall/tests/drains/usage_fleet.py
+++ b/packages/verbenahall/tests/drains/usage_fleet.py
@@ -9,7 +9,7 @@
     make_usage_exchange,
     make_usage_reporter,
 )
-from verbenahall.peers import greet
+from verbenahall.peers import add_peer
 
 from .fleet import Fleet, Instance
 from .simulated_clock import START_TIME_S
@@ -28,7 +28,7 @@
 
 def skew_clock(core, skew_s):
     """Shift an instance's wall clock, as if it had started with an offset."""
-    core.true_clock._own += skew_s
+    core.synced_clock._local_offset += skew_s
 
 
 @dataclasses.dataclass(frozen=True)
@@ -101,7 +101,7 @@
         core = instance.core
         skew_clock(core, wall_skew_s)
         for peer, host in self.hosts.items():
-            greet(core.book, peer, f'{host}:{PEER_PORT}', 'lampeter')
+            add_peer(core.peer_table, peer, f'{host}:{PEER_PORT}', 'lampeter')
         self.instances[name] = instance
         instance.start()
         usage = make_usage_exchange(core, instance.exchange)
@@ -125,7 +125,7 @@
                 continue
             workspace = f'w-{int(self.traffic_rng.paretovariate(1)) % 60}'
             instance = self.traffic_rng.choice(tuple(self.instances.values()))
-            instance.core.meter.note_begun(workspace)
+            instance.core.meter.record_started(workspace)
             window = int((START_TIME_S + loop.time()) // WINDOW_S)
             window_counts = self.true_counts.setdefault(
                 window, collections.Counter()
--- a/packages/verbenahall/tests/gateway/test_store.py
+++ b/packages/verbenahall/tests/gateway/test_store.py
@@ -8,7 +8,7 @@
 from verbenahall_standins.platform import EngineStandIn
 
 from verbenahall.gateway import _followers as followers
-from verbenahall.peers import greet, hear
+from verbenahall.peers import add_peer, record_heartbeat
 
 from .conftest import (
     HOST,
@@ -80,7 +80,7 @@
         async with open_desk(tmp_path, plain=make_plain(1)) as desk:
             desk.site.store.put('keyed.servers', 'odd', content)
             await desk.until(lambda: desk.decisions('endpoint_unreadable'))
-            assert 'odd' not in desk.gateway.core.roster.seats
+            assert 'odd' not in desk.gateway.core.roster.listings
             assert (await desk.ask('/archive/1', method='GET'))[0] == 200
 
     run(check())
@@ -155,13 +155,13 @@
             roster = desk.gateway.core.roster
             desk.site.list_endpoint(engines[0], slots=5)
             await desk.until(
-                lambda: roster.seats['reader-0'].entry.slots == 5,
+                lambda: roster.listings['reader-0'].entry.slots == 5,
             )
             store.faults.deaf = True
             await asyncio.sleep(0.05)
             desk.site.list_endpoint(engines[1], slots=6)
             await desk.until(
-                lambda: roster.seats['reader-1'].entry.slots == 6,
+                lambda: roster.listings['reader-1'].entry.slots == 6,
                 1,
             )
 
@@ -212,10 +212,14 @@
             gateway = desk.gateway
             now = gateway.core.now
             for number in range(3):
-                greet(gateway.core.book, f'front-{number + 2}', '10.0.0.9:9')
+                add_peer(
+                    gateway.core.peer_table, f'front-{number + 2}', '10.0.0.9:9'
+                )
             await asyncio.sleep(0.2)
             assert await desk.is_ready()
-            gateway.core.standings.note_unreachable('generator-0', now())
+            gateway.core.endpoint_health.record_unreachable(
+                'generator-0', now()
+            )
             await desk.site.engines[2].stop()
             await asyncio.sleep(0.7)
             assert not await desk.is_ready()
@@ -231,17 +235,21 @@
     async def check():
         async with open_desk(tmp_path, make_engines()) as desk:
             gateway = desk.gateway
-            book = gateway.core.book
-            greet(book, 'front-2', '10.0.0.9:9')
-            greet(book, 'front-3', '10.0.0.8:9')
-            gateway.core.standings.note_unreachable(
+            peer_table = gateway.core.peer_table
+            add_peer(peer_table, 'front-2', '10.0.0.9:9')
+            add_peer(peer_table, 'front-3', '10.0.0.8:9')
+            gateway.core.endpoint_health.record_unreachable(
                 'generator-0',
                 gateway.core.now(),
             )
             await desk.site.engines[2].stop()
             for number in range(8):
-                hear(book, 'front-2', number, gateway.core.now())
-                hear(book, 'front-3', number, gateway.core.now())
+                record_heartbeat(
+                    peer_table, 'front-2', number, gateway.core.now()
+                )
+                record_heartbeat(
+                    peer_table, 'front-3', number, gateway.core.now()
+                )
                 await asyncio.sleep(0.1)
             assert await desk.is_ready()
 
@@ -274,11 +282,13 @@
         async with open_desk(tmp_path, make_engines()) as desk:
             core = desk.gateway.core
             await desk.ask('/blurb/1')
-            assert core.standings.knows('generator-0')
+            assert core.endpoint_health.has('generator-0')
             desk.site.unlist('generator-0')
-            await desk.until(lambda: 'generator-0' not in core.roster.seats)
-            assert not core.standings.knows('generator-0')
-            assert core.standings.knows('reader-0') or core.standings.knows(
+            await desk.until(lambda: 'generator-0' not in core.roster.listings)
+            assert not core.endpoint_health.has('generator-0')
+            assert core.endpoint_health.has(
+                'reader-0'
+            ) or core.endpoint_health.has(
                 'reader-1',
             )
 
