--- a/packages/verbenahall/tests/drains/crashing_fleet.py
+++ b/packages/verbenahall/tests/drains/crashing_fleet.py
@@ -189,7 +189,7 @@
     rng = random.Random(seed)
     fleet = CrashingFleet(seed, rng.randint(4, 9))
     fleet.stable_s = 3
-    with mock.patch.object(crashes, 'contact', fleet.try_connect):
+    with mock.patch.object(crashes, 'try_connect', fleet.try_connect):
         await fleet.open()
         await asyncio.sleep(3)
         fault_task = asyncio.create_task(inject_faults(fleet, rng))
--- a/packages/verbenahall/tests/drains/fleet.py
+++ b/packages/verbenahall/tests/drains/fleet.py
@@ -17,7 +17,7 @@
 
 from verbenahall.catalog import RouteKind, Route, Service, Share
 from verbenahall.gateway._core import Core
-from verbenahall.gateway._following import make_followers
+from verbenahall.gateway._record_handlers import make_followers
 from verbenahall.gateway._messages import Call
 from verbenahall.gateway._plain import PlainFlow
 from verbenahall.gateway._refresh import Refresher
