--- a/packages/standins/src/verbenahall_standins/replay.py
+++ b/packages/standins/src/verbenahall_standins/replay.py
@@ -272,9 +272,9 @@
             self.look(now)
             return
         plan = self._fleet().place(pending, now).unwrap()
-        reader = (plan.reader or plan.generator).name
+        prefill_engine = (plan.prefill_engine or plan.decode_engine).name
         totals = Totals(reading=plan.missing)
-        flight = self.state.ledger.open(reader, totals)
+        flight = self.state.ledger.open(prefill_engine, totals)
         self._send(pending, plan, flight, now)
 
     def look(self, now):
@@ -306,10 +306,10 @@
             outcome.held.append(now - self.arrived[pending])
 
     def _send(self, pending, plan, flight, now):
-        reader = plan.reader or plan.generator
-        engine = self.replay.engines[reader.name]
+        prefill_engine = plan.prefill_engine or plan.decode_engine
+        engine = self.replay.engines[prefill_engine.name]
         engine.begin((self, (pending, flight, now)), pending.wanted.work, now)
-        self.state.cache_of(reader, TRAITS.kv_tokens).note(
+        self.state.cache_of(prefill_engine, TRAITS.kv_tokens).note(
             pending.wanted.work.parts
         )
         self.replay.watch(engine)
--- a/packages/verbenahall/src/verbenahall/gateway/_generation.py
+++ b/packages/verbenahall/src/verbenahall/gateway/_generation.py
@@ -72,7 +72,7 @@
         ledger = self._core.placement.ledger
         self._handed_over = handle is not None
         self._flight = ledger.open(
-            plan.generator.name,
+            plan.decode_engine.name,
             Totals(
                 reading=0 if handle else plan.missing,
                 context=self._call.ask.work.context_tokens,
@@ -81,7 +81,9 @@
         )
         self._sent_at = self._core.now()
         until = self._relay.find_idle_deadline(resumable=resumable)
-        sending = self._sender.open(self._call, plan.generator, options, until)
+        sending = self._sender.open(
+            self._call, plan.decode_engine, options, until
+        )
         try:
             async with sending as opened:
                 result = await self._handle_opened(
@@ -99,7 +101,7 @@
     ) -> SendOptions:
         call = self._call
         return SendOptions(
-            plan.generator.name,
+            plan.decode_engine.name,
             call.left_s(self._core.now()),
             priority=call.priority,
             kv_source=handle.source if handle else '',
@@ -130,7 +132,7 @@
     ) -> Generated:
         """Relay a stream, or return an error answer whole."""
         call = self._call
-        engine = plan.generator
+        engine = plan.decode_engine
         if response.status not in SUCCESS_STATUSES:
             return await self._sender.read_whole(
                 call,
@@ -183,16 +185,16 @@
         call = self._call
         timing = ended.timing
         now = self._core.now()
-        self._sender.record_outcome(plan.generator, good=True)
+        self._sender.record_outcome(plan.decode_engine, good=True)
         self._core.observer.record_answered(call.fingerprint)
         placement = self._core.placement
-        placement.note_kept(plan.generator, call.ask.work, call.service)
+        placement.note_kept(plan.decode_engine, call.ask.work, call.service)
         if ended.step_s:
-            placement.step_of(plan.generator.name).note(ended.step_s, now)
+            placement.step_of(plan.decode_engine.name).note(ended.step_s, now)
         journal.write_decision(
             'generated',
             request=call.ask.identity,
-            engine=plan.generator.name,
+            engine=plan.decode_engine.name,
             events=timing.events,
             first_s=journal.round_seconds(
                 (timing.first_at or now) - self._sent_at
--- a/packages/verbenahall/src/verbenahall/gateway/_streams.py
+++ b/packages/verbenahall/src/verbenahall/gateway/_streams.py
@@ -141,15 +141,15 @@
         self._attempts.begun += 1
         grant.start()
         plan = grant.plan
-        if plan.reader is not None and self._kv_handle is None:
+        if plan.prefill_engine is not None and self._kv_handle is None:
             started = self._core.now()
             prefilled = await self._prefills.prefill(
-                self._call, plan, plan.reader
+                self._call, plan, plan.prefill_engine
             )
             match prefilled:
                 case Failure(outcome):
-                    self._attempts.tried.add(plan.reader.name)
-                    _end_grant(grant, plan.reader, outcome)
+                    self._attempts.tried.add(plan.prefill_engine.name)
+                    _end_grant(grant, plan.prefill_engine, outcome)
                     return Failure(_classify_prefill_failure(outcome))
                 case Success(handle):
                     self._kv_handle = handle
@@ -165,10 +165,10 @@
             grant,
             resumable=route.resumable and self._attempts.may_run_again,
         )
-        self._attempts.record(plan.generator.name, result)
+        self._attempts.record(plan.decode_engine.name, result)
         match result:
             case Failure(outcome):
-                _end_grant(grant, plan.generator, outcome)
+                _end_grant(grant, plan.decode_engine, outcome)
                 if not self._can_keep_handle(outcome):
                     self._drop_handle()
             case Success(StreamEnded(step_s=step_s)):
@@ -213,7 +213,7 @@
         if grant.holds_decode:
             service = self._call.service.name
             usable = self._core.list_usable(service, self._core.now())
-            if plan.generator.name in {one.name for one in usable}:
+            if plan.decode_engine.name in {one.name for one in usable}:
                 return plan
         return self._place().value_or(plan)
 
@@ -242,8 +242,8 @@
             outcome,
             delivered=self._relay.begun,
             resends=1 if self._kv_handle or prefill_failed else 2,
-            reader=plan.reader.name if plan.reader else None,
-            generator=plan.generator.name,
+            reader=plan.prefill_engine.name if plan.prefill_engine else None,
+            generator=plan.decode_engine.name,
             last_event=self._relay.state.last,
         )
         if problem is not None:
@@ -274,8 +274,8 @@
         journal.write_decision(
             'placed',
             request=self._call.ask.identity,
-            reader=plan.reader.name if plan.reader else None,
-            generator=plan.generator.name,
+            reader=plan.prefill_engine.name if plan.prefill_engine else None,
+            generator=plan.decode_engine.name,
             missing=plan.missing,
             wait_s=journal.round_seconds(plan.wait_s),
             reason=plan.reason,
--- a/packages/verbenahall/src/verbenahall/placement/_decisions.py
+++ b/packages/verbenahall/src/verbenahall/placement/_decisions.py
@@ -92,7 +92,7 @@
     decode_engines = [one for one in engines if one.role is not Role.PREFILL]
     if not decode_engines:
         return Failure(
-            Problem(ErrorKind.NO_ENDPOINT, 'no engine generates now'),
+            Problem(ErrorKind.NO_ENDPOINT, 'no decode engine is available'),
         )
     prefill_engines = [one for one in engines if one.role is Role.PREFILL]
     cost_model = _CostModel(state, request, traits, now, waiting)
--- a/packages/verbenahall/src/verbenahall/placement/_messages.py
+++ b/packages/verbenahall/src/verbenahall/placement/_messages.py
@@ -46,14 +46,14 @@
 class Plan:
     """The engines of a request, and the estimates behind the choice.
 
-    ``reader`` prefills the prompt; it is None if ``generator``, which decodes,
-    prefills as well. ``missing`` is the estimated number of tokens to prefill,
-    ``wait_s`` the expected time to the first event in seconds, and ``ahead_s``
-    the part of it for prefills that the engine has already admitted.
+    ``prefill_engine`` is None if ``decode_engine`` prefills the prompt as well.
+    ``missing`` is the estimated number of tokens to prefill, ``wait_s`` the
+    expected time to the first event in seconds, and ``ahead_s`` the part of it
+    for prefills that the engine has already admitted.
     """
 
-    reader: Entry | None
-    generator: Entry
+    prefill_engine: Entry | None
+    decode_engine: Entry
     missing: int
     wait_s: float
     reason: str
--- a/packages/verbenahall/src/verbenahall/placement/_slots.py
+++ b/packages/verbenahall/src/verbenahall/placement/_slots.py
@@ -151,4 +151,4 @@
 
 def _get_prefill_engine(plan: Plan) -> str:
     """Return the name of the engine that prefills the prompt."""
-    return (plan.reader or plan.generator).name
+    return (plan.prefill_engine or plan.decode_engine).name
--- a/packages/verbenahall/src/verbenahall/scheduling/_decisions.py
+++ b/packages/verbenahall/src/verbenahall/scheduling/_decisions.py
@@ -117,7 +117,7 @@
         case Released(step_s=step_s):
             _release(state, assigned)
             if step_s:
-                step = state.placement.step_of(assigned.plan.generator.name)
+                step = state.placement.step_of(assigned.plan.decode_engine.name)
                 step.note(step_s, now)
 
 
@@ -179,7 +179,7 @@
     plan = admitted.plan
     key = admitted.pending.request
     decode = state.placement.ledger.open(
-        plan.generator.name,
+        plan.decode_engine.name,
         Totals(
             context=admitted.pending.wanted.work.context_tokens,
             streams=1,
@@ -187,8 +187,8 @@
     )
     answer = Assignment(
         key=key,
-        prefill=plan.reader.name if plan.reader else '',
-        decode=plan.generator.name,
+        prefill=plan.prefill_engine.name if plan.prefill_engine else '',
+        decode=plan.decode_engine.name,
         missing=plan.missing,
         wait_s=plan.wait_s,
         ahead_s=plan.ahead_s,
@@ -224,7 +224,9 @@
     if not plan.ahead_s:
         cached = work.prompt_tokens - plan.missing
         state.placement.learn_read(plan.missing, cached, seconds)
-    state.placement.note_kept(plan.reader or plan.generator, work, service)
+    state.placement.note_kept(
+        plan.prefill_engine or plan.decode_engine, work, service
+    )
 
 
 def _record_first_event(
@@ -239,7 +241,7 @@
     if event.handover_s:
         state.placement.handover.note(event.handover_s, now)
     state.placement.note_kept(
-        assigned.plan.generator, pending.wanted.work, service
+        assigned.plan.decode_engine, pending.wanted.work, service
     )
 
 
--- a/packages/verbenahall/tests/placement/test_dispatch.py
+++ b/packages/verbenahall/tests/placement/test_dispatch.py
@@ -62,8 +62,8 @@
     enqueue(queue, make_queued(), fleet, 0, RNG)
     effects = dispatch(queue, fleet, 0, RNG)
     assert [one.pending.request for one in effects.admitted] == ['t']
-    reader = effects.admitted[0].plan.reader.name
-    assert fleet.state.ledger.local_totals(reader).reading == 3_000
+    prefill_engine = effects.admitted[0].plan.prefill_engine.name
+    assert fleet.state.ledger.local_totals(prefill_engine).reading == 3_000
 
 
 def test_no_admission_while_the_engines_are_busy():
@@ -144,7 +144,7 @@
     pending = make_queued(tried=frozenset(('r0',)))
     enqueue(queue, pending, fleet, 0, RNG)
     admitted = dispatch(queue, fleet, 0, RNG).admitted[0]
-    assert admitted.plan.reader.name == 'r1'
+    assert admitted.plan.prefill_engine.name == 'r1'
 
 
 def test_without_engines_requests_are_refused():
@@ -192,7 +192,9 @@
             enqueue(queue, pending, fleet, 0, RNG)
         effects = dispatch(queue, fleet, 0, RNG)
         counts.append(
-            sum(one.plan.reader is not None for one in effects.admitted),
+            sum(
+                one.plan.prefill_engine is not None for one in effects.admitted
+            ),
         )
     assert counts[1] == 1
     assert counts[0] > 1
--- a/packages/verbenahall/tests/placement/test_placement.py
+++ b/packages/verbenahall/tests/placement/test_placement.py
@@ -69,7 +69,7 @@
     state = make_state()
     engines = make_engines()
     chosen_engines = {
-        choose(state, make_work(own=f'o{n}'), engines).reader.name
+        choose(state, make_work(own=f'o{n}'), engines).prefill_engine.name
         for n in range(20)
     }
     assert len(chosen_engines) == 1
@@ -80,7 +80,8 @@
     for number in range(20):
         work = make_work(shared=f'archive-{number}')
         chosen_names = {
-            choose(make_state(), work, engines).reader.name for _ in range(5)
+            choose(make_state(), work, engines).prefill_engine.name
+            for _ in range(5)
         }
         assert len(chosen_names) == 1
 
@@ -89,7 +90,9 @@
     state = make_state()
     engines = make_engines()
     works = [make_work(shared=f'a{n}') for n in range(300)]
-    chosen = [choose(state, work, engines).reader.name for work in works]
+    chosen = [
+        choose(state, work, engines).prefill_engine.name for work in works
+    ]
     assert all(30 <= chosen.count(f'r{n}') <= 75 for n in range(6))
 
 
@@ -99,9 +102,11 @@
     state = make_state()
     engines = make_engines()
     works = [make_work(shared=f'a{n}') for n in range(100)]
-    before = [choose(state, work, engines).reader.name for work in works]
+    before = [
+        choose(state, work, engines).prefill_engine.name for work in works
+    ]
     rest = [one for one in engines if one.name != 'r0']
-    after = [choose(state, work, rest).reader.name for work in works]
+    after = [choose(state, work, rest).prefill_engine.name for work in works]
     moved = [b for b, a in zip(before, after, strict=True) if b != a]
     assert set(moved) == {'r0'}
 
@@ -110,12 +115,12 @@
     state = make_state()
     engines = make_engines()
     work = make_work()
-    preferred = choose(state, work, engines).reader
+    preferred = choose(state, work, engines).prefill_engine
     flight = state.ledger.open(preferred.name, Totals(reading=4_000))
-    assert choose(state, work, engines).reader == preferred
+    assert choose(state, work, engines).prefill_engine == preferred
     state.ledger.close(flight)
     state.ledger.open(preferred.name, Totals(reading=80_000))
-    assert choose(state, work, engines).reader != preferred
+    assert choose(state, work, engines).prefill_engine != preferred
 
 
 def test_short_shared_part_spills_over_early():
@@ -124,9 +129,9 @@
     state = make_state()
     engines = make_engines()
     work = make_work(shared_tokens=100)
-    preferred = choose(state, work, engines).reader
+    preferred = choose(state, work, engines).prefill_engine
     state.ledger.open(preferred.name, Totals(reading=12_000))
-    assert choose(state, work, engines).reader != preferred
+    assert choose(state, work, engines).prefill_engine != preferred
 
 
 def test_decode_engine_with_room_is_chosen():
@@ -136,7 +141,7 @@
     state.ledger.open('g1', Totals(context=430_000, streams=20))
     for number in range(10):
         plan = choose(state, make_work(own=f'o{number}'), engines)
-        assert plan.generator.name == 'g2'
+        assert plan.decode_engine.name == 'g2'
 
 
 def test_streams_are_spread_over_the_decode_engines():
@@ -145,9 +150,9 @@
     chosen = []
     for number in range(30):
         plan = choose(state, make_work(shared=f'a{number}'), engines)
-        chosen.append(plan.generator.name)
+        chosen.append(plan.decode_engine.name)
         state.ledger.open(
-            plan.generator.name, Totals(context=17_000, streams=1)
+            plan.decode_engine.name, Totals(context=17_000, streams=1)
         )
     assert all(chosen.count(f'g{n}') >= 8 for n in range(3))
 
@@ -161,7 +166,7 @@
         state.step_of('g0').note(0.05, now=0)
     for number in range(10):
         plan = choose(state, make_work(own=f'o{number}'), engines, now=0.1)
-        assert plan.generator.name != 'g0'
+        assert plan.decode_engine.name != 'g0'
 
 
 def test_decode_engine_in_the_same_data_centre_is_preferred():
@@ -171,15 +176,15 @@
         make_engine('far', Role.DECODE, 'cardigan'),
         make_engine('near', Role.DECODE),
     ]
-    assert choose(state, make_work(), engines).generator.name == 'near'
+    assert choose(state, make_work(), engines).decode_engine.name == 'near'
 
 
 def test_without_prefill_engines_decode_engines_prefill():
     state = make_state()
     engines = make_engines(prefill_count=0)
     plan = choose(state, make_work(), engines)
-    assert plan.reader is None
-    assert plan.generator.role is Role.DECODE
+    assert plan.prefill_engine is None
+    assert plan.decode_engine.role is Role.DECODE
 
 
 def test_without_decode_engines_nothing_is_placed():
@@ -385,7 +390,7 @@
     # and for the long prompts open there.
     state = make_state()
     plan = choose(state, make_small(), make_engines())
-    assert plan.reader is None
+    assert plan.prefill_engine is None
 
 
 def test_long_prompt_is_not_prefilled_by_a_busy_decode_engine():
@@ -395,7 +400,7 @@
     engines = make_engines()
     for number in range(3):
         state.ledger.open(f'g{number}', Totals(streams=8, context=8_000))
-    assert choose(state, make_work(), engines).reader is not None
+    assert choose(state, make_work(), engines).prefill_engine is not None
 
 
 def test_decode_engine_prefills_when_prefill_engines_are_busy():
@@ -403,7 +408,7 @@
     engines = make_engines()
     for number in range(6):
         state.ledger.open(f'r{number}', Totals(reading=200_000))
-    assert choose(state, make_work(), engines).reader is None
+    assert choose(state, make_work(), engines).prefill_engine is None
 
 
 def test_prompt_stays_on_its_preferred_engine_while_others_wait():
@@ -412,7 +417,7 @@
     state = make_state()
     engines = make_engines(decode_count=1)
     work = make_work()
-    preferred = choose(state, work, engines).reader
+    preferred = choose(state, work, engines).prefill_engine
     state.ledger.open('g0', Totals(streams=8, context=8_000))
     state.ledger.open(preferred.name, Totals(reading=50_000))
     spilled = place(
@@ -420,5 +425,5 @@
     ).unwrap()
     wanted = PlacementRequest(work, 0.25)
     stayed = place(state, wanted, engines, TRAITS, 0, waiting=10).unwrap()
-    assert spilled.reader != preferred
-    assert stayed.reader == preferred
+    assert spilled.prefill_engine != preferred
+    assert stayed.prefill_engine == preferred
