--- a/packages/standins/src/verbenahall_standins/replay.py
+++ b/packages/standins/src/verbenahall_standins/replay.py
@@ -273,7 +273,7 @@
             return
         plan = self._fleet().place(pending, now).unwrap()
         prefill_engine = (plan.prefill_engine or plan.decode_engine).name
-        totals = Totals(reading=plan.missing)
+        totals = Totals(prefill_tokens=plan.missing)
         flight = self.state.ledger.open(prefill_engine, totals)
         self._send(pending, plan, flight, now)
 
--- a/packages/verbenahall/src/verbenahall/gateway/_assignments.py
+++ b/packages/verbenahall/src/verbenahall/gateway/_assignments.py
@@ -263,7 +263,7 @@
         )
         flight = self._core.placement.ledger.open(
             (prefill or decode).name,
-            Totals(reading=assignment.missing),
+            Totals(prefill_tokens=assignment.missing),
         )
         channel = AssignmentChannel(self._send, address, assignment.key)
         return Some(Success(ScheduledGrant(self._core, plan, flight, channel)))
--- a/packages/verbenahall/src/verbenahall/gateway/_generation.py
+++ b/packages/verbenahall/src/verbenahall/gateway/_generation.py
@@ -74,8 +74,8 @@
         self._flight = ledger.open(
             plan.decode_engine.name,
             Totals(
-                reading=0 if handle else plan.missing,
-                context=self._call.ask.work.context_tokens,
+                prefill_tokens=0 if handle else plan.missing,
+                held_tokens=self._call.ask.work.context_tokens,
                 streams=1,
             ),
         )
--- a/packages/verbenahall/src/verbenahall/gateway/_reads.py
+++ b/packages/verbenahall/src/verbenahall/gateway/_reads.py
@@ -68,8 +68,10 @@
         )
         timeout_at = now + _TIMEOUT_MARGIN_S + plan.wait_s * _TIMEOUT_FACTOR
         ledger = self._core.placement.ledger
-        tokens_ahead = ledger.totals(prefill_engine.name).reading
-        flight = ledger.open(prefill_engine.name, Totals(reading=plan.missing))
+        tokens_ahead = ledger.totals(prefill_engine.name).prefill_tokens
+        flight = ledger.open(
+            prefill_engine.name, Totals(prefill_tokens=plan.missing)
+        )
         try:
             result = await self._sender.exchange(
                 call,
--- a/packages/verbenahall/src/verbenahall/peers/_messages.py
+++ b/packages/verbenahall/src/verbenahall/peers/_messages.py
@@ -81,7 +81,11 @@
             'from': heartbeat.author,
             'n': heartbeat.number,
             'load': {
-                engine: (totals.reading, totals.context, totals.streams)
+                engine: (
+                    totals.prefill_tokens,
+                    totals.held_tokens,
+                    totals.streams,
+                )
                 for engine, totals in heartbeat.loads.items()
             },
             'changing': heartbeat.changing,
--- a/packages/verbenahall/src/verbenahall/placement/_decisions.py
+++ b/packages/verbenahall/src/verbenahall/placement/_decisions.py
@@ -299,7 +299,7 @@
 
     def _backlog_s(self, engine: Entry) -> float:
         totals = self._state.ledger.totals(engine.name)
-        return totals.reading * self._state.read_speed.token_s
+        return totals.prefill_tokens * self._state.read_speed.token_s
 
     def _transfer_s(self, source: Entry, target: Entry) -> float:
         kv_bytes = self._work.prompt_tokens * self._traits.kv_token_bytes
@@ -318,7 +318,7 @@
     def _fill(self, engine: Entry) -> float:
         """Return the fill of an engine with the request, by memory or slots."""
         totals = self._state.ledger.totals(engine.name)
-        held_tokens = totals.context + self._work.context_tokens
+        held_tokens = totals.held_tokens + self._work.context_tokens
         streams_after = totals.streams + 1
         return max(
             held_tokens / self._traits.kv_tokens,
--- a/packages/verbenahall/src/verbenahall/placement/_ledger.py
+++ b/packages/verbenahall/src/verbenahall/placement/_ledger.py
@@ -14,37 +14,37 @@
 class Totals:
     """Open work at one engine.
 
-    ``reading`` is the number of tokens still to be prefilled. An engine
+    ``prefill_tokens`` is the number of tokens still to be prefilled. An engine
     prefills all admitted prompts concurrently, so a request waits for all of
-    them, whatever their priority. ``context`` is the number of tokens held in
-    KV memory by ``streams`` that are being decoded.
+    them, whatever their priority. ``held_tokens`` is the number of tokens that
+    ``streams`` being decoded hold in KV memory.
     """
 
-    reading: int = 0
-    context: int = 0
+    prefill_tokens: int = 0
+    held_tokens: int = 0
     streams: int = 0
 
     def plus(self, other: 'Totals') -> 'Totals':
         """Return the sum."""
         return Totals(
-            self.reading + other.reading,
-            self.context + other.context,
+            self.prefill_tokens + other.prefill_tokens,
+            self.held_tokens + other.held_tokens,
             self.streams + other.streams,
         )
 
     def times(self, factor: float) -> 'Totals':
         """Return the totals multiplied by ``factor``, rounded down."""
         return Totals(
-            int(self.reading * factor),
-            int(self.context * factor),
+            int(self.prefill_tokens * factor),
+            int(self.held_tokens * factor),
             int(self.streams * factor),
         )
 
     def minus(self, other: 'Totals') -> 'Totals':
         """Return the difference."""
         return Totals(
-            self.reading - other.reading,
-            self.context - other.context,
+            self.prefill_tokens - other.prefill_tokens,
+            self.held_tokens - other.held_tokens,
             self.streams - other.streams,
         )
 
@@ -71,7 +71,7 @@
     @property
     def is_prefilling(self) -> bool:
         """Whether the peer has prompts in prefill."""
-        return any(totals.reading for totals in self.loads.values())
+        return any(totals.prefill_tokens for totals in self.loads.values())
 
 
 @final
@@ -122,12 +122,15 @@
 
     def note_read(self, flight: InFlight) -> InFlight:
         """Record the end of a prefill; return the work that is still open."""
-        if not flight.totals.reading or flight.number not in self._open_sends:
+        if (
+            not flight.totals.prefill_tokens
+            or flight.number not in self._open_sends
+        ):
             return flight
         self.close(flight)
         return self.open(
             flight.engine,
-            dataclasses.replace(flight.totals, reading=0),
+            dataclasses.replace(flight.totals, prefill_tokens=0),
         )
 
     def hear(self, peer: str, loads: Mapping[str, Totals], now: float) -> None:
--- a/packages/verbenahall/src/verbenahall/placement/_slots.py
+++ b/packages/verbenahall/src/verbenahall/placement/_slots.py
@@ -130,7 +130,9 @@
     def reserve(self, plan: Plan) -> InFlight:
         """Add the prefill of a plan to the ledger."""
         name = _get_prefill_engine(plan)
-        flight = self._state.ledger.open(name, Totals(reading=plan.missing))
+        flight = self._state.ledger.open(
+            name, Totals(prefill_tokens=plan.missing)
+        )
         if not self._is_open(name):
             self.open_engines.discard(name)
         return flight
@@ -143,7 +145,7 @@
         alone, all instances would see the same engine idle and send it a
         prompt each.
         """
-        local_tokens = self._state.ledger.local_totals(name).reading
+        local_tokens = self._state.ledger.local_totals(name).prefill_tokens
         return (
             local_tokens * self._state.read_speed.token_s < self._local_share_s
         )
--- a/packages/verbenahall/src/verbenahall/scheduling/_decisions.py
+++ b/packages/verbenahall/src/verbenahall/scheduling/_decisions.py
@@ -181,7 +181,7 @@
     decode = state.placement.ledger.open(
         plan.decode_engine.name,
         Totals(
-            context=admitted.pending.wanted.work.context_tokens,
+            held_tokens=admitted.pending.wanted.work.context_tokens,
             streams=1,
         ),
     )
--- a/packages/verbenahall/tests/peers/test_peers.py
+++ b/packages/verbenahall/tests/peers/test_peers.py
@@ -141,9 +141,9 @@
     # that have long been idle would still count as busy.
     ledger = Ledger()
     ledger.hear('front-2', {'engine-1': Totals(9000)}, now=1)
-    assert ledger.totals('engine-1').reading == 9000
+    assert ledger.totals('engine-1').prefill_tokens == 9000
     ledger.forget_silent(3)
-    assert not ledger.totals('engine-1').reading
+    assert not ledger.totals('engine-1').prefill_tokens
 
 
 def test_ledger_counts_own_sends_until_they_end():
--- a/packages/verbenahall/tests/scheduling/test_scheduler.py
+++ b/packages/verbenahall/tests/scheduling/test_scheduler.py
@@ -73,7 +73,7 @@
 
     assert reply.message.prefill == 'p0'
     assert reply.message.decode == 'd0'
-    assert state.placement.ledger.local_totals('p0').reading == 3_000
+    assert state.placement.ledger.local_totals('p0').prefill_tokens == 3_000
     assert state.placement.ledger.local_totals('d0').streams == 1
 
 
@@ -187,7 +187,7 @@
     event = scheduling.FirstEvent('a', 0.1, 0.01)
     scheduling.note(state, event, service, 0.1)
 
-    assert not state.placement.ledger.local_totals('p0').reading
+    assert not state.placement.ledger.local_totals('p0').prefill_tokens
     assert state.placement.ledger.local_totals('d0').streams == 1
 
 
