--- a/packages/standins/src/verbenahall_standins/replay.py
+++ b/packages/standins/src/verbenahall_standins/replay.py
@@ -84,10 +84,12 @@
         self.run(now)
         tokens = work.prompt_tokens
         tokens -= sum(
-            part.tokens for part in work.shared if part.identity in self.kept
+            part.tokens
+            for part in work.shared_parts
+            if part.identity in self.kept
         )
         self.whole += work.prompt_tokens
-        self.kept.update(part.identity for part in work.shared)
+        self.kept.update(part.identity for part in work.shared_parts)
         self.read += tokens
         self.open[number] = READ_START_S + tokens * TOKEN_S / self.speed
 
@@ -254,12 +256,12 @@
 
     def take(self, work, load, queued, now):
         """Take a caller's request, with or without waiting for a turn."""
-        wanted = PlacementRequest(work, 0.2)
+        placement_request = PlacementRequest(work, 0.2)
         pending = QueuedRequest(
             request=f'r{next(self.replay.numbers)}',
-            wanted=wanted,
+            placement_request=placement_request,
             priority=load.priority,
-            since=now,
+            queued_at=now,
             due_at=now + load.objective_s,
             objective_s=load.objective_s,
             leaves_at=now + load.patience_s,
@@ -308,9 +310,11 @@
     def _send(self, pending, plan, flight, now):
         prefill_engine = plan.prefill_engine or plan.decode_engine
         engine = self.replay.engines[prefill_engine.name]
-        engine.begin((self, (pending, flight, now)), pending.wanted.work, now)
+        engine.begin(
+            (self, (pending, flight, now)), pending.placement_request.work, now
+        )
         self.state.cache_of(prefill_engine, TRAITS.kv_tokens).note(
-            pending.wanted.work.parts
+            pending.placement_request.work.parts
         )
         self.replay.watch(engine)
 
--- a/packages/verbenahall/src/verbenahall/gateway/_assignments.py
+++ b/packages/verbenahall/src/verbenahall/gateway/_assignments.py
@@ -98,7 +98,7 @@
     async def ask(
         self,
         call: Call,
-        wanted: PlacementRequest,
+        placement_request: PlacementRequest,
         tried: frozenset[str],
     ) -> Maybe[Result[ScheduledGrant, Problem]]:
         """Return the assigned engines, or why the request cannot be served.
@@ -114,11 +114,11 @@
         found: Maybe[Result[ScheduledGrant, Problem]] = Nothing
         local_centre = self._core.settings.data_centre
         skipped = self._groups.list_silent(now)
-        for group in rank_groups(wanted.work, usable, local_centre):
+        for group in rank_groups(placement_request.work, usable, local_centre):
             if group in skipped:
                 continue
             answer = await self._request_from_group(
-                _GroupRequest(call, wanted, tried, group),
+                _GroupRequest(call, placement_request, tried, group),
             )
             match answer:
                 case Some(Success(_)):
@@ -274,7 +274,7 @@
     """A request for engines of one group."""
 
     call: Call
-    wanted: PlacementRequest
+    placement_request: PlacementRequest
     tried: frozenset[str]
     group: str
 
@@ -285,8 +285,8 @@
             key=key,
             service=call.service.name,
             group=self.group,
-            work=self.wanted.work,
-            gap_s=self.wanted.gap_s,
+            work=self.placement_request.work,
+            gap_s=self.placement_request.gap_s,
             priority=call.priority,
             due_s=call.due - now,
             objective_s=call.route.objective_s,
--- a/packages/verbenahall/src/verbenahall/gateway/_dispatch.py
+++ b/packages/verbenahall/src/verbenahall/gateway/_dispatch.py
@@ -30,20 +30,20 @@
     async def admit(
         self,
         call: Call,
-        wanted: PlacementRequest,
+        placement_request: PlacementRequest,
         tried: frozenset[str],
     ) -> Result[Grant, Problem]:
         """Wait for engines; the caller must end the grant that it gets.
 
         Engines in ``tried`` have failed an attempt at the call before.
         """
-        scheduled = await self._assignments.ask(call, wanted, tried)
+        scheduled = await self._assignments.ask(call, placement_request, tried)
         if isinstance(scheduled, Some):
             grant_result = scheduled.unwrap()
             if isinstance(grant_result, Failure):
                 metrics.SHED.add(str(call.priority))
             return grant_result
-        pending = await self._queues.admit(call, wanted, tried)
+        pending = await self._queues.admit(call, placement_request, tried)
         return pending.map(
             lambda admitted: LocalGrant(
                 self._core,
--- a/packages/verbenahall/src/verbenahall/gateway/_prefill_queues.py
+++ b/packages/verbenahall/src/verbenahall/gateway/_prefill_queues.py
@@ -45,7 +45,7 @@
     async def admit(
         self,
         call: Call,
-        wanted: PlacementRequest,
+        placement_request: PlacementRequest,
         tried: frozenset[str],
     ) -> AdmitResult:
         """Wait to be admitted.
@@ -55,9 +55,9 @@
         now = self._core.now()
         pending = QueuedRequest(
             call.ask.identity,
-            wanted,
+            placement_request,
             call.priority,
-            since=now,
+            queued_at=now,
             due_at=call.due,
             objective_s=call.route.objective_s,
             leaves_at=call.leaves,
@@ -173,6 +173,6 @@
             waiting=len(queue.waiting),
             late=pending.is_late(now),
             returning=pending.returning,
-            lead_s=journal.round_seconds(pending.lead_s),
+            lead_s=journal.round_seconds(pending.expected_first_s),
             due_s=journal.round_seconds(pending.due_at - now),
         )
--- a/packages/verbenahall/src/verbenahall/gateway/_streams.py
+++ b/packages/verbenahall/src/verbenahall/gateway/_streams.py
@@ -102,9 +102,11 @@
         """
         if self._kv_handle or self._attempts.runs or self._relay.begun:
             return self._place().map(UnqueuedGrant)
-        wanted = PlacementRequest(self._call.ask.work, self._call.route.gap_s)
+        placement_request = PlacementRequest(
+            self._call.ask.work, self._call.route.gap_s
+        )
         tried = frozenset(self._attempts.tried)
-        return await dispatch.admit(self._call, wanted, tried)
+        return await dispatch.admit(self._call, placement_request, tried)
 
     async def _handle_result(
         self,
--- a/packages/verbenahall/src/verbenahall/placement/_decisions.py
+++ b/packages/verbenahall/src/verbenahall/placement/_decisions.py
@@ -58,13 +58,13 @@
     """A request to place, with its token counts and its limits.
 
     ``gap_s`` is the longest pause in seconds between two events that still
-    counts as on time. ``read_by`` is the engine that has prefilled the prompt
-    already, if any.
+    counts as on time. ``prefilled_by`` is the engine that has prefilled the
+    prompt already, if any.
     """
 
     work: Work
     gap_s: float
-    read_by: Entry | None = None
+    prefilled_by: Entry | None = None
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -96,8 +96,10 @@
         )
     prefill_engines = [one for one in engines if one.role is Role.PREFILL]
     cost_model = _CostModel(state, request, traits, now, waiting)
-    if request.read_by is not None:
-        return Success(cost_model.plan_decode(request.read_by, decode_engines))
+    if request.prefilled_by is not None:
+        return Success(
+            cost_model.plan_decode(request.prefilled_by, decode_engines)
+        )
     options = itertools.chain(
         cost_model.evaluate_split(prefill_engines, decode_engines),
         cost_model.evaluate_mixed(decode_engines),
@@ -273,10 +275,10 @@
         requests would be queued behind it.
         """
         if rank == 0 and not self._state.caches_complete:
-            cached = sum(part.tokens for part in self._work.shared)
+            cached = sum(part.tokens for part in self._work.shared_parts)
         else:
             cache = self._state.cache_of(engine, self._traits.kv_tokens)
-            cached = cache.count_cached_tokens(self._work.shared)
+            cached = cache.count_cached_tokens(self._work.shared_parts)
         return max(1, self._work.prompt_tokens - cached)
 
     @property
@@ -344,5 +346,5 @@
 
 def _rank_preferred(work: Work, engines: Sequence[Entry]) -> list[Entry]:
     by_name = {engine.name: engine for engine in engines}
-    ranked = rank_by_rendezvous(work.home_key, by_name)
+    ranked = rank_by_rendezvous(work.affinity_key, by_name)
     return [by_name[name] for name in ranked[:_PREFERRED_ENGINES]]
--- a/packages/verbenahall/src/verbenahall/placement/_dispatch.py
+++ b/packages/verbenahall/src/verbenahall/placement/_dispatch.py
@@ -47,9 +47,9 @@
     """
     match fleet.place(pending, now):
         case Success(plan):
-            pending.lead_s = plan.wait_s - plan.ahead_s
+            pending.expected_first_s = plan.wait_s - plan.ahead_s
             pending.preferred_engine = find_preferred_engine(
-                pending.wanted.work, fleet.prefill_engines
+                pending.placement_request.work, fleet.prefill_engines
             )
         case Failure(problem):
             return QueueEffects(refused=((pending, problem),))
--- a/packages/verbenahall/src/verbenahall/placement/_messages.py
+++ b/packages/verbenahall/src/verbenahall/placement/_messages.py
@@ -26,14 +26,14 @@
     output_tokens: int = 0
 
     @property
-    def shared(self) -> tuple[Part, ...]:
+    def shared_parts(self) -> tuple[Part, ...]:
         """The parts that other requests share with this one."""
         return self.parts[:-1]
 
     @property
-    def home_key(self) -> str:
-        """The part that selects the preferred engines of the prompt."""
-        chosen = self.shared or self.parts
+    def affinity_key(self) -> str:
+        """The identity of the part by which preferred engines are ranked."""
+        chosen = self.shared_parts or self.parts
         return chosen[-1].identity if chosen else ''
 
     @property
--- a/packages/verbenahall/src/verbenahall/placement/_queue.py
+++ b/packages/verbenahall/src/verbenahall/placement/_queue.py
@@ -26,34 +26,34 @@
 class QueuedRequest:
     """A request that waits for prefill; times are monotonic seconds.
 
-    ``since`` is when it was queued, ``due_at`` when its first event is past
+    ``queued_at`` is when it was queued, ``due_at`` when its first event is past
     its objective, which is ``objective_s`` after the first attempt of its
     caller, and ``leaves_at`` when its caller leaves. ``returning`` is true if
     the caller was refused before. ``tried`` names the engines that have failed
-    this request. ``lead_s`` is the expected time to its first event on idle
-    engines, and ``preferred_engine`` the engine most likely to have its shared
-    parts cached.
+    this request. ``expected_first_s`` is the expected time to its first event
+    on idle engines, and ``preferred_engine`` the engine most likely to have its
+    shared parts cached.
     """
 
     request: str
-    wanted: PlacementRequest
+    placement_request: PlacementRequest
     priority: int
-    since: float
+    queued_at: float
     due_at: float
     objective_s: float
     leaves_at: float
     returning: bool = False
     tried: frozenset[str] = _NO_ENGINES
-    lead_s: float = 0
+    expected_first_s: float = 0
     preferred_engine: str = ''
 
     def is_late(self, now: float) -> bool:
         """Whether the first event can no longer be on time."""
-        return now + self.lead_s > self.due_at
+        return now + self.expected_first_s > self.due_at
 
     def will_expire(self, now: float) -> bool:
         """Whether the caller leaves before the first event."""
-        return now + self.lead_s > self.leaves_at
+        return now + self.expected_first_s > self.leaves_at
 
     def rank(self, now: float) -> _Rank:
         """Return the sort key of the queue; the lowest is next."""
@@ -147,7 +147,9 @@
         self, pending: QueuedRequest, took_s: float, now: float
     ) -> None:
         """Record the time to the first event of an admitted request."""
-        self.first_event_delay.note(max(0, took_s - pending.lead_s), now)
+        self.first_event_delay.note(
+            max(0, took_s - pending.expected_first_s), now
+        )
 
     def remove(self, pending: QueuedRequest) -> None:
         """Remove a request if it is still queued."""
--- a/packages/verbenahall/src/verbenahall/placement/_slots.py
+++ b/packages/verbenahall/src/verbenahall/placement/_slots.py
@@ -65,7 +65,7 @@
         engines = usable or self.engines
         return place(
             self.state,
-            pending.wanted,
+            pending.placement_request,
             engines,
             self.traits,
             now,
--- a/packages/verbenahall/src/verbenahall/scheduling/_decisions.py
+++ b/packages/verbenahall/src/verbenahall/scheduling/_decisions.py
@@ -148,7 +148,7 @@
         request.key,
         PlacementRequest(request.work, request.gap_s),
         request.priority,
-        since=now,
+        queued_at=now,
         due_at=now + request.due_s,
         objective_s=request.objective_s,
         leaves_at=now + request.leaves_s,
@@ -181,7 +181,7 @@
     decode = state.placement.ledger.open(
         plan.decode_engine.name,
         Totals(
-            held_tokens=admitted.pending.wanted.work.context_tokens,
+            held_tokens=admitted.pending.placement_request.work.context_tokens,
             streams=1,
         ),
     )
@@ -220,7 +220,7 @@
     service: Service,
 ) -> None:
     plan = assigned.plan
-    work = assigned.waiting.pending.wanted.work
+    work = assigned.waiting.pending.placement_request.work
     if not plan.ahead_s:
         cached = work.prompt_tokens - plan.missing
         state.placement.learn_read(plan.missing, cached, seconds)
@@ -241,7 +241,7 @@
     if event.handover_s:
         state.placement.handover.note(event.handover_s, now)
     state.placement.note_kept(
-        assigned.plan.decode_engine, pending.wanted.work, service
+        assigned.plan.decode_engine, pending.placement_request.work, service
     )
 
 
--- a/packages/verbenahall/tests/placement/test_dispatch.py
+++ b/packages/verbenahall/tests/placement/test_dispatch.py
@@ -29,16 +29,16 @@
     return Fleet(PlacementState(), engines, TRAITS, len(queue.waiting))
 
 
-def make_queued(name='t', *, priority=0, since=0, due=0.5, **changes):
+def make_queued(name='t', *, priority=0, queued_at=0, due=0.5, **changes):
     work = Work((Part('form', 6_000), Part(name, 3_000)), 9_000, 2)
     return QueuedRequest(
         request=name,
-        wanted=PlacementRequest(work, 0.2),
+        placement_request=PlacementRequest(work, 0.2),
         priority=priority,
-        since=since,
-        due_at=since + due,
+        queued_at=queued_at,
+        due_at=queued_at + due,
         objective_s=0.5,
-        leaves_at=since + 2,
+        leaves_at=queued_at + 2,
         **changes,
     )
 
@@ -133,10 +133,10 @@
     enqueue(queue, pending, fleet, 0, RNG)
     assert not pending.is_late(queue.predict_start(0))
     for _ in range(40):
-        queue.note_first(pending, pending.lead_s + 0.3, 0)
+        queue.note_first(pending, pending.expected_first_s + 0.3, 0)
     assert pending.is_late(queue.predict_start(0))
     for _ in range(80):
-        queue.note_first(pending, pending.lead_s, 0)
+        queue.note_first(pending, pending.expected_first_s, 0)
     assert not pending.is_late(queue.predict_start(0))
 
 
@@ -190,7 +190,7 @@
         for number in range(4):
             work = Work((Part('form', 6_000), Part(f'{number}', 1_500)), 7_500)
             pending = make_queued(f't{number}')
-            pending.wanted = PlacementRequest(work, 0.2)
+            pending.placement_request = PlacementRequest(work, 0.2)
             enqueue(queue, pending, fleet, 0, RNG)
         effects = dispatch(queue, fleet, 0, RNG)
         counts.append(
@@ -252,7 +252,7 @@
     pending = make_queued()
     fill_queue(fleet, queue, pending)
     for _ in range(60):
-        queue.note_first(pending, pending.lead_s + 0.5, 1.2)
+        queue.note_first(pending, pending.expected_first_s + 0.5, 1.2)
     assert not dispatch(queue, fleet, 1.2, RNG).refused
     assert dispatch(queue, fleet, 1.6, RNG).refused
 
@@ -266,7 +266,7 @@
     fleet = make_fleet(queue)
     for _ in range(200):
         queue.note_first(make_queued(), 5, 0)
-    pending = make_queued(since=0.1)
+    pending = make_queued(queued_at=0.1)
     assert not enqueue(queue, pending, fleet, 0.1, RNG).refused
     admitted = dispatch(queue, fleet, 0.1, RNG).admitted
     assert [one.pending for one in admitted] == [pending]
--- a/packages/verbenahall/tests/placement/test_placement.py
+++ b/packages/verbenahall/tests/placement/test_placement.py
@@ -423,7 +423,9 @@
     spilled = place(
         state, PlacementRequest(work, 0.25), engines, TRAITS, 0
     ).unwrap()
-    wanted = PlacementRequest(work, 0.25)
-    stayed = place(state, wanted, engines, TRAITS, 0, waiting=10).unwrap()
+    placement_request = PlacementRequest(work, 0.25)
+    stayed = place(
+        state, placement_request, engines, TRAITS, 0, waiting=10
+    ).unwrap()
     assert spilled.prefill_engine != preferred
     assert stayed.prefill_engine == preferred
--- a/packages/verbenahall/tests/platform/test_wire.py
+++ b/packages/verbenahall/tests/platform/test_wire.py
@@ -244,7 +244,7 @@
     assert head.wait_s == 5
     assert head.last_event == 12
     assert [part.tokens for part in head.work.parts] == [800, 410, 250]
-    assert head.work.home_key == '91bd'
+    assert head.work.affinity_key == '91bd'
     assert (head.work.prompt_tokens, head.work.output_tokens) == (1460, 30)
 
 
