--- a/packages/standins/src/verbenahall_standins/replay.py
+++ b/packages/standins/src/verbenahall_standins/replay.py
@@ -250,7 +250,7 @@
         self.state = PlacementState()
         for tokens in itertools.islice(itertools.cycle(_TIMED), _READS):
             seconds = READ_START_S + tokens * TOKEN_S
-            self.state.learn_read(tokens, _KEPT, seconds)
+            self.state.record_prefill_time(tokens, _KEPT, seconds)
         self.queue = PrefillQueue()
         self.arrived = {}
 
@@ -313,7 +313,7 @@
         engine.begin(
             (self, (pending, flight, now)), pending.placement_request.work, now
         )
-        self.state.cache_of(prefill_engine, TRAITS.kv_tokens).note(
+        self.state.find_cache(prefill_engine, TRAITS.kv_tokens).note(
             pending.placement_request.work.parts
         )
         self.replay.watch(engine)
--- a/packages/verbenahall/src/verbenahall/gateway/_fleet_state_log.py
+++ b/packages/verbenahall/src/verbenahall/gateway/_fleet_state_log.py
@@ -31,7 +31,7 @@
     def _log_state(self) -> None:
         core = self._core
         now = core.now()
-        speed = core.placement.read_speed
+        speed = core.placement.prefill_speed
         catalog = core.catalog.catalog
         journal.write_decision(
             'beliefs',
--- a/packages/verbenahall/src/verbenahall/gateway/_generation.py
+++ b/packages/verbenahall/src/verbenahall/gateway/_generation.py
@@ -188,9 +188,11 @@
         self._sender.record_outcome(plan.decode_engine, good=True)
         self._core.observer.record_answered(call.fingerprint)
         placement = self._core.placement
-        placement.note_kept(plan.decode_engine, call.ask.work, call.service)
+        placement.record_cached(plan.decode_engine, call.ask.work, call.service)
         if ended.step_s:
-            placement.step_of(plan.decode_engine.name).note(ended.step_s, now)
+            placement.find_step_time(plan.decode_engine.name).note(
+                ended.step_s, now
+            )
         journal.write_decision(
             'generated',
             request=call.ask.identity,
--- a/packages/verbenahall/src/verbenahall/gateway/_reads.py
+++ b/packages/verbenahall/src/verbenahall/gateway/_reads.py
@@ -109,7 +109,7 @@
     ) -> None:
         cached_tokens = call.ask.work.prompt_tokens - plan.missing
         if not tokens_ahead:
-            self._core.placement.learn_read(
+            self._core.placement.record_prefill_time(
                 plan.missing, cached_tokens, seconds
             )
         journal.write_decision(
@@ -124,7 +124,7 @@
         metrics.READ_SECONDS.observe(seconds)
         metrics.READ_TOKENS.add('missing', count=plan.missing)
         metrics.READ_TOKENS.add('kept', count=cached_tokens)
-        self._core.placement.note_kept(
+        self._core.placement.record_cached(
             prefill_engine, call.ask.work, call.service
         )
 
--- a/packages/verbenahall/src/verbenahall/gateway/_scheduler.py
+++ b/packages/verbenahall/src/verbenahall/gateway/_scheduler.py
@@ -116,7 +116,7 @@
     def _find_state(self, scope: _Scope) -> SchedulerState:
         state = self._states.get(scope)
         if state is None:
-            placement = self._core.placement.without_load()
+            placement = self._core.placement.copy_without_load()
             state = SchedulerState(placement, self._core.now())
             self._states[scope] = state
         return state
--- a/packages/verbenahall/src/verbenahall/peers/_shell.py
+++ b/packages/verbenahall/src/verbenahall/peers/_shell.py
@@ -63,7 +63,7 @@
         self.fallback_handler: Callable[[bytes, str], bool] = _ignore_datagram
         self._peer_table = peer_table
         self._ledger = placement.ledger
-        self._speed = placement.read_speed
+        self._speed = placement.prefill_speed
         self._on_engine_changing = on_engine_changing
         self._numbers = itertools.count()
         self._transport: Any = None
--- a/packages/verbenahall/src/verbenahall/placement/_decisions.py
+++ b/packages/verbenahall/src/verbenahall/placement/_decisions.py
@@ -221,7 +221,7 @@
         return Plan(prefill_engine, decode.engine, 0, decode.first_s, 'handle')
 
     def _mixed_first_s(self, engine: Entry, prefill_s: float) -> float:
-        step_s = self._state.step_of(engine.name).read(self._now)
+        step_s = self._state.find_step_time(engine.name).read(self._now)
         return self._start_s + prefill_s + step_s
 
     def _stall_cost(self, engine: Entry, prefill_s: float) -> float:
@@ -277,7 +277,7 @@
         if rank == 0 and not self._state.caches_complete:
             cached = sum(part.tokens for part in self._work.shared_parts)
         else:
-            cache = self._state.cache_of(engine, self._traits.kv_tokens)
+            cache = self._state.find_cache(engine, self._traits.kv_tokens)
             cached = cache.count_cached_tokens(self._work.shared_parts)
         return max(1, self._work.prompt_tokens - cached)
 
@@ -293,15 +293,15 @@
 
     @property
     def _start_s(self) -> float:
-        return self._state.read_speed.start_s
+        return self._state.prefill_speed.start_s
 
     def _prefill_s(self, missing: int) -> float:
         cached = self._work.prompt_tokens - missing
-        return self._state.read_speed.predict_s(missing, cached)
+        return self._state.prefill_speed.predict_s(missing, cached)
 
     def _backlog_s(self, engine: Entry) -> float:
         totals = self._state.ledger.totals(engine.name)
-        return totals.prefill_tokens * self._state.read_speed.token_s
+        return totals.prefill_tokens * self._state.prefill_speed.token_s
 
     def _transfer_s(self, source: Entry, target: Entry) -> float:
         kv_bytes = self._work.prompt_tokens * self._traits.kv_token_bytes
@@ -330,7 +330,7 @@
     def _congestion_cost(self, engine: Entry) -> float:
         """Return the cost in seconds of joining the batch of a busy engine."""
         fill = _relative_excess(self._fill(engine), _CONGESTION_THRESHOLD)
-        step = self._state.step_of(engine.name).read(self._now)
+        step = self._state.find_step_time(engine.name).read(self._now)
         max_step_s = self._request.gap_s / self._traits.event_tokens
         step_share = step / max_step_s if max_step_s else 0
         return _FULL_COST * fill * fill + _STEP_COST * _relative_excess(
--- a/packages/verbenahall/src/verbenahall/placement/_slots.py
+++ b/packages/verbenahall/src/verbenahall/placement/_slots.py
@@ -91,7 +91,7 @@
     def __init__(self, fleet: Fleet) -> None:
         """Find the engines with room; ``reserve`` keeps the set current."""
         self._state = fleet.state
-        self._min_queue_s = fleet.state.read_speed.start_s + _MIN_QUEUE_S
+        self._min_queue_s = fleet.state.prefill_speed.start_s + _MIN_QUEUE_S
         self._local_share_s = self._min_queue_s / (
             fleet.state.ledger.prefilling_peers + 1
         )
@@ -147,7 +147,8 @@
         """
         local_tokens = self._state.ledger.local_totals(name).prefill_tokens
         return (
-            local_tokens * self._state.read_speed.token_s < self._local_share_s
+            local_tokens * self._state.prefill_speed.token_s
+            < self._local_share_s
         )
 
 
--- a/packages/verbenahall/src/verbenahall/placement/_state.py
+++ b/packages/verbenahall/src/verbenahall/placement/_state.py
@@ -26,7 +26,7 @@
     __slots__ = (
         'caches_complete',
         'ledger',
-        'read_speed',
+        'prefill_speed',
         'handover',
         '_caches',
         '_steps',
@@ -37,13 +37,13 @@
         #: Whether all recent prefills of the engines were recorded here.
         self.caches_complete = False
         self.ledger = Ledger()
-        self.read_speed = PrefillSpeed()
+        self.prefill_speed = PrefillSpeed()
         #: Time from the decode request to its first event, in seconds.
         self.handover = DecayingAverage(_HANDOVER_S)
         self._caches: dict[tuple[str, int], PrefixCache] = {}
         self._steps: dict[str, DecayingAverage] = {}
 
-    def without_load(self) -> 'PlacementState':
+    def copy_without_load(self) -> 'PlacementState':
         """Return a state with the same estimates and no open work.
 
         A scheduler counts the load of its group by itself. If the reports of
@@ -51,13 +51,13 @@
         twice.
         """
         other = PlacementState()
-        other.read_speed = self.read_speed
+        other.prefill_speed = self.prefill_speed
         other.handover = self.handover
         other._caches = self._caches
         other._steps = self._steps
         return other
 
-    def cache_of(self, engine: Entry, kv_tokens: int) -> PrefixCache:
+    def find_cache(self, engine: Entry, kv_tokens: int) -> PrefixCache:
         """Return the estimated prefix cache of an engine since its start."""
         key = (engine.name, engine.born)
         cache = self._caches.get(key)
@@ -66,13 +66,15 @@
             self._caches[key] = cache
         return cache
 
-    def note_kept(self, engine: Entry, work: Work, service: Service) -> None:
+    def record_cached(
+        self, engine: Entry, work: Work, service: Service
+    ) -> None:
         """Record that an engine has prefilled a prompt and caches its parts."""
         if service.engine is not None:
-            cache = self.cache_of(engine, service.engine.kv_tokens)
+            cache = self.find_cache(engine, service.engine.kv_tokens)
             cache.note(work.parts)
 
-    def step_of(self, engine: str) -> DecayingAverage:
+    def find_step_time(self, engine: str) -> DecayingAverage:
         """Return the estimated decode step time of an engine."""
         return self._steps.setdefault(engine, DecayingAverage())
 
@@ -84,7 +86,9 @@
             if key[0] not in names:
                 self._caches.pop(key)
 
-    def learn_read(self, missing: int, cached: int, seconds: float) -> None:
+    def record_prefill_time(
+        self, missing: int, cached: int, seconds: float
+    ) -> None:
         """Update the prefill speed with a prefill that waited for no other."""
         if missing >= _MIN_TIMED_TOKENS and seconds > 0:
-            self.read_speed.learn(missing, cached, seconds)
+            self.prefill_speed.learn(missing, cached, seconds)
--- a/packages/verbenahall/src/verbenahall/scheduling/_decisions.py
+++ b/packages/verbenahall/src/verbenahall/scheduling/_decisions.py
@@ -117,7 +117,9 @@
         case Released(step_s=step_s):
             _release(state, assigned)
             if step_s:
-                step = state.placement.step_of(assigned.plan.decode_engine.name)
+                step = state.placement.find_step_time(
+                    assigned.plan.decode_engine.name
+                )
                 step.note(step_s, now)
 
 
@@ -223,8 +225,8 @@
     work = assigned.waiting.pending.placement_request.work
     if not plan.ahead_s:
         cached = work.prompt_tokens - plan.missing
-        state.placement.learn_read(plan.missing, cached, seconds)
-    state.placement.note_kept(
+        state.placement.record_prefill_time(plan.missing, cached, seconds)
+    state.placement.record_cached(
         plan.prefill_engine or plan.decode_engine, work, service
     )
 
@@ -240,7 +242,7 @@
     state.queue.note_first(pending, event.seconds, now)
     if event.handover_s:
         state.placement.handover.note(event.handover_s, now)
-    state.placement.note_kept(
+    state.placement.record_cached(
         assigned.plan.decode_engine, pending.placement_request.work, service
     )
 
--- a/packages/verbenahall/tests/placement/test_placement.py
+++ b/packages/verbenahall/tests/placement/test_placement.py
@@ -163,7 +163,7 @@
     state = make_state()
     engines = make_engines()
     for _ in range(20):
-        state.step_of('g0').note(0.05, now=0)
+        state.find_step_time('g0').note(0.05, now=0)
     for number in range(10):
         plan = choose(state, make_work(own=f'o{number}'), engines, now=0.1)
         assert plan.decode_engine.name != 'g0'
--- a/packages/verbenahall/tests/scheduling/test_scheduler.py
+++ b/packages/verbenahall/tests/scheduling/test_scheduler.py
@@ -216,13 +216,13 @@
 
 def test_speed_estimate_uses_all_instances(state, service):
     """Each instance has timed one prefill; the scheduler records all."""
-    before = state.placement.read_speed.samples
+    before = state.placement.prefill_speed.samples
     for number in range(20):
         key = f'r{number}'
         submit(state, make_request(key), now=number)
         finish(state, key, service, number + 0.1)
 
-    assert state.placement.read_speed.samples == before + 20
+    assert state.placement.prefill_speed.samples == before + 20
 
 
 def test_new_prefix_counts_as_prefill(state, service):
