--- a/packages/standins/src/verbenahall_standins/replay.py
+++ b/packages/standins/src/verbenahall_standins/replay.py
@@ -220,13 +220,13 @@
 
     def _tell(self, now):
         for one in self.instances:
-            word = dict(one.state.ledger.own())
+            word = dict(one.state.load_table.local_loads())
             for other in self.instances[
                 one.number % self.sample :: self.sample
             ]:
-                other.state.ledger.scale = self.sample
+                other.state.load_table.scale = self.sample
                 if other is not one:
-                    other.state.ledger.hear(one.name, word, now)
+                    other.state.load_table.set_peer_loads(one.name, word, now)
 
     def _end(self, engine, version, now):
         if engine.version != version:
@@ -276,7 +276,7 @@
         plan = self._fleet().place(pending, now).unwrap()
         prefill_engine = (plan.prefill_engine or plan.decode_engine).name
         totals = Totals(prefill_tokens=plan.missing)
-        flight = self.state.ledger.open(prefill_engine, totals)
+        flight = self.state.load_table.open(prefill_engine, totals)
         self._send(pending, plan, flight, now)
 
     def look(self, now):
@@ -291,7 +291,7 @@
         pending, flight, sent_at = admitted
         took = now + HANDOVER_S - sent_at
         self.queue.note_first(pending, took, now)
-        self.state.ledger.close(flight)
+        self.state.load_table.close(flight)
         outcome = self.replay.outcome
         waited = now + HANDOVER_S - self.arrived[pending]
         if now < pending.leaves_at:
--- a/packages/verbenahall/src/verbenahall/gateway/_assignments.py
+++ b/packages/verbenahall/src/verbenahall/gateway/_assignments.py
@@ -261,7 +261,7 @@
             f'{group_request.group} {assignment.reason}',
             assignment.ahead_s,
         )
-        flight = self._core.placement.ledger.open(
+        flight = self._core.placement.load_table.open(
             (prefill or decode).name,
             Totals(prefill_tokens=assignment.missing),
         )
--- a/packages/verbenahall/src/verbenahall/gateway/_fleet_state_log.py
+++ b/packages/verbenahall/src/verbenahall/gateway/_fleet_state_log.py
@@ -40,7 +40,7 @@
             endpoints=len(core.roster.listings),
             instances=core.instance_count,
             unreachable=core.endpoint_health.list_unreachable(now),
-            peers=core.placement.ledger.speakers,
+            peers=core.placement.load_table.reporting_peers,
             read_start_s=round(speed.start_s, _DECIMALS),
             read_thousand_s=round(speed.token_s * _THOUSAND, _DECIMALS),
             read_samples=speed.samples,
--- a/packages/verbenahall/src/verbenahall/gateway/_generation.py
+++ b/packages/verbenahall/src/verbenahall/gateway/_generation.py
@@ -69,9 +69,9 @@
         """
         self._grant: Grant = grant
         options = self._make_options(plan, handle)
-        ledger = self._core.placement.ledger
+        load_table = self._core.placement.load_table
         self._handed_over = handle is not None
-        self._flight = ledger.open(
+        self._flight = load_table.open(
             plan.decode_engine.name,
             Totals(
                 prefill_tokens=0 if handle else plan.missing,
@@ -90,7 +90,7 @@
                     plan, options, opened, resumable
                 )
         finally:
-            ledger.close(self._flight)
+            load_table.close(self._flight)
         ended = result.value_or(None)
         if isinstance(ended, StreamEnded):
             self._record_completion(plan, ended)
@@ -167,7 +167,7 @@
         """
         self._count_usage()
         placement = self._core.placement
-        self._flight = placement.ledger.note_read(self._flight)
+        self._flight = placement.load_table.record_prefill_end(self._flight)
         now = self._core.now()
         handover_s = now - self._sent_at if self._handed_over else 0
         self._grant.note_first(handover_s)
--- a/packages/verbenahall/src/verbenahall/gateway/_grants.py
+++ b/packages/verbenahall/src/verbenahall/gateway/_grants.py
@@ -70,7 +70,7 @@
 
     def start(self) -> None:
         """Close the reservation: from now on the send itself is counted."""
-        self._core.placement.ledger.close(self._admitted.flight)
+        self._core.placement.load_table.close(self._admitted.flight)
 
     def note_prefill(self, seconds: float) -> None:
         """Admit the next request."""
--- a/packages/verbenahall/src/verbenahall/gateway/_orders.py
+++ b/packages/verbenahall/src/verbenahall/gateway/_orders.py
@@ -151,7 +151,7 @@
         ):
             return ()
         stream_counts = {
-            engine.name: core.placement.ledger.totals(engine.name).streams
+            engine.name: core.placement.load_table.totals(engine.name).streams
             for engine in engines
         }
         lost = self._count_lost(service, engines, now)
--- a/packages/verbenahall/src/verbenahall/gateway/_prefill_queues.py
+++ b/packages/verbenahall/src/verbenahall/gateway/_prefill_queues.py
@@ -50,7 +50,7 @@
     ) -> AdmitResult:
         """Wait to be admitted.
 
-        The caller must close the reservation in the ledger that it gets.
+        The caller must close the reservation in the load table that it gets.
         """
         now = self._core.now()
         pending = QueuedRequest(
@@ -140,7 +140,7 @@
 
     def _release(self, outcome: AdmitResult) -> None:
         if isinstance(outcome, Success):
-            self._core.placement.ledger.close(outcome.unwrap().flight)
+            self._core.placement.load_table.close(outcome.unwrap().flight)
 
     def _describe_fleet(self, service: Service, now: float) -> Fleet:
         core = self._core
--- a/packages/verbenahall/src/verbenahall/gateway/_reads.py
+++ b/packages/verbenahall/src/verbenahall/gateway/_reads.py
@@ -67,9 +67,9 @@
             prefill_only=True,
         )
         timeout_at = now + _TIMEOUT_MARGIN_S + plan.wait_s * _TIMEOUT_FACTOR
-        ledger = self._core.placement.ledger
-        tokens_ahead = ledger.totals(prefill_engine.name).prefill_tokens
-        flight = ledger.open(
+        load_table = self._core.placement.load_table
+        tokens_ahead = load_table.totals(prefill_engine.name).prefill_tokens
+        flight = load_table.open(
             prefill_engine.name, Totals(prefill_tokens=plan.missing)
         )
         try:
@@ -80,7 +80,7 @@
                 min(call.deadline, timeout_at),
             )
         finally:
-            ledger.close(flight)
+            load_table.close(flight)
         prefilled = _decode_handle(result)
         if isinstance(prefilled, Success):
             self._record_prefill(
--- a/packages/verbenahall/src/verbenahall/gateway/_scheduled_grants.py
+++ b/packages/verbenahall/src/verbenahall/gateway/_scheduled_grants.py
@@ -60,7 +60,7 @@
 
     def start(self) -> None:
         """Remove the local reservation: from now on the send itself counts."""
-        self._core.placement.ledger.close(self._flight)
+        self._core.placement.load_table.close(self._flight)
 
     def note_prefill(self, seconds: float) -> None:
         """Report the end of the prefill, which took so many seconds."""
--- a/packages/verbenahall/src/verbenahall/peers/_shell.py
+++ b/packages/verbenahall/src/verbenahall/peers/_shell.py
@@ -45,7 +45,7 @@
         placement: PlacementState,
         on_engine_changing: Callable[[str], None],
     ) -> None:
-        """Exchange the open work in the ledger of the placement state.
+        """Exchange the open work in the load table of the placement state.
 
         ``on_engine_changing`` is called for each engine that a peer reports as
         changing its role, ``on_update`` for each store update. Three callbacks
@@ -62,7 +62,7 @@
         #: False for one that the exchange is to decode.
         self.fallback_handler: Callable[[bytes, str], bool] = _ignore_datagram
         self._peer_table = peer_table
-        self._ledger = placement.ledger
+        self._load_table = placement.load_table
         self._speed = placement.prefill_speed
         self._on_engine_changing = on_engine_changing
         self._numbers = itertools.count()
@@ -166,14 +166,16 @@
             *known,
             self._arrivals.find_confirmations(heartbeat),
         ):
-            self._ledger.hear(heartbeat.author, heartbeat.loads, now)
+            self._load_table.set_peer_loads(
+                heartbeat.author, heartbeat.loads, now
+            )
             self._speed.adopt(heartbeat.speed or (0,))
             for engine in heartbeat.changing:
                 self._on_engine_changing(engine)
 
     def _send_heartbeats(self, now: float) -> None:
-        self._ledger.forget_silent(now)
-        self._ledger.scale = find_scale(self._peer_table)
+        self._load_table.expire_peers(now)
+        self._load_table.scale = find_scale(self._peer_table)
         due = tuple(choose_due(self._peer_table, now))
         if not due:
             return
@@ -192,7 +194,7 @@
         return Heartbeat(
             self._peer_table.name,
             next(self._numbers),
-            self._ledger.own(),
+            self._load_table.local_loads(),
             self._peer_table.data_centre,
             tuple(self.changing()),
             self._speed.export(),
--- a/packages/verbenahall/src/verbenahall/placement/__init__.py
+++ b/packages/verbenahall/src/verbenahall/placement/__init__.py
@@ -2,7 +2,7 @@
 
 from verbenahall.placement._decisions import PlacementRequest, place
 from verbenahall.placement._dispatch import dispatch, enqueue
-from verbenahall.placement._ledger import InFlight, Ledger, Totals
+from verbenahall.placement._load_table import InFlight, LoadTable, Totals
 from verbenahall.placement._messages import Part, Plan, Work
 from verbenahall.placement._queue import (
     Admitted,
@@ -18,7 +18,7 @@
     'Admitted',
     'Fleet',
     'InFlight',
-    'Ledger',
+    'LoadTable',
     'Part',
     'PlacementRequest',
     'PlacementState',
--- a/packages/verbenahall/src/verbenahall/placement/_decisions.py
+++ b/packages/verbenahall/src/verbenahall/placement/_decisions.py
@@ -231,7 +231,7 @@
         cost, prefills that looked cheap were sent to decode engines, and
         streams there missed their objective because of the pauses.
         """
-        streams = self._state.ledger.totals(engine.name).streams
+        streams = self._state.load_table.totals(engine.name).streams
         return prefill_s * (
             self._engine_time_cost + streams * _STREAM_STALL_COST
         )
@@ -300,7 +300,7 @@
         return self._state.prefill_speed.predict_s(missing, cached)
 
     def _backlog_s(self, engine: Entry) -> float:
-        totals = self._state.ledger.totals(engine.name)
+        totals = self._state.load_table.totals(engine.name)
         return totals.prefill_tokens * self._state.prefill_speed.token_s
 
     def _transfer_s(self, source: Entry, target: Entry) -> float:
@@ -319,7 +319,7 @@
 
     def _fill(self, engine: Entry) -> float:
         """Return the fill of an engine with the request, by memory or slots."""
-        totals = self._state.ledger.totals(engine.name)
+        totals = self._state.load_table.totals(engine.name)
         held_tokens = totals.held_tokens + self._work.context_tokens
         streams_after = totals.streams + 1
         return max(
--- a/packages/verbenahall/src/verbenahall/placement/_ledger.py
+++ b/packages/verbenahall/src/verbenahall/placement/_load_table.py
@@ -75,7 +75,7 @@
 
 
 @final
-class Ledger:
+class LoadTable:
     """Open work by engine, of this instance and as reported by peers.
 
     The sum over all peers is updated with each report. Adding up the reports
@@ -120,7 +120,7 @@
         if self._open_sends.pop(flight.number, None) is not None:
             _subtract(self._local, flight.engine, flight.totals)
 
-    def note_read(self, flight: InFlight) -> InFlight:
+    def record_prefill_end(self, flight: InFlight) -> InFlight:
         """Record the end of a prefill; return the work that is still open."""
         if (
             not flight.totals.prefill_tokens
@@ -133,7 +133,9 @@
             dataclasses.replace(flight.totals, prefill_tokens=0),
         )
 
-    def hear(self, peer: str, loads: Mapping[str, Totals], now: float) -> None:
+    def set_peer_loads(
+        self, peer: str, loads: Mapping[str, Totals], now: float
+    ) -> None:
         """Replace the report of a peer."""
         self._remove_report(peer)
         report = _PeerReport(loads, now)
@@ -142,7 +144,7 @@
         for engine, totals in loads.items():
             _add(self._peer_totals, engine, totals)
 
-    def own(self) -> Mapping[str, Totals]:
+    def local_loads(self) -> Mapping[str, Totals]:
         """Return the open work of this instance, as reported to peers."""
         return self._local
 
@@ -151,7 +153,7 @@
         return self._local.get(engine, NO_LOAD)
 
     @property
-    def speakers(self) -> int:
+    def reporting_peers(self) -> int:
         """Number of peers whose reports are counted."""
         return len(self._reports)
 
@@ -167,7 +169,7 @@
         total = local if peers is None else local.plus(peers)
         return total if self.scale == 1 else total.times(self.scale)
 
-    def forget_silent(self, now: float) -> None:
+    def expire_peers(self, now: float) -> None:
         """Remove the reports of peers that have stopped reporting."""
         for peer, report in tuple(self._reports.items()):
             if now - report.received_at >= _REPORT_TTL_S:
--- a/packages/verbenahall/src/verbenahall/placement/_queue.py
+++ b/packages/verbenahall/src/verbenahall/placement/_queue.py
@@ -7,7 +7,7 @@
 from verbenahall.admission import RateMeter
 from verbenahall.errors import Problem
 from verbenahall.placement._decisions import PlacementRequest
-from verbenahall.placement._ledger import InFlight
+from verbenahall.placement._load_table import InFlight
 from verbenahall.placement._messages import Plan
 
 #: Weight of one first event in the smoothed delay.
--- a/packages/verbenahall/src/verbenahall/placement/_slots.py
+++ b/packages/verbenahall/src/verbenahall/placement/_slots.py
@@ -10,7 +10,7 @@
 from verbenahall.errors import Problem
 from verbenahall.fleet import Role
 from verbenahall.placement._decisions import place
-from verbenahall.placement._ledger import InFlight, Totals
+from verbenahall.placement._load_table import InFlight, Totals
 from verbenahall.placement._messages import Plan
 from verbenahall.placement._queue import QueuedRequest
 from verbenahall.placement._state import PlacementState
@@ -93,7 +93,7 @@
         self._state = fleet.state
         self._min_queue_s = fleet.state.prefill_speed.start_s + _MIN_QUEUE_S
         self._local_share_s = self._min_queue_s / (
-            fleet.state.ledger.prefilling_peers + 1
+            fleet.state.load_table.prefilling_peers + 1
         )
         self.engine_names = frozenset(one.name for one in fleet.engines)
         self.open_engines = {
@@ -128,9 +128,9 @@
         return plan.ahead_s < max(max_ahead_s, self._min_queue_s)
 
     def reserve(self, plan: Plan) -> InFlight:
-        """Add the prefill of a plan to the ledger."""
+        """Add the prefill of a plan to the load table."""
         name = _get_prefill_engine(plan)
-        flight = self._state.ledger.open(
+        flight = self._state.load_table.open(
             name, Totals(prefill_tokens=plan.missing)
         )
         if not self._is_open(name):
@@ -145,7 +145,7 @@
         alone, all instances would see the same engine idle and send it a
         prompt each.
         """
-        local_tokens = self._state.ledger.local_totals(name).prefill_tokens
+        local_tokens = self._state.load_table.local_totals(name).prefill_tokens
         return (
             local_tokens * self._state.prefill_speed.token_s
             < self._local_share_s
--- a/packages/verbenahall/src/verbenahall/placement/_state.py
+++ b/packages/verbenahall/src/verbenahall/placement/_state.py
@@ -5,7 +5,7 @@
 
 from verbenahall.catalog import Service
 from verbenahall.placement._caches import PrefixCache
-from verbenahall.placement._ledger import Ledger
+from verbenahall.placement._load_table import LoadTable
 from verbenahall.placement._messages import Work
 from verbenahall.placement._speeds import DecayingAverage, PrefillSpeed
 from verbenahall.roster import Entry
@@ -25,7 +25,7 @@
 
     __slots__ = (
         'caches_complete',
-        'ledger',
+        'load_table',
         'prefill_speed',
         'handover',
         '_caches',
@@ -36,7 +36,7 @@
         """Start with no open work and with initial estimates."""
         #: Whether all recent prefills of the engines were recorded here.
         self.caches_complete = False
-        self.ledger = Ledger()
+        self.load_table = LoadTable()
         self.prefill_speed = PrefillSpeed()
         #: Time from the decode request to its first event, in seconds.
         self.handover = DecayingAverage(_HANDOVER_S)
--- a/packages/verbenahall/src/verbenahall/scheduling/_decisions.py
+++ b/packages/verbenahall/src/verbenahall/scheduling/_decisions.py
@@ -108,7 +108,7 @@
     assigned = state.assigned.get(progress.key)
     if assigned is None:
         return
-    state.placement.ledger.close(assigned.prefill)
+    state.placement.load_table.close(assigned.prefill)
     match progress:
         case Prefilled(seconds=seconds):
             _record_prefill(state, assigned, seconds, service)
@@ -177,10 +177,10 @@
     waiting: Waiting,
     admitted: Admitted,
 ) -> Reply:
-    """Add the load of a request to the ledger until it is released."""
+    """Add the load of a request to the load table until it is released."""
     plan = admitted.plan
     key = admitted.pending.request
-    decode = state.placement.ledger.open(
+    decode = state.placement.load_table.open(
         plan.decode_engine.name,
         Totals(
             held_tokens=admitted.pending.placement_request.work.context_tokens,
@@ -248,6 +248,6 @@
 
 
 def _release(state: SchedulerState, assigned: Assigned) -> None:
-    state.placement.ledger.close(assigned.prefill)
-    state.placement.ledger.close(assigned.decode)
+    state.placement.load_table.close(assigned.prefill)
+    state.placement.load_table.close(assigned.decode)
     state.assigned.pop(assigned.answer.key)
--- a/packages/verbenahall/tests/gateway/test_scheduling.py
+++ b/packages/verbenahall/tests/gateway/test_scheduling.py
@@ -72,7 +72,7 @@
 def is_idle(desk):
     """Whether a scheduler has no open requests and no load."""
     state = find_state(desk)
-    load = state.placement.ledger.own()
+    load = state.placement.load_table.local_loads()
     return not (state.assigned or state.waiting or load)
 
 
--- a/packages/verbenahall/tests/gateway/test_waiting.py
+++ b/packages/verbenahall/tests/gateway/test_waiting.py
@@ -58,8 +58,8 @@
             assert status == 200
             read = [one[f'{PREFIX}Request-Id'] for one in engines[0].reads]
             assert read == ['r-1']
-            ledger = desk.gateway.core.placement.ledger
-            await desk.until(lambda: not ledger.own())
+            load_table = desk.gateway.core.placement.load_table
+            await desk.until(lambda: not load_table.local_loads())
 
     run(check())
 
--- a/packages/verbenahall/tests/peers/test_peers.py
+++ b/packages/verbenahall/tests/peers/test_peers.py
@@ -13,7 +13,7 @@
     record_heartbeat,
 )
 from verbenahall.peers import _state as state
-from verbenahall.placement import Ledger, Totals
+from verbenahall.placement import LoadTable, Totals
 
 
 def test_heartbeat_is_encoded_and_decoded():
@@ -139,19 +139,19 @@
 def test_load_of_a_silent_peer_is_dropped():
     # An instance is killed with much work open. By its last heartbeat, engines
     # that have long been idle would still count as busy.
-    ledger = Ledger()
-    ledger.hear('front-2', {'engine-1': Totals(9000)}, now=1)
-    assert ledger.totals('engine-1').prefill_tokens == 9000
-    ledger.forget_silent(3)
-    assert not ledger.totals('engine-1').prefill_tokens
+    load_table = LoadTable()
+    load_table.set_peer_loads('front-2', {'engine-1': Totals(9000)}, now=1)
+    assert load_table.totals('engine-1').prefill_tokens == 9000
+    load_table.expire_peers(3)
+    assert not load_table.totals('engine-1').prefill_tokens
 
 
 def test_ledger_counts_own_sends_until_they_end():
-    ledger = Ledger()
-    flight = ledger.open('engine-1', Totals(100, 200, 1))
-    ledger.hear('front-2', {'engine-1': Totals(10, 20, 1)}, now=1)
-    assert ledger.totals('engine-1') == Totals(110, 220, 2)
-    ledger.close(flight)
-    ledger.close(flight)
-    assert ledger.totals('engine-1') == Totals(10, 20, 1)
-    assert not ledger.own()
+    load_table = LoadTable()
+    flight = load_table.open('engine-1', Totals(100, 200, 1))
+    load_table.set_peer_loads('front-2', {'engine-1': Totals(10, 20, 1)}, now=1)
+    assert load_table.totals('engine-1') == Totals(110, 220, 2)
+    load_table.close(flight)
+    load_table.close(flight)
+    assert load_table.totals('engine-1') == Totals(10, 20, 1)
+    assert not load_table.local_loads()
--- a/packages/verbenahall/tests/placement/test_dispatch.py
+++ b/packages/verbenahall/tests/placement/test_dispatch.py
@@ -46,7 +46,7 @@
 def fill_queue(fleet, queue, *requests, now=0):
     """Queue requests behind a prefill that the instance has open."""
     for engine in fleet.engines:
-        fleet.state.ledger.open(engine.name, Totals(prefill_tokens=200_000))
+        fleet.state.load_table.open(engine.name, Totals(prefill_tokens=200_000))
     for pending in requests:
         enqueue(queue, pending, fleet, now, RNG)
 
@@ -64,7 +64,8 @@
     assert [one.pending.request for one in effects.admitted] == ['t']
     prefill_engine = effects.admitted[0].plan.prefill_engine.name
     assert (
-        fleet.state.ledger.local_totals(prefill_engine).prefill_tokens == 3_000
+        fleet.state.load_table.local_totals(prefill_engine).prefill_tokens
+        == 3_000
     )
 
 
@@ -186,7 +187,7 @@
         )
         for peer in range(peers):
             report = {'other': Totals(prefill_tokens=3_000)}
-            fleet.state.ledger.hear(f'p{peer}', report, 0)
+            fleet.state.load_table.set_peer_loads(f'p{peer}', report, 0)
         for number in range(4):
             work = Work((Part('form', 6_000), Part(f'{number}', 1_500)), 7_500)
             pending = make_queued(f't{number}')
--- a/packages/verbenahall/tests/placement/test_placement.py
+++ b/packages/verbenahall/tests/placement/test_placement.py
@@ -116,10 +116,10 @@
     engines = make_engines()
     work = make_work()
     preferred = choose(state, work, engines).prefill_engine
-    flight = state.ledger.open(preferred.name, Totals(prefill_tokens=4_000))
+    flight = state.load_table.open(preferred.name, Totals(prefill_tokens=4_000))
     assert choose(state, work, engines).prefill_engine == preferred
-    state.ledger.close(flight)
-    state.ledger.open(preferred.name, Totals(prefill_tokens=80_000))
+    state.load_table.close(flight)
+    state.load_table.open(preferred.name, Totals(prefill_tokens=80_000))
     assert choose(state, work, engines).prefill_engine != preferred
 
 
@@ -130,15 +130,15 @@
     engines = make_engines()
     work = make_work(shared_tokens=100)
     preferred = choose(state, work, engines).prefill_engine
-    state.ledger.open(preferred.name, Totals(prefill_tokens=12_000))
+    state.load_table.open(preferred.name, Totals(prefill_tokens=12_000))
     assert choose(state, work, engines).prefill_engine != preferred
 
 
 def test_decode_engine_with_room_is_chosen():
     state = make_state()
     engines = make_engines()
-    state.ledger.open('g0', Totals(held_tokens=430_000, streams=20))
-    state.ledger.open('g1', Totals(held_tokens=430_000, streams=20))
+    state.load_table.open('g0', Totals(held_tokens=430_000, streams=20))
+    state.load_table.open('g1', Totals(held_tokens=430_000, streams=20))
     for number in range(10):
         plan = choose(state, make_work(own=f'o{number}'), engines)
         assert plan.decode_engine.name == 'g2'
@@ -151,7 +151,7 @@
     for number in range(30):
         plan = choose(state, make_work(shared=f'a{number}'), engines)
         chosen.append(plan.decode_engine.name)
-        state.ledger.open(
+        state.load_table.open(
             plan.decode_engine.name, Totals(held_tokens=17_000, streams=1)
         )
     assert all(chosen.count(f'g{n}') >= 8 for n in range(3))
@@ -399,7 +399,9 @@
     state = make_state()
     engines = make_engines()
     for number in range(3):
-        state.ledger.open(f'g{number}', Totals(streams=8, held_tokens=8_000))
+        state.load_table.open(
+            f'g{number}', Totals(streams=8, held_tokens=8_000)
+        )
     assert choose(state, make_work(), engines).prefill_engine is not None
 
 
@@ -407,7 +409,7 @@
     state = make_state()
     engines = make_engines()
     for number in range(6):
-        state.ledger.open(f'r{number}', Totals(prefill_tokens=200_000))
+        state.load_table.open(f'r{number}', Totals(prefill_tokens=200_000))
     assert choose(state, make_work(), engines).prefill_engine is None
 
 
@@ -418,8 +420,8 @@
     engines = make_engines(decode_count=1)
     work = make_work()
     preferred = choose(state, work, engines).prefill_engine
-    state.ledger.open('g0', Totals(streams=8, held_tokens=8_000))
-    state.ledger.open(preferred.name, Totals(prefill_tokens=50_000))
+    state.load_table.open('g0', Totals(streams=8, held_tokens=8_000))
+    state.load_table.open(preferred.name, Totals(prefill_tokens=50_000))
     spilled = place(
         state, PlacementRequest(work, 0.25), engines, TRAITS, 0
     ).unwrap()
--- a/packages/verbenahall/tests/scheduling/test_scheduler.py
+++ b/packages/verbenahall/tests/scheduling/test_scheduler.py
@@ -73,8 +73,8 @@
 
     assert reply.message.prefill == 'p0'
     assert reply.message.decode == 'd0'
-    assert state.placement.ledger.local_totals('p0').prefill_tokens == 3_000
-    assert state.placement.ledger.local_totals('d0').streams == 1
+    assert state.placement.load_table.local_totals('p0').prefill_tokens == 3_000
+    assert state.placement.load_table.local_totals('d0').streams == 1
 
 
 def test_prompts_of_many_instances_are_queued_together(state):
@@ -122,7 +122,7 @@
     again = submit(state, make_request('a'), now=0.25)
 
     assert list(again) == list(first)
-    assert state.placement.ledger.local_totals('d0').streams == 1
+    assert state.placement.load_table.local_totals('d0').streams == 1
 
 
 def test_repeated_request_that_waits_is_answered_queued(state):
@@ -178,7 +178,7 @@
 
     scheduling.expire(state, 3.1)
     assert not state.assigned
-    assert not state.placement.ledger.own()
+    assert not state.placement.load_table.local_loads()
 
 
 def test_first_event_ends_the_prefill(state, service):
@@ -187,8 +187,8 @@
     event = scheduling.FirstEvent('a', 0.1, 0.01)
     scheduling.note(state, event, service, 0.1)
 
-    assert not state.placement.ledger.local_totals('p0').prefill_tokens
-    assert state.placement.ledger.local_totals('d0').streams == 1
+    assert not state.placement.load_table.local_totals('p0').prefill_tokens
+    assert state.placement.load_table.local_totals('d0').streams == 1
 
 
 def test_late_message_of_an_ended_assignment_changes_nothing(state, service):
@@ -198,7 +198,7 @@
     scheduling.note(state, scheduling.Prefilled('a', 0.1), service, 0.2)
     scheduling.note(state, scheduling.Released('a'), service, 0.2)
 
-    assert not state.placement.ledger.own()
+    assert not state.placement.load_table.local_loads()
 
 
 def test_request_that_cannot_be_served_in_time_is_rejected_at_once(state):
