--- a/packages/standins/src/verbenahall_standins/replay.py
+++ b/packages/standins/src/verbenahall_standins/replay.py
@@ -313,7 +313,7 @@
         engine.begin(
             (self, (pending, flight, now)), pending.placement_request.work, now
         )
-        self.state.find_cache(prefill_engine, TRAITS.kv_tokens).note(
+        self.state.find_cache(prefill_engine, TRAITS.kv_tokens).record(
             pending.placement_request.work.parts
         )
         self.replay.watch(engine)
--- a/packages/verbenahall/src/verbenahall/gateway/_generation.py
+++ b/packages/verbenahall/src/verbenahall/gateway/_generation.py
@@ -172,7 +172,7 @@
         handover_s = now - self._sent_at if self._handed_over else 0
         self._grant.note_first(handover_s)
         if handover_s:
-            placement.handover.note(handover_s, now)
+            placement.handover.observe(handover_s, now)
 
     def _count_usage(self) -> None:
         """Count the request in its workspace's usage, once for all attempts."""
@@ -190,7 +190,7 @@
         placement = self._core.placement
         placement.record_cached(plan.decode_engine, call.ask.work, call.service)
         if ended.step_s:
-            placement.find_step_time(plan.decode_engine.name).note(
+            placement.find_step_time(plan.decode_engine.name).observe(
                 ended.step_s, now
             )
         journal.write_decision(
--- a/packages/verbenahall/src/verbenahall/placement/_caches.py
+++ b/packages/verbenahall/src/verbenahall/placement/_caches.py
@@ -36,7 +36,7 @@
             cached_tokens += part.tokens
         return cached_tokens
 
-    def note(self, parts: Sequence[Part]) -> None:
+    def record(self, parts: Sequence[Part]) -> None:
         """Record the parts of a prompt that the engine has prefilled."""
         for part in reversed(parts):
             self._cached_tokens += part.tokens - self._parts.pop(
--- a/packages/verbenahall/src/verbenahall/placement/_decisions.py
+++ b/packages/verbenahall/src/verbenahall/placement/_decisions.py
@@ -221,7 +221,7 @@
         return Plan(prefill_engine, decode.engine, 0, decode.first_s, 'handle')
 
     def _mixed_first_s(self, engine: Entry, prefill_s: float) -> float:
-        step_s = self._state.find_step_time(engine.name).read(self._now)
+        step_s = self._state.find_step_time(engine.name).estimate(self._now)
         return self._start_s + prefill_s + step_s
 
     def _stall_cost(self, engine: Entry, prefill_s: float) -> float:
@@ -314,7 +314,7 @@
 
         Prompts that the engine prefills itself go first, in chunks.
         """
-        handover_s = self._state.handover.read(self._now)
+        handover_s = self._state.handover.estimate(self._now)
         return handover_s + self._backlog_s(engine) * _MIXED_SLOWDOWN
 
     def _fill(self, engine: Entry) -> float:
@@ -330,7 +330,7 @@
     def _congestion_cost(self, engine: Entry) -> float:
         """Return the cost in seconds of joining the batch of a busy engine."""
         fill = _relative_excess(self._fill(engine), _CONGESTION_THRESHOLD)
-        step = self._state.find_step_time(engine.name).read(self._now)
+        step = self._state.find_step_time(engine.name).estimate(self._now)
         max_step_s = self._request.gap_s / self._traits.event_tokens
         step_share = step / max_step_s if max_step_s else 0
         return _FULL_COST * fill * fill + _STEP_COST * _relative_excess(
--- a/packages/verbenahall/src/verbenahall/placement/_queue.py
+++ b/packages/verbenahall/src/verbenahall/placement/_queue.py
@@ -97,14 +97,14 @@
         self._deviation_s: float = 0
         self._observed_at: float = 0
 
-    def note(self, seconds: float, now: float) -> None:
+    def observe(self, seconds: float, now: float) -> None:
         """Record one delay."""
         error_s = seconds - self._mean_s
         self._mean_s += _SMOOTHING * error_s
         self._deviation_s += _SMOOTHING * (abs(error_s) - self._deviation_s)
         self._observed_at = now
 
-    def read(self, now: float) -> float:
+    def estimate(self, now: float) -> float:
         """Return the bound in seconds."""
         decay = 0.5 ** (max(0, now - self._observed_at) / _HALF_LIFE_S)
         return (self._mean_s + self._deviation_s) * decay
@@ -141,13 +141,13 @@
         would be admitted at the last moment at which they could be on time,
         and all would be slightly late.
         """
-        return now + self.first_event_delay.read(now)
+        return now + self.first_event_delay.estimate(now)
 
     def note_first(
         self, pending: QueuedRequest, took_s: float, now: float
     ) -> None:
         """Record the time to the first event of an admitted request."""
-        self.first_event_delay.note(
+        self.first_event_delay.observe(
             max(0, took_s - pending.expected_first_s), now
         )
 
--- a/packages/verbenahall/src/verbenahall/placement/_speeds.py
+++ b/packages/verbenahall/src/verbenahall/placement/_speeds.py
@@ -101,7 +101,7 @@
                 _INITIAL_DEVIATIONS[index] / _ADOPTION_SAMPLES
             ) ** 2
 
-    def learn(self, missing: int, cached: int, seconds: float) -> None:
+    def update(self, missing: int, cached: int, seconds: float) -> None:
         """Update the estimate with a prefill that did not wait for others."""
         self.samples += 1
         # No prefill is shorter than its start time, whatever it waited for.
@@ -141,13 +141,13 @@
         self._mean_s = initial_s
         self._observed_at = -float('inf')
 
-    def note(self, seconds: float, now: float) -> None:
+    def observe(self, seconds: float, now: float) -> None:
         """Record one duration."""
-        current = self.read(now)
+        current = self.estimate(now)
         self._mean_s = current + _STEP_SMOOTHING * (seconds - current)
         self._observed_at = now
 
-    def read(self, now: float) -> float:
+    def estimate(self, now: float) -> float:
         """Return the expected duration in seconds."""
         age = now - self._observed_at
         decay = 0.5 ** (age / _STEP_HALF_LIFE_S)
--- a/packages/verbenahall/src/verbenahall/placement/_state.py
+++ b/packages/verbenahall/src/verbenahall/placement/_state.py
@@ -72,7 +72,7 @@
         """Record that an engine has prefilled a prompt and caches its parts."""
         if service.engine is not None:
             cache = self.find_cache(engine, service.engine.kv_tokens)
-            cache.note(work.parts)
+            cache.record(work.parts)
 
     def find_step_time(self, engine: str) -> DecayingAverage:
         """Return the estimated decode step time of an engine."""
@@ -91,4 +91,4 @@
     ) -> None:
         """Update the prefill speed with a prefill that waited for no other."""
         if missing >= _MIN_TIMED_TOKENS and seconds > 0:
-            self.prefill_speed.learn(missing, cached, seconds)
+            self.prefill_speed.update(missing, cached, seconds)
--- a/packages/verbenahall/src/verbenahall/scheduling/_decisions.py
+++ b/packages/verbenahall/src/verbenahall/scheduling/_decisions.py
@@ -120,7 +120,7 @@
                 step = state.placement.find_step_time(
                     assigned.plan.decode_engine.name
                 )
-                step.note(step_s, now)
+                step.observe(step_s, now)
 
 
 def expire(state: SchedulerState, now: float) -> None:
@@ -241,7 +241,7 @@
     pending = assigned.waiting.pending
     state.queue.note_first(pending, event.seconds, now)
     if event.handover_s:
-        state.placement.handover.note(event.handover_s, now)
+        state.placement.handover.observe(event.handover_s, now)
     state.placement.record_cached(
         assigned.plan.decode_engine, pending.placement_request.work, service
     )
--- a/packages/verbenahall/tests/placement/test_dispatch.py
+++ b/packages/verbenahall/tests/placement/test_dispatch.py
@@ -276,5 +276,5 @@
 def test_delay_estimate_decays():
     queue = PrefillQueue()
     queue.note_first(make_queued(), 5, 0)
-    estimated_s = queue.first_event_delay.read(0)
-    assert queue.first_event_delay.read(10) < estimated_s / 20
+    estimated_s = queue.first_event_delay.estimate(0)
+    assert queue.first_event_delay.estimate(10) < estimated_s / 20
--- a/packages/verbenahall/tests/placement/test_placement.py
+++ b/packages/verbenahall/tests/placement/test_placement.py
@@ -163,7 +163,7 @@
     state = make_state()
     engines = make_engines()
     for _ in range(20):
-        state.find_step_time('g0').note(0.05, now=0)
+        state.find_step_time('g0').observe(0.05, now=0)
     for number in range(10):
         plan = choose(state, make_work(own=f'o{number}'), engines, now=0.1)
         assert plan.decode_engine.name != 'g0'
@@ -209,8 +209,8 @@
 
 def test_cache_evicts_the_least_recently_used_parts():
     cache = PrefixCache(1000)
-    cache.note([Part('a', 300), Part('b', 300)])
-    cache.note([Part('a', 300), Part('c', 300)])
+    cache.record([Part('a', 300), Part('b', 300)])
+    cache.record([Part('a', 300), Part('c', 300)])
     assert cache.count_cached_tokens([Part('a', 300), Part('c', 300)]) == 600
     assert cache.count_cached_tokens([Part('a', 300), Part('b', 300)]) == 300
     assert cache.count_cached_tokens([Part('b', 300)]) == 0
@@ -218,7 +218,7 @@
 
 def test_part_counts_only_if_all_earlier_parts_are_cached():
     cache = PrefixCache(10_000)
-    cache.note([Part('a', 300), Part('b', 300)])
+    cache.record([Part('a', 300), Part('b', 300)])
     assert cache.count_cached_tokens([Part('x', 10), Part('b', 300)]) == 0
 
 
@@ -235,7 +235,7 @@
         missing = rng.randint(400, 20_000)
         cached = rng.choice((0, 6_300, 13_300))
         noise = rng.expovariate(100)
-        speed.learn(missing, cached, model_prefill_s(missing, cached) + noise)
+        speed.update(missing, cached, model_prefill_s(missing, cached) + noise)
     for missing, cached in ((1_110, 350), (3_720, 13_300), (17_000, 0)):
         expected = speed.start_s + speed.predict_s(missing, cached)
         assert 0.8 < expected / model_prefill_s(missing, cached) < 1.35
@@ -250,7 +250,7 @@
     for number in range(300):
         missing = rng.randint(400, 20_000)
         waited = 0.5 if number % 4 == 0 else 0
-        speed.learn(missing, 0, model_prefill_s(missing, 0) + waited)
+        speed.update(missing, 0, model_prefill_s(missing, 0) + waited)
     expected = speed.start_s + speed.predict_s(5_000, 0)
     assert expected / model_prefill_s(5_000, 0) < 1.8
 
@@ -258,9 +258,9 @@
 def test_step_time_decays_without_samples():
     step = DecayingAverage()
     for _ in range(30):
-        step.note(0.05, now=10)
-    assert step.read(10) > 0.04
-    assert step.read(30) < 0.008
+        step.observe(0.05, now=10)
+    assert step.estimate(10) > 0.04
+    assert step.estimate(30) < 0.008
 
 
 def test_most_engines_prefill():
@@ -359,7 +359,7 @@
     # face value, it would refuse callers for waits that don't exist.
     speed = PrefillSpeed()
     for _ in range(3):
-        speed.learn(1_000, 0, 0.8)
+        speed.update(1_000, 0, 0.8)
     assert speed.start_s + speed.predict_s(20_000, 0) < 0.6
 
 
@@ -368,7 +368,7 @@
     rng = random.Random(5)
     for _ in range(200):
         missing = rng.randint(400, 20_000)
-        learned.learn(missing, 0, model_prefill_s(missing, 0))
+        learned.update(missing, 0, model_prefill_s(missing, 0))
     fresh = PrefillSpeed()
     fresh.adopt(learned.export())
     assert (
