--- a/packages/standins/src/verbenahall_standins/replay.py
+++ b/packages/standins/src/verbenahall_standins/replay.py
@@ -290,7 +290,7 @@
         """Note that a prompt was read."""
         pending, flight, sent_at = admitted
         took = now + HANDOVER_S - sent_at
-        self.queue.note_first(pending, took, now)
+        self.queue.record_first_event(pending, took, now)
         self.state.load_table.close(flight)
         outcome = self.replay.outcome
         waited = now + HANDOVER_S - self.arrived[pending]
--- a/packages/verbenahall/src/verbenahall/gateway/_assignments.py
+++ b/packages/verbenahall/src/verbenahall/gateway/_assignments.py
@@ -29,7 +29,7 @@
     Released,
     ScheduleRequest,
     SchedulerHealth,
-    is_near,
+    is_local,
     needs_scheduler,
     rank_groups,
     rank_schedulers,
@@ -113,7 +113,7 @@
         usable = self._core.list_usable(call.service.name, now)
         found: Maybe[Result[ScheduledGrant, Problem]] = Nothing
         local_centre = self._core.settings.data_centre
-        skipped = self._groups.list_silent(now)
+        skipped = self._groups.list_unresponsive(now)
         for group in rank_groups(placement_request.work, usable, local_centre):
             if group in skipped:
                 continue
@@ -136,7 +136,7 @@
                 group_request, scheduler
             )
             if answer is not None:
-                self._groups.note_answer(group_request.group)
+                self._groups.record_answer(group_request.group)
                 self._misses.pop(group_request.group, None)
             match answer:
                 case Assignment():
@@ -145,16 +145,16 @@
                     return _read_rejection(answer)
         self._misses[group_request.group] += 1
         if self._misses[group_request.group] >= _MAX_MISSES:
-            self._groups.note_silence(group_request.group, self._core.now())
+            self._groups.record_timeout(group_request.group, self._core.now())
         return Nothing
 
     def _list_schedulers(self, group: str) -> Sequence[str]:
         now = self._core.now()
         peer_table = self._core.peer_table
-        avoided = self._health.list_silent(now)
+        avoided = self._health.list_unresponsive(now)
         most = (
             _MAX_LOCAL_TRIES
-            if is_near(group, peer_table)
+            if is_local(group, peer_table)
             else _MAX_REMOTE_TRIES
         )
         return rank_schedulers(group, peer_table, now, avoided)[:most]
@@ -218,9 +218,9 @@
         waited_s: float,
     ) -> None:
         if answer is None or isinstance(answer, Declined):
-            self._health.note_silence(scheduler, self._core.now())
+            self._health.record_timeout(scheduler, self._core.now())
         else:
-            self._health.note_answer(scheduler)
+            self._health.record_answer(scheduler)
         metrics.QUEUE_SECONDS.observe(waited_s)
         journal.write_decision(
             'scheduled',
--- a/packages/verbenahall/src/verbenahall/gateway/_generation.py
+++ b/packages/verbenahall/src/verbenahall/gateway/_generation.py
@@ -170,7 +170,7 @@
         self._flight = placement.load_table.record_prefill_end(self._flight)
         now = self._core.now()
         handover_s = now - self._sent_at if self._handed_over else 0
-        self._grant.note_first(handover_s)
+        self._grant.record_first_event(handover_s)
         if handover_s:
             placement.handover.observe(handover_s, now)
 
--- a/packages/verbenahall/src/verbenahall/gateway/_grants.py
+++ b/packages/verbenahall/src/verbenahall/gateway/_grants.py
@@ -22,10 +22,10 @@
     def start(self) -> None:
         """Report that the request is sent now."""
 
-    def note_prefill(self, seconds: float) -> None:
+    def record_prefill(self, seconds: float) -> None:
         """Report that the prefill took ``seconds``."""
 
-    def note_first(self, handover_s: float) -> None:
+    def record_first_event(self, handover_s: float) -> None:
         """Report the first event.
 
         ``handover_s`` is the time from the send of the KV cache handle to the
@@ -72,13 +72,13 @@
         """Close the reservation: from now on the send itself is counted."""
         self._core.placement.load_table.close(self._admitted.flight)
 
-    def note_prefill(self, seconds: float) -> None:
+    def record_prefill(self, seconds: float) -> None:
         """Admit the next request."""
         self._queues.admit_waiting(self._call.service)
 
-    def note_first(self, handover_s: float) -> None:
+    def record_first_event(self, handover_s: float) -> None:
         """Record the time to the first event in the queue."""
-        self._queues.note_first(
+        self._queues.record_first_event(
             self._call,
             self._admitted.pending,
             self._granted_at,
@@ -108,10 +108,10 @@
     def start(self) -> None:
         """Do nothing: nothing is reserved."""
 
-    def note_prefill(self, seconds: float) -> None:
+    def record_prefill(self, seconds: float) -> None:
         """Do nothing: no queue depends on it."""
 
-    def note_first(self, handover_s: float) -> None:
+    def record_first_event(self, handover_s: float) -> None:
         """Do nothing: no queue measures it."""
 
     def end(self, *, step_s: float = 0, refused: str = '') -> None:
--- a/packages/verbenahall/src/verbenahall/gateway/_prefill_queues.py
+++ b/packages/verbenahall/src/verbenahall/gateway/_prefill_queues.py
@@ -83,7 +83,7 @@
             queue.remove(pending)
             self._futures.pop(pending)
 
-    def note_first(
+    def record_first_event(
         self, call: Call, pending: QueuedRequest, sent_at: float
     ) -> None:
         """Record the time to the first event of an admitted request.
@@ -92,7 +92,7 @@
         """
         now = self._core.now()
         queue = self._queues[call.service.name]
-        queue.note_first(pending, now - sent_at, now)
+        queue.record_first_event(pending, now - sent_at, now)
 
     def admit_waiting(self, service: Service) -> None:
         """Admit waiting requests that an engine has room for."""
--- a/packages/verbenahall/src/verbenahall/gateway/_relay.py
+++ b/packages/verbenahall/src/verbenahall/gateway/_relay.py
@@ -45,13 +45,13 @@
     async def pump(
         self,
         response: ClientResponse,
-        note_first: Callable[[], None],
+        record_first_event: Callable[[], None],
         *,
         resumable: bool,
     ) -> StreamTiming:
         """Relay an engine's stream to its end; return its timing.
 
-        ``note_first`` is called at the engine's first new event. Raises
+        ``record_first_event`` is called at the engine's first new event. Raises
         ``TimeoutError`` when the stream stalls, ``ClientPayloadError`` when it
         ends inside an event, and other errors when the connection breaks.
         """
@@ -64,7 +64,7 @@
             step = feed(self.state, piece)
             if step.events:
                 if not timing.events:
-                    note_first()
+                    record_first_event()
                 self._record_timing(timing, step.events)
                 await self._write(response, step.data)
         if self.state.partial:
--- a/packages/verbenahall/src/verbenahall/gateway/_scheduled_grants.py
+++ b/packages/verbenahall/src/verbenahall/gateway/_scheduled_grants.py
@@ -62,11 +62,11 @@
         """Remove the local reservation: from now on the send itself counts."""
         self._core.placement.load_table.close(self._flight)
 
-    def note_prefill(self, seconds: float) -> None:
+    def record_prefill(self, seconds: float) -> None:
         """Report the end of the prefill, which took so many seconds."""
         self._send(Prefilled(self._channel.key, seconds))
 
-    def note_first(self, handover_s: float) -> None:
+    def record_first_event(self, handover_s: float) -> None:
         """Report the time to the first event."""
         took_s = self._core.now() - self._granted_at
         self._send(FirstEvent(self._channel.key, took_s, handover_s))
--- a/packages/verbenahall/src/verbenahall/gateway/_scheduler.py
+++ b/packages/verbenahall/src/verbenahall/gateway/_scheduler.py
@@ -25,13 +25,13 @@
     Reply,
     ScheduleRequest,
     SchedulerState,
+    assign_waiting,
     decode,
     encode,
-    expire,
-    list_group,
-    look,
-    note,
-    receive,
+    expire_assignments,
+    list_group_engines,
+    receive_request,
+    record_progress,
 )
 
 #: Interval at which queues are processed without an event, in seconds, so that
@@ -85,7 +85,7 @@
             await asyncio.sleep(_EXPIRE_S)
             now = self._core.now()
             for state in self._states.values():
-                expire(state, now)
+                expire_assignments(state, now)
 
     def receive_request(self, request: ScheduleRequest, caller: str) -> None:
         """Schedule a request of the instance at an address."""
@@ -98,7 +98,9 @@
         now = self._core.now()
         fleet = self._describe_fleet(state, service, request.group)
         self._send_replies(
-            receive(state, request, caller, fleet, now, self._core.random),
+            receive_request(
+                state, request, caller, fleet, now, self._core.random
+            ),
             state,
         )
         self._schedule_run(scope)
@@ -131,7 +133,7 @@
         if service is None:
             return
         now = self._core.now()
-        note(state, progress, service, now)
+        record_progress(state, progress, service, now)
         if isinstance(progress, Released) and progress.refused:
             self._core.endpoint_health.record_refusal(progress.refused, now)
         self._schedule_run(scope)
@@ -166,7 +168,9 @@
         now = self._core.now()
         self._processed_at[scope] = now
         fleet = self._describe_fleet(state, service, scope[1])
-        self._send_replies(look(state, fleet, now, self._core.random), state)
+        self._send_replies(
+            assign_waiting(state, fleet, now, self._core.random), state
+        )
         self._schedule_run(scope, _QUEUE_INTERVAL_S)
 
     def _describe_fleet(
@@ -178,7 +182,7 @@
         usable = self._core.list_usable(service.name, self._core.now())
         return Fleet(
             state.placement,
-            list_group(group, usable),
+            list_group_engines(group, usable),
             service.engine,
             len(state.queue.waiting),
         )
--- a/packages/verbenahall/src/verbenahall/gateway/_streams.py
+++ b/packages/verbenahall/src/verbenahall/gateway/_streams.py
@@ -155,7 +155,7 @@
                     return Failure(_classify_prefill_failure(outcome))
                 case Success(handle):
                     self._kv_handle = handle
-            grant.note_prefill(self._core.now() - started)
+            grant.record_prefill(self._core.now() - started)
             plan = self._update_plan(grant)
         return await self._generate(plan, grant)
 
--- a/packages/verbenahall/src/verbenahall/placement/_queue.py
+++ b/packages/verbenahall/src/verbenahall/placement/_queue.py
@@ -143,7 +143,7 @@
         """
         return now + self.first_event_delay.estimate(now)
 
-    def note_first(
+    def record_first_event(
         self, pending: QueuedRequest, took_s: float, now: float
     ) -> None:
         """Record the time to the first event of an admitted request."""
--- a/packages/verbenahall/src/verbenahall/scheduling/__init__.py
+++ b/packages/verbenahall/src/verbenahall/scheduling/__init__.py
@@ -11,14 +11,14 @@
 """
 
 from verbenahall.scheduling._decisions import (
-    expire,
-    look,
-    note,
-    receive,
+    assign_waiting,
+    expire_assignments,
+    receive_request,
+    record_progress,
 )
 from verbenahall.scheduling._groups import (
-    is_near,
-    list_group,
+    is_local,
+    list_group_engines,
     needs_scheduler,
     rank_groups,
     rank_schedulers,
@@ -52,15 +52,15 @@
     'ScheduleRequest',
     'SchedulerHealth',
     'SchedulerState',
+    'assign_waiting',
     'decode',
     'encode',
-    'expire',
-    'is_near',
-    'list_group',
-    'look',
+    'expire_assignments',
+    'is_local',
+    'list_group_engines',
     'needs_scheduler',
-    'note',
     'rank_groups',
     'rank_schedulers',
-    'receive',
+    'receive_request',
+    'record_progress',
 )
--- a/packages/verbenahall/src/verbenahall/scheduling/_decisions.py
+++ b/packages/verbenahall/src/verbenahall/scheduling/_decisions.py
@@ -49,7 +49,7 @@
 Progress = Prefilled | FirstEvent | Released
 
 
-def receive(
+def receive_request(
     state: SchedulerState,
     request: ScheduleRequest,
     caller: str,
@@ -59,10 +59,10 @@
 ) -> Replies:
     """Add a request to the queue, or answer a copy of it as before.
 
-    A new request that is not rejected is answered by the next ``look``. That
-    one goes through the whole queue once for all requests that have arrived
-    together. An instance repeats its request while it waits, to check that the
-    scheduler still runs and to get an answer that was lost.
+    A new request that is not rejected is answered by the next
+    ``assign_waiting``, which goes through the whole queue once for all requests
+    that have arrived together. An instance repeats its request while it waits,
+    to check that the scheduler still runs and to get an answer that was lost.
     """
     assigned = state.assigned.get(request.key)
     if assigned is not None:
@@ -77,7 +77,7 @@
     return tuple(_apply(state, effects))
 
 
-def look(
+def assign_waiting(
     state: SchedulerState,
     fleet: Fleet,
     now: float,
@@ -93,7 +93,7 @@
     return (*_apply(state, effects), *_notify_waiting(state))
 
 
-def note(
+def record_progress(
     state: SchedulerState,
     progress: Progress,
     service: Service,
@@ -123,7 +123,7 @@
                 step.observe(step_s, now)
 
 
-def expire(state: SchedulerState, now: float) -> None:
+def expire_assignments(state: SchedulerState, now: float) -> None:
     """Release the assignments whose instances have not reported an end."""
     overdue = [
         assigned
@@ -239,7 +239,7 @@
     now: float,
 ) -> None:
     pending = assigned.waiting.pending
-    state.queue.note_first(pending, event.seconds, now)
+    state.queue.record_first_event(pending, event.seconds, now)
     if event.handover_s:
         state.placement.handover.observe(event.handover_s, now)
     state.placement.record_cached(
--- a/packages/verbenahall/src/verbenahall/scheduling/_groups.py
+++ b/packages/verbenahall/src/verbenahall/scheduling/_groups.py
@@ -21,7 +21,7 @@
 #: Up to this number of peers, a load report reaches all of them within a fifth
 #: of a second. Then an instance chooses as well by itself as a scheduler
 #: would, without the round trip to it.
-_FEW_PEERS: Final = 10
+_MAX_DIRECT_PEERS: Final = 10
 #: Approximate maximum of engines scheduled by one instance. With more engines,
 #: choosing among them would take a noticeable part of its processor time.
 _MAX_GROUP_ENGINES: Final = 32
@@ -41,10 +41,10 @@
 
 def needs_scheduler(peer_table: PeerTable) -> bool:
     """Whether the fleet is too large for instances to choose by themselves."""
-    return len(peer_table.peers) > _FEW_PEERS
+    return len(peer_table.peers) > _MAX_DIRECT_PEERS
 
 
-def is_near(group: str, peer_table: PeerTable) -> bool:
+def is_local(group: str, peer_table: PeerTable) -> bool:
     """Whether heartbeats of the schedulers of a group are received here."""
     return _get_group_data_centre(group) in {
         peer_table.data_centre,
@@ -77,7 +77,7 @@
     return list(dict.fromkeys(selected))
 
 
-def list_group(group: str, engines: Sequence[Entry]) -> Sequence[Entry]:
+def list_group_engines(group: str, engines: Sequence[Entry]) -> Sequence[Entry]:
     """Return the engines of a group."""
     names = _name_groups(engines)
     return [one for one in engines if names[one.name] == group]
@@ -98,7 +98,7 @@
     instances there are assumed to run unless they are in ``avoided``.
     """
     data_centre = _get_group_data_centre(group)
-    if is_near(group, peer_table):
+    if is_local(group, peer_table):
         instance_names: Iterable[str] = [
             peer_table.name,
             *list_live_peers(peer_table, now, _HEARTBEAT_TIMEOUT_S),
--- a/packages/verbenahall/src/verbenahall/scheduling/_health.py
+++ b/packages/verbenahall/src/verbenahall/scheduling/_health.py
@@ -23,11 +23,11 @@
         self._max_backoff_s = max_backoff_s
         self._backoffs: dict[str, tuple[float, float]] = {}
 
-    def note_answer(self, name: str) -> None:
+    def record_answer(self, name: str) -> None:
         """Record an answer, which ends the backoff."""
         self._backoffs.pop(name, None)
 
-    def note_silence(self, name: str, now: float) -> None:
+    def record_timeout(self, name: str, now: float) -> None:
         """Record that an answer has timed out."""
         backoff_s, until = self._backoffs.get(name, (0, now))
         if now < until:
@@ -36,7 +36,7 @@
         backoff_s = min(max(_MIN_BACKOFF_S, 2 * backoff_s), self._max_backoff_s)
         self._backoffs[name] = (backoff_s, now + backoff_s)
 
-    def list_silent(self, now: float) -> frozenset[str]:
+    def list_unresponsive(self, now: float) -> frozenset[str]:
         """Return the names that are not to be used now."""
         return frozenset(
             name for name, (_, until) in self._backoffs.items() if now < until
--- a/packages/verbenahall/tests/gateway/test_scheduling.py
+++ b/packages/verbenahall/tests/gateway/test_scheduling.py
@@ -21,7 +21,7 @@
 @pytest.fixture(autouse=True)
 def _large_fleet(monkeypatch):
     """Have three instances count as a large fleet."""
-    monkeypatch.setattr(groups, '_FEW_PEERS', 0)
+    monkeypatch.setattr(groups, '_MAX_DIRECT_PEERS', 0)
 
 
 @contextlib.asynccontextmanager
--- a/packages/verbenahall/tests/placement/test_dispatch.py
+++ b/packages/verbenahall/tests/placement/test_dispatch.py
@@ -134,10 +134,10 @@
     enqueue(queue, pending, fleet, 0, RNG)
     assert not pending.is_late(queue.predict_start(0))
     for _ in range(40):
-        queue.note_first(pending, pending.expected_first_s + 0.3, 0)
+        queue.record_first_event(pending, pending.expected_first_s + 0.3, 0)
     assert pending.is_late(queue.predict_start(0))
     for _ in range(80):
-        queue.note_first(pending, pending.expected_first_s, 0)
+        queue.record_first_event(pending, pending.expected_first_s, 0)
     assert not pending.is_late(queue.predict_start(0))
 
 
@@ -253,7 +253,7 @@
     pending = make_queued()
     fill_queue(fleet, queue, pending)
     for _ in range(60):
-        queue.note_first(pending, pending.expected_first_s + 0.5, 1.2)
+        queue.record_first_event(pending, pending.expected_first_s + 0.5, 1.2)
     assert not dispatch(queue, fleet, 1.2, RNG).refused
     assert dispatch(queue, fleet, 1.6, RNG).refused
 
@@ -266,7 +266,7 @@
     queue = PrefillQueue()
     fleet = make_fleet(queue)
     for _ in range(200):
-        queue.note_first(make_queued(), 5, 0)
+        queue.record_first_event(make_queued(), 5, 0)
     pending = make_queued(queued_at=0.1)
     assert not enqueue(queue, pending, fleet, 0.1, RNG).refused
     admitted = dispatch(queue, fleet, 0.1, RNG).admitted
@@ -275,6 +275,6 @@
 
 def test_delay_estimate_decays():
     queue = PrefillQueue()
-    queue.note_first(make_queued(), 5, 0)
+    queue.record_first_event(make_queued(), 5, 0)
     estimated_s = queue.first_event_delay.estimate(0)
     assert queue.first_event_delay.estimate(10) < estimated_s / 20
--- a/packages/verbenahall/tests/scheduling/test_groups.py
+++ b/packages/verbenahall/tests/scheduling/test_groups.py
@@ -9,7 +9,7 @@
 from verbenahall.roster import Entry
 from verbenahall.scheduling import (
     SchedulerHealth,
-    list_group,
+    list_group_engines,
     rank_groups,
     rank_schedulers,
 )
@@ -42,7 +42,9 @@
 def test_small_data_centre_is_one_group():
     engines = make_engines()
 
-    sizes = {len(list_group(f'{one}/0', engines)) for one in DATA_CENTRES}
+    sizes = {
+        len(list_group_engines(f'{one}/0', engines)) for one in DATA_CENTRES
+    }
 
     assert sizes == {9}
 
@@ -55,14 +57,14 @@
     engines = make_engines(prefill=1, decode=1)
 
     assert rank_groups(make_work(), engines) == ['/0']
-    assert len(list_group('/0', engines)) == 6
+    assert len(list_group_engines('/0', engines)) == 6
     assert len(rank_schedulers('/0', peer_table, 0)) == 8
 
 
 def test_large_data_centre_is_split():
     """A scheduler that chooses among 240 engines would be too slow."""
     engines = make_engines(('ain',), 160, 80)
-    sizes = [len(list_group(f'ain/{one}', engines)) for one in range(8)]
+    sizes = [len(list_group_engines(f'ain/{one}', engines)) for one in range(8)]
 
     assert sum(sizes) == 240
     assert max(sizes) < 60
@@ -175,42 +177,42 @@
     """
     health = SchedulerHealth()
     first, second, *_ = rank_schedulers('fes/0', peer_table, 0)
-    health.note_silence(first, 0)
+    health.record_timeout(first, 0)
 
-    unresponsive = health.list_silent(1)
+    unresponsive = health.list_unresponsive(1)
     assert rank_schedulers('fes/0', peer_table, 1, unresponsive)[0] == second
-    assert not health.list_silent(2)
+    assert not health.list_unresponsive(2)
 
-    health.note_silence(first, 2)
-    assert health.list_silent(5)
-    assert not health.list_silent(6)
+    health.record_timeout(first, 2)
+    assert health.list_unresponsive(5)
+    assert not health.list_unresponsive(6)
 
 
 def test_concurrent_timeouts_count_once():
     """Ten requests were waiting when the scheduler died."""
     health = SchedulerHealth()
     for _ in range(10):
-        health.note_silence('front-1', 0)
+        health.record_timeout('front-1', 0)
 
-    assert not health.list_silent(2)
+    assert not health.list_unresponsive(2)
 
 
 def test_backoff_of_a_group_is_bounded():
     """A data centre is cut off for some seconds; then its engines are back."""
     health = SchedulerHealth(4.0)
     for time_s in (0, 10, 20, 30):
-        health.note_silence('ain/0', time_s)
+        health.record_timeout('ain/0', time_s)
 
-    assert health.list_silent(33)
-    assert not health.list_silent(34)
+    assert health.list_unresponsive(33)
+    assert not health.list_unresponsive(34)
 
 
 def test_answer_resets_the_backoff():
     """The scheduler was frozen for a while."""
     health = SchedulerHealth()
-    health.note_silence('front-1', 0)
-    health.note_answer('front-1')
+    health.record_timeout('front-1', 0)
+    health.record_answer('front-1')
 
-    assert not health.list_silent(0.5)
-    health.note_silence('front-1', 10)
-    assert not health.list_silent(12)
+    assert not health.list_unresponsive(0.5)
+    health.record_timeout('front-1', 10)
+    assert not health.list_unresponsive(12)
--- a/packages/verbenahall/tests/scheduling/test_scheduler.py
+++ b/packages/verbenahall/tests/scheduling/test_scheduler.py
@@ -53,8 +53,10 @@
 def submit(state, request, now=0.0, caller='10.0.0.1:7380'):
     """Send a request to the scheduler; return its replies."""
     fleet = make_fleet(state)
-    replies = scheduling.receive(state, request, caller, fleet, now, RNG)
-    return [*replies, *scheduling.look(state, fleet, now, RNG)]
+    replies = scheduling.receive_request(
+        state, request, caller, fleet, now, RNG
+    )
+    return [*replies, *scheduling.assign_waiting(state, fleet, now, RNG)]
 
 
 def list_types(replies):
@@ -63,9 +65,11 @@
 
 def finish(state, key, service, now):
     """End an assignment; return the replies to the requests that wait."""
-    scheduling.note(state, scheduling.Prefilled(key, 0.05), service, now)
-    scheduling.note(state, scheduling.Released(key), service, now)
-    return scheduling.look(state, make_fleet(state), now, RNG)
+    scheduling.record_progress(
+        state, scheduling.Prefilled(key, 0.05), service, now
+    )
+    scheduling.record_progress(state, scheduling.Released(key), service, now)
+    return scheduling.assign_waiting(state, make_fleet(state), now, RNG)
 
 
 def test_first_request_is_assigned_at_once(state):
@@ -161,7 +165,7 @@
         submit(state, make_request(f'r{number}', due_s=9))
         number += 1
     key = state.queue.waiting[0].request
-    scheduling.note(state, scheduling.Released(key), service, 0.1)
+    scheduling.record_progress(state, scheduling.Released(key), service, 0.1)
 
     assert not state.queue.waiting
     assert not state.waiting
@@ -173,10 +177,10 @@
     If they counted for ever, the engines would stay idle.
     """
     submit(state, make_request('a'))
-    scheduling.expire(state, 2)
+    scheduling.expire_assignments(state, 2)
     assert state.assigned
 
-    scheduling.expire(state, 3.1)
+    scheduling.expire_assignments(state, 3.1)
     assert not state.assigned
     assert not state.placement.load_table.local_loads()
 
@@ -185,7 +189,7 @@
     """The message about the prefill itself was lost."""
     submit(state, make_request('a'))
     event = scheduling.FirstEvent('a', 0.1, 0.01)
-    scheduling.note(state, event, service, 0.1)
+    scheduling.record_progress(state, event, service, 0.1)
 
     assert not state.placement.load_table.local_totals('p0').prefill_tokens
     assert state.placement.load_table.local_totals('d0').streams == 1
@@ -195,8 +199,10 @@
     """Datagrams can arrive out of order."""
     submit(state, make_request('a'))
     finish(state, 'a', service, 0.1)
-    scheduling.note(state, scheduling.Prefilled('a', 0.1), service, 0.2)
-    scheduling.note(state, scheduling.Released('a'), service, 0.2)
+    scheduling.record_progress(
+        state, scheduling.Prefilled('a', 0.1), service, 0.2
+    )
+    scheduling.record_progress(state, scheduling.Released('a'), service, 0.2)
 
     assert not state.placement.load_table.local_loads()
 
@@ -263,12 +269,12 @@
     """
     fleet = make_fleet(state)
     answered = [
-        scheduling.receive(
+        scheduling.receive_request(
             state, make_request(f'r{number}', due_s=9), 'x', fleet, 0, RNG
         )
         for number in range(30)
     ]
-    replies_sent = scheduling.look(state, fleet, 0, RNG)
+    replies_sent = scheduling.assign_waiting(state, fleet, 0, RNG)
 
     assert not any(answered)
     assert len(replies_sent) == 30
@@ -276,4 +282,4 @@
         scheduling.Assignment,
         scheduling.Queued,
     }
-    assert not scheduling.look(state, fleet, 0.01, RNG)
+    assert not scheduling.assign_waiting(state, fleet, 0.01, RNG)
