--- a/packages/verbenahall/src/verbenahall/gateway/_admission.py
+++ b/packages/verbenahall/src/verbenahall/gateway/_admission.py
@@ -17,7 +17,7 @@
 from verbenahall.errors import ErrorKind, Problem
 from verbenahall.gateway._core import Core
 from verbenahall.gateway._messages import Call
-from verbenahall.platform import Ask
+from verbenahall.platform import RequestHead
 
 #: Retry-After before the first manifest was read, in seconds.
 _NOT_READY_S: Final = 0.5
@@ -46,20 +46,20 @@
     async def admit(
         self,
         request: web.Request,
-        ask: Ask,
+        head: RequestHead,
     ) -> Result[Admission, Problem]:
         """Return the route and the workspace, or why the request is refused."""
-        found = _find_admission(self._core, request, ask)
-        if _may_be_stale(self._core, ask, found):
+        found = _find_admission(self._core, request, head)
+        if _may_be_stale(self._core, head, found):
             if await self._key_refresher.refresh():
-                found = _find_admission(self._core, request, ask)
+                found = _find_admission(self._core, request, head)
         return found
 
 
 def _find_admission(
     core: Core,
     request: web.Request,
-    ask: Ask,
+    head: RequestHead,
 ) -> Result[Admission, Problem]:
     """Find the route of a request and the workspace of its API key."""
     catalog = core.catalog.catalog
@@ -74,7 +74,9 @@
     path, _, _ = request.raw_path.partition('?')
     match find_route(catalog, read_host(request), path):
         case Some(route):
-            workspace = authenticate(catalog.keys, ask.key, public=route.public)
+            workspace = authenticate(
+                catalog.keys, head.key, public=route.public
+            )
             return workspace.map(lambda found: Admission(catalog, route, found))
         case _:
             return Failure(
@@ -84,14 +86,14 @@
 
 def _may_be_stale(
     core: Core,
-    ask: Ask,
+    head: RequestHead,
     found: Result[Admission, Problem],
 ) -> bool:
     """Whether a newer manifest may hold the key that was refused."""
-    if isinstance(found, Success) or not ask.key:
+    if isinstance(found, Success) or not head.key:
         return False
     refused = found.failure().kind is ErrorKind.UNAUTHORIZED
-    return refused and not is_retired(core.catalog.keys, ask.key)
+    return refused and not is_retired(core.catalog.keys, head.key)
 
 
 def find_workspace(
@@ -106,7 +108,7 @@
     catalog = core.catalog.catalog
     if catalog is None or catalog.version == call.version:
         return Success(call.workspace)
-    return authenticate(catalog.keys, call.ask.key, public=call.route.public)
+    return authenticate(catalog.keys, call.head.key, public=call.route.public)
 
 
 def read_host(request: web.Request) -> str:
--- a/packages/verbenahall/src/verbenahall/gateway/_attempts.py
+++ b/packages/verbenahall/src/verbenahall/gateway/_attempts.py
@@ -25,17 +25,17 @@
 class Attempts:
     """Counts the attempts at a call and decides on retries.
 
-    ``begun`` counts all attempts, ``runs`` those that may have run, and
+    ``started`` counts all attempts, ``runs`` those that may have run, and
     ``tried`` holds the names of the endpoints that failed one. The pause of a
     ``Retry`` is ignored: the next attempt goes to another endpoint, and
     callers disconnect after two seconds without an answer.
     """
 
-    __slots__ = ('begun', 'runs', 'tried', '_core', '_call', '_budget')
+    __slots__ = ('started', 'runs', 'tried', '_core', '_call', '_budget')
 
     def __init__(self, core: Core, call: Call) -> None:
         """Start without attempts."""
-        self.begun = 0
+        self.started = 0
         self.runs = 0
         self.tried: set[str] = set()
         self._core = core
@@ -107,24 +107,24 @@
             problem = Problem(ErrorKind.OUTCOME_UNKNOWN, problem.message)
         journal.write_decision(
             'given_up',
-            request=call.ask.identity,
+            request=call.head.identity,
             route=call.route.name,
             kind=problem.kind.value,
             ran=problem.answer.ran.value,
             reason=problem.message,
-            attempts=self.begun,
+            attempts=self.started,
             runs=self.runs,
             begun=delivered,
             took_s=journal.round_seconds(self._core.now() - call.received),
         )
-        return build_problem_response(problem, call.ask.identity)
+        return build_problem_response(problem, call.head.identity)
 
     def _make_retry_context(self, delivered: bool, resends: int) -> Facts:
         call = self._call
         return Facts(
             repeatable=call.route.repeatable,
             deadline=call.deadline,
-            attempts=self.begun,
+            attempts=self.started,
             delivered=delivered,
             resumable=call.route.resumable,
             unknown=self.runs > 0,
@@ -142,10 +142,10 @@
     ) -> None:
         journal.write_decision(
             'attempt_failed',
-            request=self._call.ask.identity,
+            request=self._call.head.identity,
             outcome=outcome,
             detail=detail,
-            attempts=self.begun,
+            attempts=self.started,
             runs=self.runs,
             next='repeat' if retrying else 'give_up',
             **log_fields,
--- a/packages/verbenahall/src/verbenahall/gateway/_dispatch.py
+++ b/packages/verbenahall/src/verbenahall/gateway/_dispatch.py
@@ -7,11 +7,11 @@
 
 from verbenahall import metrics
 from verbenahall.errors import Problem
-from verbenahall.gateway._assignments import Assignments
 from verbenahall.gateway._core import Core
 from verbenahall.gateway._grants import Grant, LocalGrant
 from verbenahall.gateway._messages import Call
 from verbenahall.gateway._prefill_queues import PrefillQueues
+from verbenahall.gateway._scheduler_client import SchedulerClient
 from verbenahall.placement import PlacementRequest
 
 
@@ -19,11 +19,11 @@
 class Dispatch:
     """Requests engines from a scheduler, or chooses them without one."""
 
-    __slots__ = ('_assignments', '_core', '_queues')
+    __slots__ = ('_core', '_queues', '_scheduler_client')
 
-    def __init__(self, core: Core, assignments: Assignments) -> None:
-        """Request engines through ``assignments``; local queues are empty."""
-        self._assignments = assignments
+    def __init__(self, core: Core, scheduler_client: SchedulerClient) -> None:
+        """Start with empty local queues."""
+        self._scheduler_client = scheduler_client
         self._core = core
         self._queues = PrefillQueues(core)
 
@@ -37,7 +37,9 @@
 
         Engines in ``tried`` have failed an attempt at the call before.
         """
-        scheduled = await self._assignments.ask(call, placement_request, tried)
+        scheduled = await self._scheduler_client.request_assignment(
+            call, placement_request, tried
+        )
         if isinstance(scheduled, Some):
             grant_result = scheduled.unwrap()
             if isinstance(grant_result, Failure):
--- a/packages/verbenahall/src/verbenahall/gateway/_engine_calls.py
+++ b/packages/verbenahall/src/verbenahall/gateway/_engine_calls.py
@@ -39,7 +39,7 @@
         """Call through ``session``."""
         self._session = session
 
-    async def read_report(self, engine: Entry) -> Maybe[EngineReport]:
+    async def fetch_report(self, engine: Entry) -> Maybe[EngineReport]:
         """Fetch an engine's report; Nothing if the call failed."""
         answer = self._call('GET', engine, REPORT)
         try:
@@ -49,7 +49,7 @@
             _log_failure('report_failed', engine, error)
         return Nothing
 
-    async def order(self, engine: Entry, order: RoleOrder) -> int | None:
+    async def send_order(self, engine: Entry, order: RoleOrder) -> int | None:
         """Send a role order; return the HTTP status.
 
         None if the call failed, so that the engine may have the order or not.
@@ -68,7 +68,7 @@
             _log_failure('order_unanswered', engine, error)
         return None
 
-    async def free(self, engine: Entry, handle: str) -> None:
+    async def free_handle(self, engine: Entry, handle: str) -> None:
         """Free KV cache that will not be fetched."""
         answer = self._call('DELETE', engine, handle_path(handle))
         try:
--- a/packages/verbenahall/src/verbenahall/gateway/_generation.py
+++ b/packages/verbenahall/src/verbenahall/gateway/_generation.py
@@ -9,7 +9,7 @@
 from verbenahall.gateway._core import Core
 from verbenahall.gateway._grants import Grant
 from verbenahall.gateway._messages import Answered, Call, StreamEnded
-from verbenahall.gateway._reads import CacheHandle
+from verbenahall.gateway._prefill_calls import CacheHandle
 from verbenahall.gateway._relay import EventRelay
 from verbenahall.gateway._sender import SUCCESS_STATUSES, Opened, Sender
 from verbenahall.placement import InFlight, Plan, Totals
@@ -75,7 +75,7 @@
             plan.decode_engine.name,
             Totals(
                 prefill_tokens=0 if handle else plan.missing,
-                held_tokens=self._call.ask.work.context_tokens,
+                held_tokens=self._call.head.work.context_tokens,
                 streams=1,
             ),
         )
@@ -188,14 +188,16 @@
         self._sender.record_outcome(plan.decode_engine, good=True)
         self._core.observer.record_answered(call.fingerprint)
         placement = self._core.placement
-        placement.record_cached(plan.decode_engine, call.ask.work, call.service)
+        placement.record_cached(
+            plan.decode_engine, call.head.work, call.service
+        )
         if ended.step_s:
             placement.find_step_time(plan.decode_engine.name).observe(
                 ended.step_s, now
             )
         journal.write_decision(
             'generated',
-            request=call.ask.identity,
+            request=call.head.identity,
             engine=plan.decode_engine.name,
             events=timing.events,
             first_s=journal.round_seconds(
--- a/packages/verbenahall/src/verbenahall/gateway/_ingress.py
+++ b/packages/verbenahall/src/verbenahall/gateway/_ingress.py
@@ -19,10 +19,10 @@
 from verbenahall.gateway._dispatch import Dispatch
 from verbenahall.gateway._limits import read_limited_body
 from verbenahall.gateway._messages import Call
-from verbenahall.gateway._plain import PlainFlow
+from verbenahall.gateway._plain_flow import PlainFlow
 from verbenahall.gateway._sender import Sender
-from verbenahall.gateway._streams import StreamFlow
-from verbenahall.platform import OPERATOR_TOPIC, Ask, read_ask
+from verbenahall.gateway._stream_flow import StreamFlow
+from verbenahall.platform import OPERATOR_TOPIC, RequestHead, read_request_head
 from verbenahall.quarantine import find_quarantine_s, make_fingerprint
 from verbenahall.requests import describe_quarantine
 from verbenahall.shutdown import GracefulStop
@@ -55,11 +55,11 @@
     async def handle(self, request: web.Request) -> web.StreamResponse:
         """Handle one request."""
         received = self._core.now()
-        ask = read_ask(request.headers)
-        match await self._accept(request, ask, received):
+        head = read_request_head(request.headers)
+        match await self._accept(request, head, received):
             case Failure(problem):
-                self._log_refused(request, ask, problem)
-                return build_problem_response(problem, ask.identity)
+                self._log_refused(request, head, problem)
+                return build_problem_response(problem, head.identity)
             case Success(call):
                 return await self._run(request, call)
         raise AssertionError('a result is a success or a failure')
@@ -94,7 +94,7 @@
         metrics.BELIEF_AGE_SECONDS.observe(belief_s)
         journal.write_decision(
             'accepted',
-            request=call.ask.identity,
+            request=call.head.identity,
             fingerprint=call.fingerprint,
             route=call.route.name,
             workspace=call.workspace.name if call.workspace else None,
@@ -104,14 +104,14 @@
             left_s=journal.round_seconds(call.left_s(call.received)),
             waited_s=journal.round_seconds(call.waited_s),
             objective_s=call.route.objective_s,
-            prompt=call.ask.work.prompt_tokens,
-            output=call.ask.work.output_tokens,
+            prompt=call.head.work.prompt_tokens,
+            output=call.head.work.output_tokens,
         )
 
     def _log_answered(self, call: Call, outcome: str) -> None:
         journal.write_decision(
             'answered',
-            request=call.ask.identity,
+            request=call.head.identity,
             outcome=outcome,
             took_s=journal.round_seconds(self._core.now() - call.received),
         )
@@ -120,7 +120,7 @@
     async def _accept(
         self,
         request: web.Request,
-        ask: Ask,
+        head: RequestHead,
         received: float,
     ) -> Result[Call, Problem]:
         if self._stop.finishing:
@@ -135,17 +135,17 @@
                 ),
             )
         await self._core.freshness[OPERATOR_TOPIC].wait_usable()
-        found = await self._admitter.admit(request, ask)
+        found = await self._admitter.admit(request, head)
         match found:
             case Success(admission):
-                return await self._read(request, ask, received, admission)
+                return await self._read(request, head, received, admission)
             case _:
                 return found
 
     async def _read(
         self,
         request: web.Request,
-        ask: Ask,
+        head: RequestHead,
         received: float,
         admission: Admission,
     ) -> Result[Call, Problem]:
@@ -160,12 +160,12 @@
             return Failure(Problem(ErrorKind.NO_ENDPOINT, message, Ran.NO))
         wait_s = route.timeout_s
         waited_s: float = 0
-        if ask.wait_s is not None:
-            waited_s = self._core.estimate_earlier_wait(route.name, ask.wait_s)
-            wait_s = min(wait_s, ask.wait_s)
+        if head.wait_s is not None:
+            waited_s = self._core.estimate_earlier_wait(route.name, head.wait_s)
+            wait_s = min(wait_s, head.wait_s)
         return self._check_quarantine(
             Call(
-                ask=ask,
+                head=head,
                 route=route,
                 service=service,
                 version=catalog.version,
@@ -200,12 +200,12 @@
     def _log_refused(
         self,
         request: web.Request,
-        ask: Ask,
+        head: RequestHead,
         problem: Problem,
     ) -> None:
         journal.write_decision(
             'refused',
-            request=ask.identity,
+            request=head.identity,
             host=request.headers.get('Host', ''),
             path=request.raw_path,
             kind=problem.kind.value,
--- a/packages/verbenahall/src/verbenahall/gateway/_messages.py
+++ b/packages/verbenahall/src/verbenahall/gateway/_messages.py
@@ -6,7 +6,7 @@
 
 from verbenahall.authentication import Workspace
 from verbenahall.catalog import Route, Service
-from verbenahall.platform import Ask
+from verbenahall.platform import RequestHead
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -21,7 +21,7 @@
     request's API key in that version, None if none holds it.
     """
 
-    ask: Ask
+    head: RequestHead
     route: Route
     service: Service
     version: int
@@ -42,12 +42,12 @@
         return self.route.priority if own is None else own
 
     @property
-    def due(self) -> float:
-        """When the first event is due, in monotonic seconds."""
+    def due_at(self) -> float:
+        """When the first event is past its objective, in monotonic seconds."""
         return self.received - self.waited_s + self.route.objective_s
 
     @property
-    def leaves(self) -> float:
+    def leaves_at(self) -> float:
         """When the caller leaves if no event came, in monotonic seconds."""
         return min(self.deadline, self.received + self.route.abandon_after_s)
 
--- a/packages/verbenahall/src/verbenahall/gateway/_orders.py
+++ b/packages/verbenahall/src/verbenahall/gateway/_orders.py
@@ -245,7 +245,7 @@
 
     async def _order(self, change: RoleChange, token: int) -> None:
         engine = change.engine
-        report = (await self._core.engines.read_report(engine)).value_or(None)
+        report = (await self._core.engines.fetch_report(engine)).value_or(None)
         if report is None or report.changing or report.role is change.role:
             return
         if self._lease.token() != token:
@@ -253,7 +253,7 @@
         order = RoleOrder(change.role, self._lease.holder, token, report.orders)
         now = self._core.now()
         self._pending[engine.name, engine.born] = _SentOrder(change.role, now)
-        status = await self._core.engines.order(engine, order)
+        status = await self._core.engines.send_order(engine, order)
         journal.write_decision(
             'role_order',
             endpoint=engine.name,
--- a/packages/verbenahall/src/verbenahall/gateway/_plain.py
+++ b/packages/verbenahall/src/verbenahall/gateway/_plain_flow.py
@@ -59,7 +59,7 @@
         try:
             return await self._run()
         finally:
-            metrics.ATTEMPTS.add(str(self._attempts.begun))
+            metrics.ATTEMPTS.add(str(self._attempts.started))
 
     async def _run(self) -> web.StreamResponse:
         final_answer: web.StreamResponse | None = None
@@ -88,7 +88,7 @@
     ) -> Result[Answered, Outcome]:
         """Send once; with ``others``, leave time for another endpoint."""
         call = self._call
-        self._attempts.begun += 1
+        self._attempts.started += 1
         now = self._core.now()
         until = call.deadline
         may_repeat = call.route.repeatable and self._attempts.may_run_again
--- a/packages/verbenahall/src/verbenahall/gateway/_reads.py
+++ b/packages/verbenahall/src/verbenahall/gateway/_prefill_calls.py
@@ -90,14 +90,14 @@
             lambda prompt: CacheHandle(prefill_engine, prompt.handle)
         )
 
-    def free(self, handle: CacheHandle) -> None:
+    def free_handle(self, handle: CacheHandle) -> None:
         """Free a handle in the background.
 
         An unused handle would occupy the engine's memory for seconds, and the
         engine would refuse other requests for lack of memory.
         """
         calls = self._core.engines
-        self._core.spawn(calls.free(handle.engine, handle.name))
+        self._core.spawn(calls.free_handle(handle.engine, handle.name))
 
     def _record_prefill(
         self,
@@ -107,14 +107,14 @@
         tokens_ahead: int,
         seconds: float,
     ) -> None:
-        cached_tokens = call.ask.work.prompt_tokens - plan.missing
+        cached_tokens = call.head.work.prompt_tokens - plan.missing
         if not tokens_ahead:
             self._core.placement.record_prefill_time(
                 plan.missing, cached_tokens, seconds
             )
         journal.write_decision(
             'read',
-            request=call.ask.identity,
+            request=call.head.identity,
             engine=prefill_engine.name,
             missing=plan.missing,
             kept=cached_tokens,
@@ -125,7 +125,7 @@
         metrics.READ_TOKENS.add('missing', count=plan.missing)
         metrics.READ_TOKENS.add('kept', count=cached_tokens)
         self._core.placement.record_cached(
-            prefill_engine, call.ask.work, call.service
+            prefill_engine, call.head.work, call.service
         )
 
 
--- a/packages/verbenahall/src/verbenahall/gateway/_prefill_queues.py
+++ b/packages/verbenahall/src/verbenahall/gateway/_prefill_queues.py
@@ -54,13 +54,13 @@
         """
         now = self._core.now()
         pending = QueuedRequest(
-            call.ask.identity,
+            call.head.identity,
             placement_request,
             call.priority,
             queued_at=now,
-            due_at=call.due,
+            due_at=call.due_at,
             objective_s=call.route.objective_s,
-            leaves_at=call.leaves,
+            leaves_at=call.leaves_at,
             returning=call.waited_s > 0,
             tried=tried,
         )
@@ -169,7 +169,7 @@
         now = self._core.now()
         journal.write_decision(
             'queued',
-            request=call.ask.identity,
+            request=call.head.identity,
             waiting=len(queue.waiting),
             late=pending.is_late(now),
             returning=pending.returning,
--- a/packages/verbenahall/src/verbenahall/gateway/_relay.py
+++ b/packages/verbenahall/src/verbenahall/gateway/_relay.py
@@ -31,7 +31,7 @@
 
     def __init__(self, request: web.Request, call: Call, now: Clock) -> None:
         """Store the arguments; nothing is sent yet."""
-        self.state = EventState(call.ask.last_event)
+        self.state = EventState(call.head.last_event)
         self._request = request
         self._call = call
         self._clock = now
--- a/packages/verbenahall/src/verbenahall/gateway/_scheduler.py
+++ b/packages/verbenahall/src/verbenahall/gateway/_scheduler.py
@@ -9,8 +9,8 @@
 
 from verbenahall import journal
 from verbenahall.catalog import Service
-from verbenahall.gateway._assignments import Assignments
 from verbenahall.gateway._core import Core
+from verbenahall.gateway._scheduler_client import SchedulerClient
 from verbenahall.peers import PeerExchange
 from verbenahall.placement import Fleet
 from verbenahall.scheduling import (
@@ -238,19 +238,19 @@
 
 
 @final
-class Scheduling:
+class SchedulingTransport:
     """Carries messages between schedulers and their clients.
 
     Both the local scheduler and those of the peers are addressed by it.
     """
 
-    __slots__ = ('assignments', 'scheduler', '_exchange', '_local_address')
+    __slots__ = ('scheduler', 'scheduler_client', '_exchange', '_local_address')
 
     def __init__(self, core: Core, exchange: PeerExchange) -> None:
         """Send and receive datagrams by the exchange between peers."""
         self._local_address = core.settings.peer_address
         self._exchange = exchange
-        self.assignments = Assignments(core, self.send)
+        self.scheduler_client = SchedulerClient(core, self.send)
         self.scheduler = Scheduler(core, self.send)
         exchange.fallback_handler = self.receive_datagram
 
@@ -278,4 +278,4 @@
             case Prefilled() | FirstEvent() | Released():
                 self.scheduler.receive_progress(message)
             case Queued() | Assignment() | Rejection() | Declined():
-                self.assignments.receive(message, sender)
+                self.scheduler_client.receive(message, sender)
--- a/packages/verbenahall/src/verbenahall/gateway/_assignments.py
+++ b/packages/verbenahall/src/verbenahall/gateway/_scheduler_client.py
@@ -59,7 +59,7 @@
 
 
 @final
-class Assignments:
+class SchedulerClient:
     """Has requests placed by the schedulers of a large fleet.
 
     In a small fleet each instance places its requests by itself.
@@ -95,7 +95,7 @@
             # engines' slots would stay reserved until its deadline.
             self._send(scheduler, Released(message.key))
 
-    async def ask(
+    async def request_assignment(
         self,
         call: Call,
         placement_request: PlacementRequest,
@@ -208,7 +208,7 @@
         """Return a key that is unique in the fleet."""
         instance = self._core.settings.name
         number = str(next(self._numbers))
-        return '/'.join((call.ask.identity, instance, number))
+        return '/'.join((call.head.identity, instance, number))
 
     def _record_outcome(
         self,
@@ -224,7 +224,7 @@
         metrics.QUEUE_SECONDS.observe(waited_s)
         journal.write_decision(
             'scheduled',
-            request=group_request.call.ask.identity,
+            request=group_request.call.head.identity,
             scheduler=scheduler,
             group=group_request.group,
             outcome=type(answer).__name__ if answer else 'silent',
@@ -288,9 +288,9 @@
             work=self.placement_request.work,
             gap_s=self.placement_request.gap_s,
             priority=call.priority,
-            due_s=call.due - now,
+            due_s=call.due_at - now,
             objective_s=call.route.objective_s,
-            leaves_s=call.leaves - now,
+            leaves_s=call.leaves_at - now,
             deadline_s=call.left_s(now),
             returning=call.waited_s > 0,
             tried=tuple(self.tried),
--- a/packages/verbenahall/src/verbenahall/gateway/_sender.py
+++ b/packages/verbenahall/src/verbenahall/gateway/_sender.py
@@ -227,7 +227,7 @@
     def _log_lost_connection(self, call: Call, endpoint: Entry) -> None:
         journal.write_decision(
             'connection_lost',
-            request=call.ask.identity,
+            request=call.head.identity,
             fingerprint=call.fingerprint,
             endpoint=endpoint.name,
             born=endpoint.born,
@@ -242,7 +242,7 @@
     ) -> None:
         journal.write_decision(
             'not_sent',
-            request=call.ask.identity,
+            request=call.head.identity,
             fingerprint=call.fingerprint,
             endpoint=endpoint.name,
             reason=str(not_sent),
@@ -263,7 +263,7 @@
         metrics.LIST_AGE_SECONDS.observe(age_s)
         journal.write_decision(
             'sent',
-            request=call.ask.identity,
+            request=call.head.identity,
             endpoint=endpoint.name,
             prefill=options.prefill_only,
             age_s=journal.round_seconds(age_s),
--- a/packages/verbenahall/src/verbenahall/gateway/_serve.py
+++ b/packages/verbenahall/src/verbenahall/gateway/_serve.py
@@ -27,7 +27,7 @@
 from verbenahall.gateway._probes import EndpointProber
 from verbenahall.gateway._readiness import Readiness
 from verbenahall.gateway._refresh import Refresher
-from verbenahall.gateway._scheduler import Scheduling
+from verbenahall.gateway._scheduler import SchedulingTransport
 from verbenahall.gateway._scaling import make_scaler, scales_engines
 from verbenahall.gateway._usage import (
     make_usage_exchange,
@@ -76,7 +76,7 @@
         self.core = Core(settings)
         self.stop = GracefulStop(_make_stop_timing(settings))
         self.finder = PeerFinder(self.core)
-        self.scheduling = Scheduling(self.core, self.finder.exchange)
+        self.scheduling = SchedulingTransport(self.core, self.finder.exchange)
         self.scheduling.scheduler.stopping = self._is_stopping
         self.crash_log_replicator = CrashLogReplicator(
             self.core, self.finder.exchange
@@ -124,7 +124,7 @@
             self._followers[OPERATOR_TOPIC].refresh,
             self.core.now,
         )
-        dispatch = Dispatch(self.core, self.scheduling.assignments)
+        dispatch = Dispatch(self.core, self.scheduling.scheduler_client)
         admitter = RequestAdmitter(self.core, key_refresher)
         return Ingress(self.core, self.stop, dispatch, admitter)
 
--- a/packages/verbenahall/src/verbenahall/gateway/_streams.py
+++ b/packages/verbenahall/src/verbenahall/gateway/_stream_flow.py
@@ -15,7 +15,7 @@
 from verbenahall.gateway._generation import Generated, Generation
 from verbenahall.gateway._grants import Grant, UnqueuedGrant
 from verbenahall.gateway._messages import Answered, Call, StreamEnded
-from verbenahall.gateway._reads import CacheHandle, PrefillCalls
+from verbenahall.gateway._prefill_calls import CacheHandle, PrefillCalls
 from verbenahall.gateway._relay import EventRelay
 from verbenahall.gateway._sender import Sender
 from verbenahall.placement import PlacementRequest, Plan, place
@@ -76,7 +76,7 @@
             return await self._run(dispatch)
         finally:
             self._release()
-            metrics.ATTEMPTS.add(str(self._attempts.begun))
+            metrics.ATTEMPTS.add(str(self._attempts.started))
 
     async def _run(self, dispatch: Dispatch) -> web.StreamResponse:
         final_answer: web.StreamResponse | None = None
@@ -103,7 +103,7 @@
         if self._kv_handle or self._attempts.runs or self._relay.begun:
             return self._place().map(UnqueuedGrant)
         placement_request = PlacementRequest(
-            self._call.ask.work, self._call.route.gap_s
+            self._call.head.work, self._call.route.gap_s
         )
         tried = frozenset(self._attempts.tried)
         return await dispatch.admit(self._call, placement_request, tried)
@@ -132,7 +132,7 @@
         prefilled_by = self._kv_handle.engine if self._kv_handle else None
         return place(
             core.placement,
-            PlacementRequest(call.ask.work, call.route.gap_s, prefilled_by),
+            PlacementRequest(call.head.work, call.route.gap_s, prefilled_by),
             untried or usable,
             call.service.engine,
             now,
@@ -140,7 +140,7 @@
 
     async def _execute_plan(self, grant: Grant) -> Generated:
         """Prefill and decode by the plan; keep the handle if it is unused."""
-        self._attempts.begun += 1
+        self._attempts.started += 1
         grant.start()
         plan = grant.plan
         if plan.prefill_engine is not None and self._kv_handle is None:
@@ -228,7 +228,7 @@
     def _drop_handle(self) -> None:
         """Free the handle if there is an unused one."""
         if self._kv_handle is not None:
-            self._prefills.free(self._kv_handle)
+            self._prefills.free_handle(self._kv_handle)
             self._kv_handle = None
 
     def _handle_failure(
@@ -275,13 +275,13 @@
     def _log_placement(self, plan: Plan) -> None:
         journal.write_decision(
             'placed',
-            request=self._call.ask.identity,
+            request=self._call.head.identity,
             reader=plan.prefill_engine.name if plan.prefill_engine else None,
             generator=plan.decode_engine.name,
             missing=plan.missing,
             wait_s=journal.round_seconds(plan.wait_s),
             reason=plan.reason,
-            attempt=self._attempts.begun + 1,
+            attempt=self._attempts.started + 1,
         )
 
 
--- a/packages/verbenahall/src/verbenahall/platform/__init__.py
+++ b/packages/verbenahall/src/verbenahall/platform/__init__.py
@@ -28,11 +28,11 @@
 from verbenahall.platform._entries import decode_entry
 from verbenahall.platform._headers import (
     AnswerHead,
-    Ask,
+    RequestHead,
     SendOptions,
     build_send_headers,
     read_answer_head,
-    read_ask,
+    read_request_head,
     read_event_number,
     strip_hop_headers,
 )
@@ -84,7 +84,7 @@
     'AnswerHead',
     'AppendOutcome',
     'Appended',
-    'Ask',
+    'RequestHead',
     'StoreUnavailable',
     'Batch',
     'Bounds',
@@ -135,7 +135,7 @@
     'format_kv_source',
     'find_settings_path',
     'read_answer_head',
-    'read_ask',
+    'read_request_head',
     'read_event_number',
     'read_settings',
     'strip_hop_headers',
--- a/packages/verbenahall/src/verbenahall/platform/_headers.py
+++ b/packages/verbenahall/src/verbenahall/platform/_headers.py
@@ -36,7 +36,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Ask:
+class RequestHead:
     """The headers of a caller's request that the system uses.
 
     ``wait_s`` is how long the caller still waits, None if it is not stated.
@@ -84,9 +84,9 @@
     misdirected: bool = False
 
 
-def read_ask(headers: Mapping[str, str]) -> Ask:
+def read_request_head(headers: Mapping[str, str]) -> RequestHead:
     """Decode a caller's headers; invalid values count as absent."""
-    return Ask(
+    return RequestHead(
         identity=headers.get(names.REQUEST_ID, ''),
         wait_s=_parse_wait(headers.get(names.DEADLINE_MS, '')),
         work=_read_work(headers),
--- a/packages/verbenahall/tests/drains/fleet.py
+++ b/packages/verbenahall/tests/drains/fleet.py
@@ -19,7 +19,7 @@
 from verbenahall.gateway._core import Core
 from verbenahall.gateway._record_handlers import make_followers
 from verbenahall.gateway._messages import Call
-from verbenahall.gateway._plain import PlainFlow
+from verbenahall.gateway._plain_flow import PlainFlow
 from verbenahall.gateway._refresh import Refresher
 from verbenahall.gateway._sender import Sender
 from verbenahall.peers import PeerExchange, add_peer
@@ -27,7 +27,7 @@
 from verbenahall.platform import (
     ENDPOINTS_TOPIC,
     OPERATOR_TOPIC,
-    Ask,
+    RequestHead,
     read_settings,
 )
 
@@ -90,7 +90,7 @@
         """Send one request by a route; return its status."""
         now = self.core.now()
         call = Call(
-            ask=Ask('r-1', route.timeout_s, Work(), None),
+            head=RequestHead('r-1', route.timeout_s, Work(), None),
             route=route,
             service=Service(SERVICE),
             version=1,
--- a/packages/verbenahall/tests/drains/keyed_fleet.py
+++ b/packages/verbenahall/tests/drains/keyed_fleet.py
@@ -8,10 +8,10 @@
 from verbenahall.catalog import Service
 from verbenahall.gateway._admission import RequestAdmitter
 from verbenahall.gateway._messages import Call
-from verbenahall.gateway._plain import PlainFlow
+from verbenahall.gateway._plain_flow import PlainFlow
 from verbenahall.gateway._sender import Sender
 from verbenahall.placement import Work
-from verbenahall.platform import OPERATOR_TOPIC, Ask
+from verbenahall.platform import OPERATOR_TOPIC, RequestHead
 
 from .fleet import SERVICE, Fleet
 from .simulated_network import SimulatedResponse
@@ -120,19 +120,19 @@
         """Ask once with a key, as the listener does."""
         core = instance.core
         now = core.now()
-        ask = Ask('r-1', 3, Work(), None, digest_key(key))
+        head = RequestHead('r-1', 3, Work(), None, digest_key(key))
         path = f'/proof/{key}/{now}'
         request = SimpleNamespace(
             raw_path='/proof/',
             headers={'Host': 'desk.example'},
         )
-        found = await self._admitters[instance.name].admit(request, ask)
+        found = await self._admitters[instance.name].admit(request, head)
         admission = found.value_or(None)
         if admission is None:
             self._judge_refusal(instance, key, now)
             return
         call = Call(
-            ask=ask,
+            head=head,
             route=admission.route,
             service=Service(SERVICE),
             version=admission.catalog.version,
--- a/packages/verbenahall/tests/gateway/test_scheduling.py
+++ b/packages/verbenahall/tests/gateway/test_scheduling.py
@@ -7,7 +7,7 @@
 
 import pytest
 
-from verbenahall.gateway import _assignments as assignments
+from verbenahall.gateway import _scheduler_client as scheduler_client
 from verbenahall.peers import list_live_peers
 from verbenahall.scheduling import _groups as groups
 
@@ -85,7 +85,7 @@
     """Requests come through three instances at once."""
     # All instances share one event loop here, so a slow answer must not count
     # as a timeout.
-    monkeypatch.setattr(assignments, '_ANSWER_S', 2)
+    monkeypatch.setattr(scheduler_client, '_ANSWER_S', 2)
 
     async def check():
         async with open_desks(tmp_path) as desks:
@@ -166,7 +166,9 @@
             for desk in others:
                 kill_scheduling(desk)
             first.gateway.core.peer_table.data_centre = 'elsewhere'
-            monkeypatch.setattr(assignments, 'rank_schedulers', rank_others)
+            monkeypatch.setattr(
+                scheduler_client, 'rank_schedulers', rank_others
+            )
             status, _, _ = await first.ask(PATH, 'r-1')
             assert status == 200
             silent = [
--- a/packages/verbenahall/tests/platform/test_wire.py
+++ b/packages/verbenahall/tests/platform/test_wire.py
@@ -20,7 +20,7 @@
     decode_prefill_result,
     decode_report,
     read_answer_head,
-    read_ask,
+    read_request_head,
     read_settings,
     strip_hop_headers,
 )
@@ -231,7 +231,7 @@
 
 
 def test_ask():
-    head = read_ask(
+    head = read_request_head(
         {
             'X-Verbenahall-Request-Id': '9c41',
             'X-Verbenahall-Deadline-Ms': '5000',
@@ -249,7 +249,7 @@
 
 
 def test_headers_that_cannot_be_read_count_as_absent():
-    head = read_ask(
+    head = read_request_head(
         {
             'X-Verbenahall-Deadline-Ms': 'soon',
             'X-Verbenahall-Token-Count': ',',
