--- a/packages/verbenahall/tests/gateway/conftest.py
+++ b/packages/verbenahall/tests/gateway/conftest.py
@@ -22,7 +22,7 @@
 PREFIX = 'X-Verbenahall-'
 
 
-class Desk:
+class GatewayHarness:
     """A running gateway, its deployment, and a caller's session."""
 
     def __init__(self, site, gateway, session):
@@ -31,7 +31,7 @@
         self.session = session
         self.base = f'http://{gateway.core.settings.callers}'
 
-    async def ask(self, path, identity='r-1', *, method='POST', **options):
+    async def send(self, path, identity='r-1', *, method='POST', **options):
         """Send one request; return status, headers and the whole body."""
         headers = {
             'Host': HOST,
@@ -56,7 +56,7 @@
         async with self.session.get(url) as response:
             return response.status == 200
 
-    async def until(self, condition, within_s=3):
+    async def wait_until(self, condition, within_s=3):
         """Wait until a condition holds."""
         started = time.monotonic()
         while not condition():
@@ -65,27 +65,29 @@
             )
             await asyncio.sleep(0.01)
 
-    async def until_in_force(self):
+    async def wait_for_manifest(self):
         """Wait until the newest manifest is in force."""
         state = self.gateway.core.catalog
-        await self.until(lambda: state.catalog.version == self.site.version)
+        await self.wait_until(
+            lambda: state.catalog.version == self.site.version
+        )
 
-    async def until_quiet(self):
+    async def wait_for_polls(self):
         """Wait until new polls have replaced those that are under way.
 
         Faults of the store only affect polls that start after they are set.
         """
         calls = self.site.store.calls
         polls = calls.get('/-/log-read', 0)
-        await self.until(lambda: calls.get('/-/log-read', 0) >= polls + 4)
+        await self.wait_until(lambda: calls.get('/-/log-read', 0) >= polls + 4)
 
-    def decisions(self, event):
+    def log_lines(self, event):
         """Return the decision log lines of an event so far."""
         return [line for line in journal.recent if line['event'] == event]
 
 
 @contextlib.asynccontextmanager
-async def open_desk(
+async def run_gateway(
     folder,
     engines=(),
     plain=(),
@@ -115,10 +117,10 @@
         skip_auto_headers=('User-Agent', 'Accept', 'Accept-Encoding'),
         auto_decompress=False,
     ) as session:
-        desk = Desk(site, gateway, session)
-        await desk.until(lambda: gateway.core.ready)
+        harness = GatewayHarness(site, gateway, session)
+        await harness.wait_until(lambda: gateway.core.ready)
         try:
-            yield desk
+            yield harness
         finally:
             await gateway.close()
             for part in (duties, site if owns_site else None):
--- a/packages/verbenahall/tests/gateway/test_answers.py
+++ b/packages/verbenahall/tests/gateway/test_answers.py
@@ -5,7 +5,7 @@
 import pytest
 from verbenahall_standins.platform import RawEndpoint
 
-from .conftest import open_desk, run
+from .conftest import run, run_gateway
 
 
 def build_answer(identity, body=b'good', *, stamp=True, length=True):
@@ -18,14 +18,14 @@
     return b'\r\n'.join([*lines, b'', body])
 
 
-async def register_raw(desk, raw):
+async def register_raw(harness, raw):
     """Register a raw endpoint as the only one of the plain service."""
     await raw.start()
     raw.name = 'raw'
     raw.role = ''
-    desk.site.list_endpoint(raw)
-    roster = desk.gateway.core.roster
-    await desk.until(lambda: 'raw' in roster.listings)
+    harness.site.list_endpoint(raw)
+    roster = harness.gateway.core.roster
+    await harness.wait_until(lambda: 'raw' in roster.listings)
 
 
 async def request_raw(folder, *pieces):
@@ -34,20 +34,20 @@
     Return status and body.
     """
     raw = RawEndpoint(pieces)
-    async with open_desk(folder) as desk:
-        await register_raw(desk, raw)
-        status, _, body = await desk.ask('/proof/1', 'r-1')
+    async with run_gateway(folder) as harness:
+        await register_raw(harness, raw)
+        status, _, body = await harness.send('/proof/1', 'r-1')
     await raw.stop()
     return status, body
 
 
 async def check_two_requests(folder, raw):
     """Send two requests and expect the answers ``one`` and ``two``."""
-    async with open_desk(folder) as desk:
-        await register_raw(desk, raw)
-        assert (await desk.ask('/proof/1', 'r-1'))[2] == b'one'
+    async with run_gateway(folder) as harness:
+        await register_raw(harness, raw)
+        assert (await harness.send('/proof/1', 'r-1'))[2] == b'one'
         await asyncio.sleep(0.1)
-        status, _, body = await desk.ask('/proof/1', 'r-2')
+        status, _, body = await harness.send('/proof/1', 'r-2')
         assert (status, body) == (200, b'two')
         await raw.stop()
 
@@ -74,10 +74,10 @@
             (build_answer(b'r-1', b'one'),),
             (build_answer(b'r-1', b'one'), build_answer(b'r-2', b'two')),
         )
-        async with open_desk(tmp_path) as desk:
-            await register_raw(desk, raw)
-            await desk.ask('/proof/1', 'r-1')
-            status, _, body = await desk.ask('/proof/1', 'r-2')
+        async with run_gateway(tmp_path) as harness:
+            await register_raw(harness, raw)
+            await harness.send('/proof/1', 'r-1')
+            status, _, body = await harness.send('/proof/1', 'r-2')
             assert (status, body) == (200, b'two')
             assert raw.connections == 1
             await raw.stop()
@@ -137,10 +137,10 @@
     # although the endpoint may have run it already.
     async def check():
         raw = RawEndpoint((build_answer(b'r-1', b'one'),), (None,))
-        async with open_desk(tmp_path) as desk:
-            await register_raw(desk, raw)
-            await desk.ask('/proof/1', 'r-1', method='GET')
-            status, _, _ = await desk.ask('/proof/1', 'r-2', method='GET')
+        async with run_gateway(tmp_path) as harness:
+            await register_raw(harness, raw)
+            await harness.send('/proof/1', 'r-1', method='GET')
+            status, _, _ = await harness.send('/proof/1', 'r-2', method='GET')
             assert status in {502, 504}
             assert len(raw.requests) == 2
             await raw.stop()
--- a/packages/verbenahall/tests/gateway/test_duties.py
+++ b/packages/verbenahall/tests/gateway/test_duties.py
@@ -6,7 +6,7 @@
 
 from verbenahall_standins.platform import DutyStandIn, EnginePool, Site
 
-from .conftest import PREFIX, make_engines, make_plain, open_desk, run
+from .conftest import PREFIX, make_engines, make_plain, run, run_gateway
 
 WORKSPACES = (
     {'name': 'club', 'apiKeys': ['club-key']},
@@ -35,17 +35,17 @@
     """Run a gateway in front of a site that has duties."""
     await site.start()
     try:
-        async with open_desk(folder, site=site, duties=duties) as desk:
-            yield desk
+        async with run_gateway(folder, site=site, duties=duties) as harness:
+            yield harness
     finally:
         await site.stop()
 
 
-async def send_as_workspace(desk, number, path):
+async def send_as_workspace(harness, number, path):
     """Send a request with the key of one of the workspaces."""
     tenant = WORKSPACES[number % len(WORKSPACES)]
     headers = {f'{PREFIX}Key': tenant['apiKeys'][0]}
-    status, _, _ = await desk.ask(path, f'r-{number}', headers=headers)
+    status, _, _ = await harness.send(path, f'r-{number}', headers=headers)
     return tenant['name'], status
 
 
@@ -62,15 +62,15 @@
 
     async def check():
         site, duties = make_site(make_engines(), make_plain(1))
-        async with open_site(tmp_path, site, duties) as desk:
+        async with open_site(tmp_path, site, duties) as harness:
             sent = collections.Counter()
             for number in range(40):
                 path = ('/proof/1', '/summary/1')[number // 2 % 2]
-                name, status = await send_as_workspace(desk, number, path)
+                name, status = await send_as_workspace(harness, number, path)
                 assert status == 200
                 sent[name] += 1
                 await asyncio.sleep(0.02)
-            await desk.until(lambda: sum_reports(duties) == sent, 12)
+            await harness.wait_until(lambda: sum_reports(duties) == sent, 12)
             assert not duties.broken
 
     run(check())
@@ -81,13 +81,15 @@
 
     async def check():
         site, duties = make_site(plain=make_plain(1))
-        async with open_site(tmp_path, site, duties) as desk:
+        async with open_site(tmp_path, site, duties) as harness:
             duties.faults.late_s = 0.7
             for number in range(10):
-                await send_as_workspace(desk, number, '/proof/1')
-            await desk.until(lambda: duties.reports, 12)
+                await send_as_workspace(harness, number, '/proof/1')
+            await harness.wait_until(lambda: duties.reports, 12)
             duties.faults.late_s = 0
-            await desk.until(lambda: sum(sum_reports(duties).values()) == 10)
+            await harness.wait_until(
+                lambda: sum(sum_reports(duties).values()) == 10
+            )
             assert not duties.broken
 
     run(check())
@@ -98,14 +100,16 @@
 
     async def check():
         site, duties = make_site(make_engines(), **AUTOSCALE)
-        async with open_site(tmp_path, site, duties) as desk:
+        async with open_site(tmp_path, site, duties) as harness:
             on_demand = EnginePool('lampeter', spot=False)
             spot = [EnginePool(zone, spot=True) for zone in ZONES]
             statuses = collections.Counter()
             number = 0
             while duties.pools.count(on_demand) or not statuses:
                 number += 1
-                _, status = await send_as_workspace(desk, number, '/summary/1')
+                _, status = await send_as_workspace(
+                    harness, number, '/summary/1'
+                )
                 statuses[status] += 1
                 assert number < 1000
                 await asyncio.sleep(0.02)
@@ -125,16 +129,16 @@
         duties.pools.empty.update(
             EnginePool(zone, spot=True) for zone in ZONES[:2]
         )
-        async with open_site(tmp_path, site, duties) as desk:
+        async with open_site(tmp_path, site, duties) as harness:
             held = EnginePool('lampeter', spot=True)
-            await desk.until(lambda: duties.pools.count(held) == 3, 12)
+            await harness.wait_until(lambda: duties.pools.count(held) == 3, 12)
             lines = [
                 line
-                for line in desk.decisions('duty_call')
+                for line in harness.log_lines('duty_call')
                 if line['outcome'] == 'fenced'
             ]
             assert len(lines) >= 2
-            assert not desk.decisions('duty_lost')
+            assert not harness.log_lines('duty_lost')
 
     run(check())
 
@@ -144,12 +148,14 @@
 
     async def check():
         site, duties = make_site(make_engines(), **AUTOSCALE)
-        async with open_site(tmp_path, site, duties) as desk:
+        async with open_site(tmp_path, site, duties) as harness:
             pool = EnginePool('cardigan', spot=True)
-            await desk.until(lambda: duties.pools.count(pool) == 3, 12)
+            await harness.wait_until(lambda: duties.pools.count(pool) == 3, 12)
             reclaim = asyncio.create_task(duties.pools.reclaim('cardigan', 0.5))
             for number in range(30):
-                _, status = await send_as_workspace(desk, number, '/summary/1')
+                _, status = await send_as_workspace(
+                    harness, number, '/summary/1'
+                )
                 assert status == 200
                 await asyncio.sleep(0.02)
             await reclaim
@@ -163,24 +169,26 @@
 
     async def check():
         site, duties = make_site(make_engines(), **AUTOSCALE)
-        async with open_site(tmp_path, site, duties) as desk:
+        async with open_site(tmp_path, site, duties) as harness:
             on_demand = EnginePool('lampeter', spot=False)
-            await desk.until(
+            await harness.wait_until(
                 lambda: (
-                    desk.decisions('scale_order')
+                    harness.log_lines('scale_order')
                     and not duties.pools.count(on_demand)
                 ),
                 12,
             )
-            ordered = len(desk.decisions('scale_order'))
+            ordered = len(harness.log_lines('scale_order'))
             site.store.faults.down = 503
-            await desk.until(lambda: desk.decisions('store_lost'))
-            for name in list(desk.gateway.core.roster.listings):
+            await harness.wait_until(lambda: harness.log_lines('store_lost'))
+            for name in list(harness.gateway.core.roster.listings):
                 site.unlist(name)
             site.store.faults.down = 0
-            await desk.until(lambda: desk.decisions('store_regained'))
+            await harness.wait_until(
+                lambda: harness.log_lines('store_regained')
+            )
             # Lapsed entries are listed again within about two seconds.
             await asyncio.sleep(2.6)
-            assert len(desk.decisions('scale_order')) == ordered
+            assert len(harness.log_lines('scale_order')) == ordered
 
     run(check())
--- a/packages/verbenahall/tests/gateway/test_failing_engines.py
+++ b/packages/verbenahall/tests/gateway/test_failing_engines.py
@@ -6,7 +6,7 @@
 import aiohttp
 import pytest
 
-from .conftest import PREFIX, make_engines, open_desk, run
+from .conftest import PREFIX, make_engines, run, run_gateway
 
 
 def test_broken_stream_is_resumed_at_its_event(tmp_path, numbers):
@@ -18,8 +18,8 @@
             engine.faults.break_after = 3
             engine.faults.half_event = True
             engine.events = 6
-        async with open_desk(tmp_path, engines) as desk:
-            _, _, body = await desk.ask('/summary/1')
+        async with run_gateway(tmp_path, engines) as harness:
+            _, _, body = await harness.send('/summary/1')
             assert numbers(body) == [1, 2, 3, 4, 5, 6]
             assert b'99' not in body
             assert all(len(one.runs) == 1 for one in engines[2:])
@@ -34,9 +34,9 @@
         engines = make_engines(generators=2)
         for engine in engines[2:]:
             engine.faults.break_after = 2
-        async with open_desk(tmp_path, engines) as desk:
+        async with run_gateway(tmp_path, engines) as harness:
             with pytest.raises(aiohttp.ClientError):
-                await desk.ask('/blurb/1')
+                await harness.send('/blurb/1')
             assert sum(len(one.runs) for one in engines) == 1
 
     run(check())
@@ -49,10 +49,10 @@
         engines = make_engines(generators=2)
         engines[2].faults.stall_after = 2
         engines[3].faults.stall_after = None
-        async with open_desk(tmp_path, engines) as desk:
+        async with run_gateway(tmp_path, engines) as harness:
             started = time.monotonic()
             for number in range(2):
-                _, _, body = await desk.ask('/summary/1', f'r-{number}')
+                _, _, body = await harness.send('/summary/1', f'r-{number}')
                 assert numbers(body) == [1, 2, 3, 4, 5]
             assert time.monotonic() - started < 3.5
 
@@ -66,9 +66,9 @@
         engines = make_engines(generators=2)
         for engine in engines[2:]:
             engine.faults.mute = True
-        async with open_desk(tmp_path, engines) as desk:
+        async with run_gateway(tmp_path, engines) as harness:
             given = {f'{PREFIX}Deadline-Ms': '400'}
-            status, headers, _ = await desk.ask('/blurb/1', headers=given)
+            status, headers, _ = await harness.send('/blurb/1', headers=given)
             assert status == 504
             assert 'Retry-After' not in headers
 
@@ -80,8 +80,8 @@
         engines = make_engines(generators=3)
         engines[2].faults.full = True
         engines[3].faults.full = True
-        async with open_desk(tmp_path, engines) as desk:
-            status, _, body = await desk.ask('/blurb/1')
+        async with run_gateway(tmp_path, engines) as harness:
+            status, _, body = await harness.send('/blurb/1')
             assert status == 200
             assert numbers(body) == [1, 2, 3, 4, 5]
 
@@ -94,9 +94,9 @@
     async def check():
         engines = make_engines()
         engines[2].faults.full = True
-        async with open_desk(tmp_path, engines) as desk:
+        async with run_gateway(tmp_path, engines) as harness:
             started = time.monotonic()
-            status, headers, _ = await desk.ask('/blurb/1')
+            status, headers, _ = await harness.send('/blurb/1')
             assert status in {429, 503}
             assert float(headers['Retry-After']) > 0
             assert time.monotonic() - started < 0.5
@@ -110,15 +110,15 @@
     # other engine is left doesn't mean that the request has not run: a caller
     # that is told so would repeat it.
     async def check():
-        async with open_desk(tmp_path, make_engines()) as desk:
-            desk.site.engines[2].faults.mute = True
+        async with run_gateway(tmp_path, make_engines()) as harness:
+            harness.site.engines[2].faults.mute = True
             request = asyncio.create_task(
-                desk.ask(
+                harness.send(
                     '/summary/1', headers={f'{PREFIX}Deadline-Ms': '2500'}
                 ),
             )
             await asyncio.sleep(0.5)
-            desk.site.unlist('generator-0')
+            harness.site.unlist('generator-0')
             status, headers, _ = await request
             assert status in {502, 504}
             assert 'Retry-After' not in headers
@@ -132,10 +132,10 @@
     async def check():
         engines = make_engines()
         engines[2].faults.full = True
-        async with open_desk(tmp_path, engines) as desk:
-            await desk.ask('/blurb/1')
+        async with run_gateway(tmp_path, engines) as harness:
+            await harness.send('/blurb/1')
             made = sum(len(one.handles) for one in engines)
-            await desk.until(
+            await harness.wait_until(
                 lambda: sum(len(one.freed) for one in engines) == made,
             )
 
@@ -149,10 +149,10 @@
     async def check():
         engines = make_engines(readers=2)
         engines[0].faults.mute = True
-        async with open_desk(tmp_path, engines) as desk:
+        async with run_gateway(tmp_path, engines) as harness:
             for number in range(3):
                 given = {f'{PREFIX}Prompt-Prefix': f'a{number}:800,b:200'}
-                status, _, body = await desk.ask(
+                status, _, body = await harness.send(
                     '/blurb/1',
                     f'r-{number}',
                     headers=given,
@@ -169,8 +169,8 @@
     async def check():
         engines = make_engines()
         engines[2].events = 200_000
-        async with open_desk(tmp_path, engines) as desk:
-            address = desk.gateway.core.settings.callers
+        async with run_gateway(tmp_path, engines) as harness:
+            address = harness.gateway.core.settings.callers
             host, _, port = address.partition(':')
             _, writer = await asyncio.open_connection(host, int(port))
             writer.transport.pause_reading()
@@ -180,8 +180,8 @@
                 b'X-Verbenahall-Deadline-Ms: 700\r\n'
                 b'Content-Length: 0\r\n\r\n',
             )
-            await desk.until(lambda: engines[2].runs)
-            await desk.until(lambda: engines[2].cut, 2)
+            await harness.wait_until(lambda: engines[2].runs)
+            await harness.wait_until(lambda: engines[2].cut, 2)
             writer.close()
 
     run(check())
@@ -194,10 +194,10 @@
     # prefill for the next one would make the request miss its objective.
     async def check():
         engines = make_engines(readers=2, generators=2)
-        async with open_desk(tmp_path, engines) as desk:
+        async with run_gateway(tmp_path, engines) as harness:
             await engines[2].stop()
             for number in range(4):
-                status, _, body = await desk.ask('/blurb/1', f'r-{number}')
+                status, _, body = await harness.send('/blurb/1', f'r-{number}')
                 assert status == 200
                 assert numbers(body) == [1, 2, 3, 4, 5]
             assert sum(len(one.reads) for one in engines) == 4
@@ -211,12 +211,12 @@
     async def check():
         engines = make_engines(readers=1, generators=2)
         engines[0].faults.slow_read_s = 0.3
-        async with open_desk(tmp_path, engines) as desk:
-            request = asyncio.create_task(desk.ask('/blurb/1'))
-            await desk.until(lambda: desk.decisions('placed'))
-            chosen = desk.decisions('placed')[0]['generator']
+        async with run_gateway(tmp_path, engines) as harness:
+            request = asyncio.create_task(harness.send('/blurb/1'))
+            await harness.wait_until(lambda: harness.log_lines('placed'))
+            chosen = harness.log_lines('placed')[0]['generator']
             leaving = next(one for one in engines if one.name == chosen)
-            desk.site.list_endpoint(leaving, state='draining')
+            harness.site.list_endpoint(leaving, state='draining')
             assert (await request)[0] == 200
             assert not leaving.runs
 
@@ -229,10 +229,10 @@
     async def check():
         engines = make_engines(readers=1, generators=1)
         engines[0].faults.slow_read_s = 0.3
-        async with open_desk(tmp_path, engines) as desk:
-            request = asyncio.create_task(desk.ask('/blurb/1'))
-            await desk.until(lambda: desk.decisions('placed'))
-            desk.site.list_endpoint(engines[1], state='draining')
+        async with run_gateway(tmp_path, engines) as harness:
+            request = asyncio.create_task(harness.send('/blurb/1'))
+            await harness.wait_until(lambda: harness.log_lines('placed'))
+            harness.site.list_endpoint(engines[1], state='draining')
             status, headers, _ = await request
             assert status == 503
             assert 'Retry-After' in headers
@@ -247,8 +247,8 @@
     async def check():
         engines = make_engines()
         engines[2].faults.unsigned = True
-        async with open_desk(tmp_path, engines) as desk:
-            status, _, body = await desk.ask('/blurb/1')
+        async with run_gateway(tmp_path, engines) as harness:
+            status, _, body = await harness.send('/blurb/1')
             assert status in {502, 504}
             assert b'token' not in body
 
--- a/packages/verbenahall/tests/gateway/test_keys.py
+++ b/packages/verbenahall/tests/gateway/test_keys.py
@@ -7,7 +7,7 @@
 
 from verbenahall import journal
 
-from .conftest import PREFIX, make_engines, make_plain, open_desk, run
+from .conftest import PREFIX, make_engines, make_plain, run, run_gateway
 
 KEY = f'{PREFIX}Key'
 WORKSPACE = f'{PREFIX}Tenant'
@@ -19,22 +19,24 @@
 )
 
 
-def open_keyed_desk(folder, engines=(), plain=()):
+def run_keyed_gateway(folder, engines=(), plain=()):
     """Run a gateway whose manifest requires keys from its first version."""
-    return open_desk(folder, engines, plain, manifest={'tenants': TENANTS})
+    return run_gateway(folder, engines, plain, manifest={'tenants': TENANTS})
 
 
 def test_endpoints_get_the_workspace_and_never_the_key(tmp_path):
     """A forwarded key could be misused by the operator of the endpoint."""
 
     async def check():
-        desk_of = open_keyed_desk(tmp_path, make_engines(), make_plain(1))
-        async with desk_of as desk:
+        harness_context = run_keyed_gateway(
+            tmp_path, make_engines(), make_plain(1)
+        )
+        async with harness_context as harness:
             headers = {KEY: CLUB, WORKSPACE: 'council'}
             for path in ('/summary/1', '/proof/1'):
-                status, _, _ = await desk.ask(path, headers=headers)
+                status, _, _ = await harness.send(path, headers=headers)
                 assert status == 200
-            site = desk.site
+            site = harness.site
             reads = [read for one in site.engines for read in one.reads]
             runs = [*site.engines[2].runs, *site.plain[0].runs]
             assert len(reads) == 1
@@ -60,26 +62,26 @@
     """A caller sends no key, an unknown one, or only a workspace header."""
 
     async def check():
-        async with open_keyed_desk(tmp_path, plain=make_plain(1)) as desk:
-            status, _, _ = await desk.ask('/proof/1', headers=headers)
+        async with run_keyed_gateway(tmp_path, plain=make_plain(1)) as harness:
+            status, _, _ = await harness.send('/proof/1', headers=headers)
             assert status == 401
-            assert not desk.site.plain[0].runs
+            assert not harness.site.plain[0].runs
 
     run(check())
 
 
 def test_public_route_needs_no_key(tmp_path):
     async def check():
-        async with open_keyed_desk(tmp_path, plain=make_plain(1)) as desk:
+        async with run_keyed_gateway(tmp_path, plain=make_plain(1)) as harness:
             open_route = make_route(
                 '/open/', 'idempotent', 'pages', public=True
             )
-            desk.site.publish([open_route])
-            await desk.until_in_force()
+            harness.site.publish([open_route])
+            await harness.wait_for_manifest()
             headers = {KEY: UNKNOWN, WORKSPACE: 'club'}
-            status, _, _ = await desk.ask('/open/1', headers=headers)
+            status, _, _ = await harness.send('/open/1', headers=headers)
             assert status == 200
-            sent = desk.site.plain[0].runs[0]
+            sent = harness.site.plain[0].runs[0]
             assert KEY not in sent
             assert WORKSPACE not in sent
 
@@ -90,13 +92,19 @@
     """A key is revoked while its caller keeps its connection open."""
 
     async def check():
-        async with open_keyed_desk(tmp_path, plain=make_plain(1)) as desk:
-            assert (await desk.ask('/proof/1', headers={KEY: CLUB}))[0] == 200
+        async with run_keyed_gateway(tmp_path, plain=make_plain(1)) as harness:
+            assert (await harness.send('/proof/1', headers={KEY: CLUB}))[
+                0
+            ] == 200
             keyless = {**TENANTS[0], 'apiKeys': []}
-            desk.site.publish(tenants=[keyless, *TENANTS[1:]])
-            await desk.until_in_force()
-            assert (await desk.ask('/proof/2', headers={KEY: CLUB}))[0] == 401
-            status, _, _ = await desk.ask('/proof/3', headers={KEY: COUNCIL})
+            harness.site.publish(tenants=[keyless, *TENANTS[1:]])
+            await harness.wait_for_manifest()
+            assert (await harness.send('/proof/2', headers={KEY: CLUB}))[
+                0
+            ] == 401
+            status, _, _ = await harness.send(
+                '/proof/3', headers={KEY: COUNCIL}
+            )
             assert status == 200
 
     run(check())
@@ -119,19 +127,19 @@
     """A key is revoked between the choice of an endpoint and the send."""
 
     async def check():
-        async with open_keyed_desk(tmp_path, plain=make_plain(1)) as desk:
+        async with run_keyed_gateway(tmp_path, plain=make_plain(1)) as harness:
             blocking = BlockingLimiter()
-            desk.gateway.core.limiter = blocking
+            harness.gateway.core.limiter = blocking
             request = asyncio.create_task(
-                desk.ask('/proof/1', headers={KEY: CLUB}),
+                harness.send('/proof/1', headers={KEY: CLUB}),
             )
-            await desk.until(lambda: desk.decisions('accepted'))
-            desk.site.publish(tenants=TENANTS[1:])
-            await desk.until_in_force()
+            await harness.wait_until(lambda: harness.log_lines('accepted'))
+            harness.site.publish(tenants=TENANTS[1:])
+            await harness.wait_for_manifest()
             blocking.released.set()
             status, _, _ = await request
             assert status == 401
-            assert not desk.site.plain[0].runs
+            assert not harness.site.plain[0].runs
 
     run(check())
 
@@ -140,20 +148,20 @@
     """A key is moved to another workspace while a request waits."""
 
     async def check():
-        async with open_keyed_desk(tmp_path, plain=make_plain(1)) as desk:
+        async with run_keyed_gateway(tmp_path, plain=make_plain(1)) as harness:
             blocking = BlockingLimiter()
-            desk.gateway.core.limiter = blocking
+            harness.gateway.core.limiter = blocking
             request = asyncio.create_task(
-                desk.ask('/proof/1', headers={KEY: CLUB}),
+                harness.send('/proof/1', headers={KEY: CLUB}),
             )
-            await desk.until(lambda: desk.decisions('accepted'))
-            desk.site.publish(
+            await harness.wait_until(lambda: harness.log_lines('accepted'))
+            harness.site.publish(
                 tenants=[{'name': 'council', 'apiKeys': [CLUB]}],
             )
-            await desk.until_in_force()
+            await harness.wait_for_manifest()
             blocking.released.set()
             assert (await request)[0] == 200
-            assert desk.site.plain[0].runs[0][WORKSPACE] == 'council'
+            assert harness.site.plain[0].runs[0][WORKSPACE] == 'council'
 
     run(check())
 
@@ -162,13 +170,13 @@
     """A key is used at an instance whose manifest doesn't have it yet."""
 
     async def check():
-        async with open_keyed_desk(tmp_path, plain=make_plain(1)) as desk:
-            desk.site.store.faults.deaf = True
-            await desk.until_quiet()
+        async with run_keyed_gateway(tmp_path, plain=make_plain(1)) as harness:
+            harness.site.store.faults.deaf = True
+            await harness.wait_for_polls()
             added = [*TENANTS, {'name': 'new', 'apiKeys': ['new-key']}]
-            desk.site.publish(tenants=added)
+            harness.site.publish(tenants=added)
             headers = {KEY: 'new-key'}
-            status, _, _ = await desk.ask('/proof/1', headers=headers)
+            status, _, _ = await harness.send('/proof/1', headers=headers)
             assert status == 200
 
     run(check())
@@ -178,14 +186,14 @@
     """Random keys must not load the store, which all instances share."""
 
     async def check():
-        async with open_keyed_desk(tmp_path, plain=make_plain(1)) as desk:
-            await desk.ask('/proof/1', headers={KEY: 'guess'})
-            calls = desk.site.store.calls.copy()
+        async with run_keyed_gateway(tmp_path, plain=make_plain(1)) as harness:
+            await harness.send('/proof/1', headers={KEY: 'guess'})
+            calls = harness.site.store.calls.copy()
             for number in range(50):
                 headers = {KEY: f'guess-{number}'}
-                status, _, _ = await desk.ask('/proof/1', headers=headers)
+                status, _, _ = await harness.send('/proof/1', headers=headers)
                 assert status == 401
-            made = sum(desk.site.store.calls.values()) - sum(calls.values())
+            made = sum(harness.site.store.calls.values()) - sum(calls.values())
             assert made <= 5
 
     run(check())
@@ -195,9 +203,9 @@
     """Readers of the log must not get keys from it."""
 
     async def check():
-        async with open_keyed_desk(tmp_path, plain=make_plain(1)) as desk:
-            await desk.ask('/proof/1', headers={KEY: CLUB})
-            await desk.ask('/proof/1', headers={KEY: UNKNOWN})
+        async with run_keyed_gateway(tmp_path, plain=make_plain(1)) as harness:
+            await harness.send('/proof/1', headers={KEY: CLUB})
+            await harness.send('/proof/1', headers={KEY: UNKNOWN})
             lines = str(list(journal.recent))
             assert CLUB not in lines
             assert UNKNOWN not in lines
--- a/packages/verbenahall/tests/gateway/test_limits.py
+++ b/packages/verbenahall/tests/gateway/test_limits.py
@@ -5,7 +5,7 @@
 
 import pytest
 
-from .conftest import HOST, make_plain, open_desk, run
+from .conftest import HOST, make_plain, run, run_gateway
 
 HEAD = f'GET /archive/1 HTTP/1.1\r\nHost: {HOST}\r\n'
 
@@ -13,15 +13,15 @@
 @contextlib.asynccontextmanager
 async def open_with_limits(folder, **changes):
     """Run a gateway whose manifest has changed limits."""
-    async with open_desk(folder, plain=make_plain(1)) as desk:
-        await publish_limits(desk, **changes)
+    async with run_gateway(folder, plain=make_plain(1)) as harness:
+        await publish_limits(harness, **changes)
         # An instance that isn't ready closes connections after each response.
-        while not await desk.is_ready():
+        while not await harness.is_ready():
             await asyncio.sleep(0.02)
-        yield desk
+        yield harness
 
 
-async def publish_limits(desk, **changes):
+async def publish_limits(harness, **changes):
     """Publish a manifest with changed limits and wait until it is in force."""
     limits = {
         'maxHeaderBytes': 16_384,
@@ -30,16 +30,16 @@
         'idleTimeoutMs': 15_000,
         **changes,
     }
-    state = desk.gateway.core.catalog
+    state = harness.gateway.core.catalog
     version = state.catalog.version
-    desk.site.publish(limits=limits)
-    await desk.until(lambda: state.catalog.version > version)
+    harness.site.publish(limits=limits)
+    await harness.wait_until(lambda: state.catalog.version > version)
 
 
 @contextlib.asynccontextmanager
-async def connect(desk):
+async def connect(harness):
     """Open a caller's raw connection."""
-    host, _, port = desk.gateway.core.settings.callers.rpartition(':')
+    host, _, port = harness.gateway.core.settings.callers.rpartition(':')
     reader, writer = await asyncio.open_connection(host, int(port))
     try:
         yield reader, writer
@@ -67,10 +67,10 @@
 
 def test_body_beyond_the_bound_is_refused(tmp_path):
     async def check():
-        async with open_with_limits(tmp_path, maxBodyBytes=100) as desk:
-            status, _, _ = await desk.ask('/proof/1', data=b'x' * 200)
+        async with open_with_limits(tmp_path, maxBodyBytes=100) as harness:
+            status, _, _ = await harness.send('/proof/1', data=b'x' * 200)
             assert status == 413
-            assert not desk.site.plain[0].runs
+            assert not harness.site.plain[0].runs
 
     run(check())
 
@@ -78,12 +78,12 @@
 def test_head_beyond_the_bound_is_refused(tmp_path):
     # Each header line is within the limit, but there are too many of them.
     async def check():
-        async with open_with_limits(tmp_path, maxHeaderBytes=1000) as desk:
+        async with open_with_limits(tmp_path, maxHeaderBytes=1000) as harness:
             fields = {f'X-Own-{number}': 'x' * 50 for number in range(20)}
-            status, _, _ = await desk.ask('/proof/1', headers=fields)
+            status, _, _ = await harness.send('/proof/1', headers=fields)
             assert status == 431
-            assert not desk.site.plain[0].runs
-            assert (await desk.ask('/proof/1'))[0] == 200
+            assert not harness.site.plain[0].runs
+            assert (await harness.send('/proof/1'))[0] == 200
 
     run(check())
 
@@ -92,8 +92,8 @@
     # A caller sends half a head and then nothing, on many connections. Without
     # a timeout for the head each one would stay open for the whole idle time.
     async def check():
-        async with open_with_limits(tmp_path, headerTimeoutMs=200) as desk:
-            async with connect(desk) as (reader, writer):
+        async with open_with_limits(tmp_path, headerTimeoutMs=200) as harness:
+            async with connect(harness) as (reader, writer):
                 writer.write(HEAD.encode())
                 assert await is_closed(reader, 1)
 
@@ -102,8 +102,8 @@
 
 def test_head_in_pieces_is_served_in_time(tmp_path):
     async def check():
-        async with open_with_limits(tmp_path, headerTimeoutMs=600) as desk:
-            async with connect(desk) as (reader, writer):
+        async with open_with_limits(tmp_path, headerTimeoutMs=600) as harness:
+            async with connect(harness) as (reader, writer):
                 writer.write(HEAD[:20].encode())
                 await asyncio.sleep(0.2)
                 writer.write(HEAD[20:].encode())
@@ -120,22 +120,22 @@
 
 def test_stalled_body_is_refused(tmp_path):
     async def check():
-        async with open_with_limits(tmp_path, idleTimeoutMs=300) as desk:
-            async with connect(desk) as (reader, writer):
+        async with open_with_limits(tmp_path, idleTimeoutMs=300) as harness:
+            async with connect(harness) as (reader, writer):
                 writer.write(
                     f'POST /proof/1 HTTP/1.1\r\nHost: {HOST}\r\n'
                     'Content-Length: 10\r\n\r\nabc'.encode(),
                 )
                 assert b' 408 ' in await reader.readline()
-                assert not desk.site.plain[0].runs
+                assert not harness.site.plain[0].runs
 
     run(check())
 
 
 def test_idle_connection_is_closed_after_the_bound(tmp_path):
     async def check():
-        async with open_with_limits(tmp_path, idleTimeoutMs=1500) as desk:
-            async with connect(desk) as (reader, writer):
+        async with open_with_limits(tmp_path, idleTimeoutMs=1500) as harness:
+            async with connect(harness) as (reader, writer):
                 assert b' 200 ' in await send_raw(reader, writer)
                 assert not await is_closed(reader, 1.2)
                 assert await is_closed(reader, 1)
@@ -151,10 +151,10 @@
         async with open_with_limits(
             tmp_path,
             idleTimeoutMs=opened_under_ms,
-        ) as desk:
-            async with connect(desk) as (reader, writer):
+        ) as harness:
+            async with connect(harness) as (reader, writer):
                 await send_raw(reader, writer)
-                await publish_limits(desk, idleTimeoutMs=2500)
+                await publish_limits(harness, idleTimeoutMs=2500)
                 await asyncio.sleep(2)
                 assert b' 200 ' in await send_raw(reader, writer)
                 assert await is_closed(reader, 3.5)
--- a/packages/verbenahall/tests/gateway/test_metrics.py
+++ b/packages/verbenahall/tests/gateway/test_metrics.py
@@ -2,7 +2,7 @@
 
 import re
 
-from .conftest import make_engines, make_plain, open_desk, run
+from .conftest import make_engines, make_plain, run, run_gateway
 
 #: The series that the operators' documentation lists, and the least increase of
 #: each by one stream and one plain call.
@@ -17,11 +17,11 @@
 }
 
 
-async def read_totals(desk):
+async def read_totals(harness):
     """Return each series' sum over its labels."""
-    settings = desk.gateway.core.settings
+    settings = harness.gateway.core.settings
     url = f'http://{settings.ip}:{settings.metrics_port}/metrics'
-    async with desk.session.get(url) as response:
+    async with harness.session.get(url) as response:
         assert response.status == 200
         text = await response.text()
     totals = {}
@@ -34,11 +34,13 @@
 
 def test_requests_are_counted(tmp_path):
     async def check():
-        async with open_desk(tmp_path, make_engines(), make_plain(1)) as desk:
-            before = await read_totals(desk)
-            assert (await desk.ask('/blurb/1'))[0] == 200
-            assert (await desk.ask('/archive/1', method='GET'))[0] == 200
-            after = await read_totals(desk)
+        async with run_gateway(
+            tmp_path, make_engines(), make_plain(1)
+        ) as harness:
+            before = await read_totals(harness)
+            assert (await harness.send('/blurb/1'))[0] == 200
+            assert (await harness.send('/archive/1', method='GET'))[0] == 200
+            after = await read_totals(harness)
             for name, least in SERIES.items():
                 assert after[name] - before.get(name, 0) >= least, name
             # The manifest and the list of endpoints were read at the start.
@@ -51,9 +53,9 @@
     # If a request was sent to an endpoint that was gone, the logged age shows
     # whether the instance used an old list of endpoints.
     async def check():
-        async with open_desk(tmp_path, plain=make_plain(1)) as desk:
-            await desk.ask('/archive/1', method='GET')
-            line = desk.decisions('accepted')[0]
+        async with run_gateway(tmp_path, plain=make_plain(1)) as harness:
+            await harness.send('/archive/1', method='GET')
+            line = harness.log_lines('accepted')[0]
             assert line['version'] == 1
             assert 0 <= line['belief_s'] < 2
 
--- a/packages/verbenahall/tests/gateway/test_named_rates.py
+++ b/packages/verbenahall/tests/gateway/test_named_rates.py
@@ -4,7 +4,7 @@
 import time
 
 from .conftest import make_plain, run
-from .test_repeated_crashes import open_desks
+from .test_repeated_crashes import run_gateways
 
 RATE = 2.5
 #: Length of the window in which arrivals are counted, in seconds.
@@ -14,13 +14,13 @@
 MAX_ARRIVALS = 1.5 * RATE * WINDOW_S + SLACK
 
 
-async def send_until(desks, end, every_s=0.02):
+async def send_until(harnesses, end, every_s=0.02):
     """Send to all instances in turn until a time; return the statuses."""
     tasks = []
     while time.monotonic() < end:
         number = len(tasks)
-        desk = desks[number % len(desks)]
-        request = desk.ask('/archive/1', f'r-{number}', method='GET')
+        harness = harnesses[number % len(harnesses)]
+        request = harness.send('/archive/1', f'r-{number}', method='GET')
         tasks.append(asyncio.create_task(request))
         await asyncio.sleep(every_s)
     responses = await asyncio.gather(*tasks)
@@ -36,15 +36,15 @@
     )
 
 
-async def send_while_limited(desks, endpoint, seconds):
+async def send_while_limited(harnesses, endpoint, seconds):
     """Send while an endpoint advertises a rate.
 
     Return the most arrivals in one window, and the statuses.
     """
     endpoint.rate = str(RATE)
-    await send_until(desks, time.monotonic() + 1)
+    await send_until(harnesses, time.monotonic() + 1)
     since = time.monotonic() + 0.5
-    statuses = await send_until(desks, since + seconds)
+    statuses = await send_until(harnesses, since + seconds)
     return count_max_arrivals(endpoint.arrivals, since), statuses
 
 
@@ -52,9 +52,11 @@
     """If each instance kept the rate alone, the total would exceed it."""
 
     async def check():
-        async with open_desks(tmp_path, plain=make_plain(3)) as desks:
-            limited = desks[0].site.plain[0]
-            max_arrivals, statuses = await send_while_limited(desks, limited, 6)
+        async with run_gateways(tmp_path, plain=make_plain(3)) as harnesses:
+            limited = harnesses[0].site.plain[0]
+            max_arrivals, statuses = await send_while_limited(
+                harnesses, limited, 6
+            )
             assert max_arrivals <= MAX_ARRIVALS
             assert set(statuses) == {200}
 
@@ -65,13 +67,13 @@
     """An endpoint that no longer advertises a rate must not be left idle."""
 
     async def check():
-        async with open_desks(tmp_path, plain=make_plain(3)) as desks:
-            limited = desks[0].site.plain[0]
-            await send_while_limited(desks, limited, 2)
+        async with run_gateways(tmp_path, plain=make_plain(3)) as harnesses:
+            limited = harnesses[0].site.plain[0]
+            await send_while_limited(harnesses, limited, 2)
             limited.rate = None
-            await send_until(desks, time.monotonic() + 2)
+            await send_until(harnesses, time.monotonic() + 2)
             before = len(limited.arrivals)
-            await send_until(desks, time.monotonic() + 2)
+            await send_until(harnesses, time.monotonic() + 2)
             assert len(limited.arrivals) - before > 2 * RATE * 2
 
     run(check())
--- a/packages/verbenahall/tests/gateway/test_path.py
+++ b/packages/verbenahall/tests/gateway/test_path.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from .conftest import HOST, PREFIX, make_engines, make_plain, open_desk, run
+from .conftest import HOST, PREFIX, make_engines, make_plain, run, run_gateway
 
 FORGED = {
     f'{PREFIX}Expect-Instance': 'somebody',
@@ -19,12 +19,12 @@
 
 def test_plain_answer_is_returned_unchanged(tmp_path):
     async def check():
-        async with open_desk(tmp_path, plain=make_plain(1)) as desk:
+        async with run_gateway(tmp_path, plain=make_plain(1)) as harness:
             target = '/archive/a%2Fb?page=2&x=%20'
-            status, headers, body = await desk.ask(target, method='GET')
+            status, headers, body = await harness.send(target, method='GET')
             assert (status, body) == (200, b'page from page-0')
             assert headers[f'{PREFIX}Server-Stamp'] == 'stand-in-page-0'
-            ran = desk.site.plain[0].runs[0]
+            ran = harness.site.plain[0].runs[0]
             assert ran['target'] == target
             assert ran[f'{PREFIX}Request-Id'] == 'r-1'
             assert ran[f'{PREFIX}Expect-Instance'] == 'page-0'
@@ -35,13 +35,13 @@
 
 def test_body_and_headers_reach_the_endpoint(tmp_path):
     async def check():
-        async with open_desk(tmp_path, plain=make_plain(1)) as desk:
-            await desk.ask(
+        async with run_gateway(tmp_path, plain=make_plain(1)) as harness:
+            await harness.send(
                 '/proof/1',
                 data=b'a body',
                 headers={'X-Own': 'kept', 'Connection': 'keep-alive, X-Hop'},
             )
-            ran = desk.site.plain[0].runs[0]
+            ran = harness.site.plain[0].runs[0]
             assert ran['body'] == 'a body'
             assert ran['X-Own'] == 'kept'
 
@@ -52,10 +52,10 @@
     # A caller sends internal headers, which select endpoints and KV cache.
     # Forwarded, they would let it continue another caller's prompt.
     async def check():
-        async with open_desk(tmp_path, make_engines()) as desk:
-            status, _, _ = await desk.ask('/blurb/1', headers=FORGED)
+        async with run_gateway(tmp_path, make_engines()) as harness:
+            status, _, _ = await harness.send('/blurb/1', headers=FORGED)
             assert status == 200
-            generated = desk.site.engines[2].runs[0]
+            generated = harness.site.engines[2].runs[0]
             assert generated[f'{PREFIX}Expect-Instance'] == 'generator-0'
             assert 'stolen' not in generated[f'{PREFIX}Kv-From']
             for name in ('Kv-Hold', 'Kv-Backup', 'Pin-Ms', 'Stage'):
@@ -67,8 +67,8 @@
 
 def test_unknown_path_is_not_found(tmp_path):
     async def check():
-        async with open_desk(tmp_path, plain=make_plain(1)) as desk:
-            status, _, _ = await desk.ask('/nothing/1')
+        async with run_gateway(tmp_path, plain=make_plain(1)) as harness:
+            status, _, _ = await harness.send('/nothing/1')
             assert status == 404
 
     run(check())
@@ -79,14 +79,14 @@
     numbers,
 ):
     async def check():
-        async with open_desk(tmp_path, make_engines()) as desk:
-            status, headers, body = await desk.ask('/summary/1')
+        async with run_gateway(tmp_path, make_engines()) as harness:
+            status, headers, body = await harness.send('/summary/1')
             assert status == 200
             assert numbers(body) == [1, 2, 3, 4, 5]
             assert headers[f'{PREFIX}Server-Stamp'] == 'stand-in-generator-0'
-            reads = [len(one.reads) for one in desk.site.engines]
+            reads = [len(one.reads) for one in harness.site.engines]
             assert sum(reads) == 1
-            assert len(desk.site.engines[2].runs) == 1
+            assert len(harness.site.engines[2].runs) == 1
 
     run(check())
 
@@ -95,14 +95,14 @@
     # The requests share most of their prompt. Spread evenly, they would have
     # every prefill engine compute the shared prefix again.
     async def check():
-        async with open_desk(tmp_path, make_engines(readers=4)) as desk:
+        async with run_gateway(tmp_path, make_engines(readers=4)) as harness:
             for number in range(6):
-                await desk.ask(
+                await harness.send(
                     '/summary/1',
                     f'r-{number}',
                     headers={f'{PREFIX}Prompt-Prefix': f'aa:800,b{number}:9'},
                 )
-            readers = desk.site.engines[:4]
+            readers = harness.site.engines[:4]
             assert sorted(len(one.reads) for one in readers) == [0, 0, 0, 6]
 
     run(check())
@@ -114,10 +114,10 @@
     async def check():
         engines = make_engines()
         engines[2].faults.stall_after = 2
-        async with open_desk(tmp_path, engines) as desk:
+        async with run_gateway(tmp_path, engines) as harness:
             with pytest.raises(TimeoutError):
-                await asyncio.wait_for(desk.ask('/blurb/1'), 0.3)
-            await desk.until(lambda: engines[2].cut == ['r-1'], 0.5)
+                await asyncio.wait_for(harness.send('/blurb/1'), 0.3)
+            await harness.wait_until(lambda: engines[2].cut == ['r-1'], 0.5)
 
     run(check())
 
@@ -128,11 +128,13 @@
     async def check():
         engines = make_engines()
         engines[2].faults.mute = True
-        async with open_desk(tmp_path, engines) as desk:
+        async with run_gateway(tmp_path, engines) as harness:
             with pytest.raises(TimeoutError):
-                await asyncio.wait_for(desk.ask('/blurb/1'), 0.3)
+                await asyncio.wait_for(harness.send('/blurb/1'), 0.3)
             readers = engines[:2]
-            await desk.until(lambda: any(one.freed for one in readers), 0.5)
+            await harness.wait_until(
+                lambda: any(one.freed for one in readers), 0.5
+            )
 
     run(check())
 
@@ -141,9 +143,9 @@
     # An instance starts before the first manifest. A 404 would mean that the
     # path does not exist; callers must retry instead.
     async def check():
-        async with open_desk(tmp_path, plain=make_plain(1)) as desk:
-            desk.gateway.core.catalog.catalog = None
-            status, headers, _ = await desk.ask('/archive/1')
+        async with run_gateway(tmp_path, plain=make_plain(1)) as harness:
+            harness.gateway.core.catalog.catalog = None
+            status, headers, _ = await harness.send('/archive/1')
             assert status == 503
             assert 0 < float(headers['Retry-After']) <= 1
 
@@ -152,9 +154,9 @@
 
 def test_host_is_compared_without_case_and_port(tmp_path):
     async def check():
-        async with open_desk(tmp_path, plain=make_plain(1)) as desk:
+        async with run_gateway(tmp_path, plain=make_plain(1)) as harness:
             given = {'Host': f'{HOST.upper()}:80'}
-            status, _, _ = await desk.ask(
+            status, _, _ = await harness.send(
                 '/archive/1',
                 method='GET',
                 headers=given,
@@ -166,10 +168,10 @@
 
 def test_every_decision_on_a_request_is_logged_with_its_id(tmp_path):
     async def check():
-        async with open_desk(tmp_path, make_engines()) as desk:
-            await desk.ask('/summary/1', 'r-77')
+        async with run_gateway(tmp_path, make_engines()) as harness:
+            await harness.send('/summary/1', 'r-77')
             for event in ('accepted', 'placed', 'generated', 'answered'):
-                lines = desk.decisions(event)
+                lines = harness.log_lines(event)
                 assert [line['request'] for line in lines] == ['r-77']
 
     run(check())
@@ -181,10 +183,10 @@
     async def check():
         plain = make_plain(1)
         plain[0].mute = True
-        async with open_desk(tmp_path, plain=plain) as desk:
+        async with run_gateway(tmp_path, plain=plain) as harness:
             given = {f'{PREFIX}Deadline-Ms': '300'}
-            status, _, _ = await desk.ask('/proof/1', headers=given)
-            line = desk.decisions('given_up')[0]
+            status, _, _ = await harness.send('/proof/1', headers=given)
+            line = harness.log_lines('given_up')[0]
             assert (status, line['request']) == (504, 'r-1')
             assert line['kind'] == 'deadline_exceeded'
 
@@ -197,9 +199,9 @@
     async def check():
         engines = make_engines()
         engines[2].faults.slow_head_s = 0.2
-        async with open_desk(tmp_path, engines) as desk:
-            await desk.ask('/summary/1')
-            line = desk.decisions('generated')[0]
+        async with run_gateway(tmp_path, engines) as harness:
+            await harness.send('/summary/1')
+            line = harness.log_lines('generated')[0]
             assert line['first_s'] >= 0.2
             assert line['took_s'] >= line['first_s']
 
--- a/packages/verbenahall/tests/gateway/test_repeated_crashes.py
+++ b/packages/verbenahall/tests/gateway/test_repeated_crashes.py
@@ -8,7 +8,7 @@
 
 from verbenahall.peers import list_live_peers
 
-from .conftest import make_engines, open_desk, run
+from .conftest import make_engines, run, run_gateway
 
 NAMES = ('front-1', 'front-2', 'front-3')
 CRASHING = 'crashing prompt'
@@ -17,34 +17,34 @@
 
 
 @contextlib.asynccontextmanager
-async def open_desks(folder, engines=(), plain=()):
+async def run_gateways(folder, engines=(), plain=()):
     """Run three instances on one site that receive each other's heartbeats."""
     async with contextlib.AsyncExitStack() as stack:
         first = await stack.enter_async_context(
-            open_desk(folder, engines, plain),
+            run_gateway(folder, engines, plain),
         )
-        desks = [first]
+        harnesses = [first]
         for name in NAMES[1:]:
-            desk = open_desk(folder, name=name, site=first.site)
-            desks.append(await stack.enter_async_context(desk))
-        for desk in desks:
-            await desk.until(functools.partial(has_live_peers, desk))
-        yield desks
+            harness = run_gateway(folder, name=name, site=first.site)
+            harnesses.append(await stack.enter_async_context(harness))
+        for harness in harnesses:
+            await harness.wait_until(functools.partial(has_live_peers, harness))
+        yield harnesses
 
 
-async def send_from(address, desk, identity):
+async def send_from(address, harness, identity):
     """Send the crashing request from a given source address."""
     connector = aiohttp.TCPConnector(local_addr=(address, 0))
     async with aiohttp.ClientSession(connector=connector) as session:
-        own = desk.session
-        desk.session = session
-        await send_crashing(desk, identity)
-        desk.session = own
+        own = harness.session
+        harness.session = session
+        await send_crashing(harness, identity)
+        harness.session = own
 
 
-def has_live_peers(desk):
+def has_live_peers(harness):
     """Whether an instance receives heartbeats of its two peers."""
-    core = desk.gateway.core
+    core = harness.gateway.core
     return len(list_live_peers(core.peer_table, core.now(), 1)) == 2
 
 
@@ -62,13 +62,13 @@
     return sum(found['body'] == CRASHING for found in headers)
 
 
-async def send_crashing(desk, identity):
+async def send_crashing(harness, identity):
     """Send the request once; return status and headers.
 
     The status is 0 if the connection broke.
     """
     try:
-        status, headers, _ = await desk.ask(
+        status, headers, _ = await harness.send(
             '/summary/1', identity, data=CRASHING
         )
     except aiohttp.ClientError:
@@ -76,11 +76,11 @@
     return status, headers
 
 
-async def crash_until(desks, engines, crashes):
+async def crash_until(harnesses, engines, crashes):
     """Send to the instances in turn until so many engines have crashed."""
     sent = 0
     while sum(one.crashes for one in engines) < crashes:
-        await send_crashing(desks[sent % len(desks)], f'r-{sent}')
+        await send_crashing(harnesses[sent % len(harnesses)], f'r-{sent}')
         sent += 1
         assert sent < 20, 'the engines do not crash'
         await asyncio.sleep(0.3)
@@ -91,12 +91,12 @@
 
     async def check():
         engines = make_crashing()
-        async with open_desks(tmp_path, engines) as desks:
-            await crash_until(desks, engines, 3)
+        async with run_gateways(tmp_path, engines) as harnesses:
+            await crash_until(harnesses, engines, 3)
             before = count_crashing(engines)
             for number in range(15):
-                desk = desks[number % len(desks)]
-                await send_crashing(desk, f'again-{number}')
+                harness = harnesses[number % len(harnesses)]
+                await send_crashing(harness, f'again-{number}')
                 await asyncio.sleep(0.3)
             assert count_crashing(engines) - before <= MAX_SENDS
 
@@ -108,13 +108,13 @@
 
     async def check():
         engines = make_crashing()
-        async with open_desks(tmp_path, engines) as desks:
-            await crash_until(desks, engines, 3)
+        async with run_gateways(tmp_path, engines) as harnesses:
+            await crash_until(harnesses, engines, 3)
             before = count_crashing(engines)
             for number in range(12):
                 address = f'127.0.0.{2 + number % 4}'
-                desk = desks[number % len(desks)]
-                await send_from(address, desk, f'again-{number}')
+                harness = harnesses[number % len(harnesses)]
+                await send_from(address, harness, f'again-{number}')
                 await asyncio.sleep(0.3)
             assert count_crashing(engines) - before <= MAX_SENDS
 
--- a/packages/verbenahall/tests/gateway/test_roles.py
+++ b/packages/verbenahall/tests/gateway/test_roles.py
@@ -8,7 +8,7 @@
 from verbenahall.roster import Entry
 from verbenahall.throttling import record_rate
 
-from .conftest import make_engines, open_desk, run
+from .conftest import make_engines, run, run_gateway
 
 ENGINE = Entry(
     'engine-1',
@@ -49,14 +49,14 @@
 
     async def check():
         engines = make_engines(readers=4, generators=2)
-        async with open_desk(tmp_path, engines) as desk:
-            core = desk.gateway.core
+        async with run_gateway(tmp_path, engines) as harness:
+            core = harness.gateway.core
             for engine in engines[4:]:
                 listing = core.roster.listings[engine.name]
                 record_rate(
                     core.rates, format_incarnation(listing.entry), 2, core.now()
                 )
-            await desk.until(
+            await harness.wait_until(
                 lambda: any(one.orders for one in engines[:4]),
                 within_s=12,
             )
--- a/packages/verbenahall/tests/gateway/test_scheduling.py
+++ b/packages/verbenahall/tests/gateway/test_scheduling.py
@@ -11,8 +11,8 @@
 from verbenahall.peers import list_live_peers
 from verbenahall.scheduling import _groups as groups
 
-from .conftest import make_engines, open_desk, run
-from .test_waiting import ask_long
+from .conftest import make_engines, run, run_gateway
+from .test_waiting import send_long
 
 NAMES = ('front-1', 'front-2', 'front-3')
 PATH = '/summary/1'
@@ -25,60 +25,60 @@
 
 
 @contextlib.asynccontextmanager
-async def open_desks(folder, engines=None):
+async def run_gateways(folder, engines=None):
     """Run instances on one site; return them, the scheduler last."""
     async with contextlib.AsyncExitStack() as stack:
         first = await stack.enter_async_context(
-            open_desk(folder, engines or make_engines()),
+            run_gateway(folder, engines or make_engines()),
         )
         others = [
             await stack.enter_async_context(
-                open_desk(folder, name=name, site=first.site),
+                run_gateway(folder, name=name, site=first.site),
             )
             for name in NAMES[1:]
         ]
-        desks = [first, *others]
-        for desk in desks:
-            await desk.until(functools.partial(has_both_peers, desk))
-        await first.ask(PATH, 'r-0')
-        name = first.decisions('scheduled')[-1]['scheduler']
-        desks.sort(key=lambda one: one.gateway.core.settings.name == name)
-        yield desks
+        harnesses = [first, *others]
+        for harness in harnesses:
+            await harness.wait_until(functools.partial(has_both_peers, harness))
+        await first.send(PATH, 'r-0')
+        name = first.log_lines('scheduled')[-1]['scheduler']
+        harnesses.sort(key=lambda one: one.gateway.core.settings.name == name)
+        yield harnesses
 
 
-def has_both_peers(desk):
+def has_both_peers(harness):
     """Whether an instance receives heartbeats of its two peers."""
-    core = desk.gateway.core
+    core = harness.gateway.core
     return len(list_live_peers(core.peer_table, core.now(), 1)) == 2
 
 
-def find_state(desk):
+def find_state(harness):
     """Return a scheduler's state of the only group."""
-    states = desk.gateway.scheduling.scheduler._states
+    states = harness.gateway.scheduling.scheduler._states
     return next(iter(states.values()))
 
 
-async def queue_behind(desk, state):
+async def queue_behind(harness, state):
     """Send a long prompt, and one that is queued behind it."""
-    busy = asyncio.create_task(ask_long(desk, 'r-1'))
-    await desk.until(
-        lambda: desk.decisions('placed')[-1]['request'] == 'r-1',
+    busy = asyncio.create_task(send_long(harness, 'r-1'))
+    await harness.wait_until(
+        lambda: harness.log_lines('placed')[-1]['request'] == 'r-1',
     )
-    queued = asyncio.create_task(ask_long(desk, 'r-2'))
-    await desk.until(lambda: state.queue.waiting)
+    queued = asyncio.create_task(send_long(harness, 'r-2'))
+    await harness.wait_until(lambda: state.queue.waiting)
     return busy, queued
 
 
-def is_idle(desk):
+def is_idle(harness):
     """Whether a scheduler has no open requests and no load."""
-    state = find_state(desk)
+    state = find_state(harness)
     load = state.placement.load_table.local_loads()
     return not (state.assigned or state.waiting or load)
 
 
-def list_schedulers(desk):
+def list_schedulers(harness):
     """Return the schedulers that requests were sent to, in order."""
-    return [line['scheduler'] for line in desk.decisions('scheduled')]
+    return [line['scheduler'] for line in harness.log_lines('scheduled')]
 
 
 def test_all_instances_ask_one_scheduler(tmp_path, monkeypatch):
@@ -88,25 +88,25 @@
     monkeypatch.setattr(scheduler_client, '_ANSWER_S', 2)
 
     async def check():
-        async with open_desks(tmp_path) as desks:
+        async with run_gateways(tmp_path) as harnesses:
             answers = await asyncio.gather(
                 *(
-                    desk.ask(PATH, f'r-{index}-{number}')
-                    for index, desk in enumerate(desks)
+                    harness.send(PATH, f'r-{index}-{number}')
+                    for index, harness in enumerate(harnesses)
                     for number in range(5)
                 ),
             )
             assert {status for status, _, _ in answers} == {200}
-            assert len(set(list_schedulers(desks[0]))) == 1
-            assert len(desks[0].decisions('assigned')) == 16
-            await desks[0].until(lambda: is_idle(desks[-1]))
+            assert len(set(list_schedulers(harnesses[0]))) == 1
+            assert len(harnesses[0].log_lines('assigned')) == 16
+            await harnesses[0].wait_until(lambda: is_idle(harnesses[-1]))
 
     run(check())
 
 
-def kill_scheduling(desk):
+def kill_scheduling(harness):
     """Drop all datagrams of an instance, as if it were dead or frozen."""
-    exchange = desk.gateway.finder.exchange
+    exchange = harness.gateway.finder.exchange
     exchange.fallback_handler = lambda datagram, address: True
     exchange.send = lambda datagram, address: None
 
@@ -119,16 +119,16 @@
     """
 
     async def check():
-        async with open_desks(tmp_path) as desks:
-            kill_scheduling(desks[-1])
-            first = desks[0]
-            status, _, _ = await first.ask(PATH, 'r-1')
+        async with run_gateways(tmp_path) as harnesses:
+            kill_scheduling(harnesses[-1])
+            first = harnesses[0]
+            status, _, _ = await first.send(PATH, 'r-1')
             assert status == 200
-            scheduled = first.decisions('scheduled')
+            scheduled = first.log_lines('scheduled')
             assert scheduled[-2]['outcome'] == 'silent'
             assert scheduled[-1]['outcome'] == 'Assignment'
             # The next request does not wait for the dead scheduler again.
-            await first.ask(PATH, 'r-2')
+            await first.send(PATH, 'r-2')
             assert list_schedulers(first)[-1] == list_schedulers(first)[-2]
             runs = [one for engine in first.site.engines for one in engine.runs]
             assert len(runs) == 3
@@ -140,14 +140,14 @@
     """All other instances are unreachable."""
 
     async def check():
-        async with open_desks(tmp_path) as desks:
-            first, *others = desks
-            for desk in others:
-                kill_scheduling(desk)
+        async with run_gateways(tmp_path) as harnesses:
+            first, *others = harnesses
+            for harness in others:
+                kill_scheduling(harness)
             first.gateway.scheduling.scheduler.stopping = lambda: True
-            status, _, _ = await first.ask(PATH, 'r-1')
+            status, _, _ = await first.send(PATH, 'r-1')
             assert status == 200
-            assert first.decisions('placed')[-1]['request'] == 'r-1'
+            assert first.log_lines('placed')[-1]['request'] == 'r-1'
 
     run(check())
 
@@ -161,19 +161,19 @@
 
     async def check():
         engines = make_engines(readers=4, generators=2)
-        async with open_desks(tmp_path, engines) as desks:
-            first, *others = desks
-            for desk in others:
-                kill_scheduling(desk)
+        async with run_gateways(tmp_path, engines) as harnesses:
+            first, *others = harnesses
+            for harness in others:
+                kill_scheduling(harness)
             first.gateway.core.peer_table.data_centre = 'elsewhere'
             monkeypatch.setattr(
                 scheduler_client, 'rank_schedulers', rank_others
             )
-            status, _, _ = await first.ask(PATH, 'r-1')
+            status, _, _ = await first.send(PATH, 'r-1')
             assert status == 200
             silent = [
                 line
-                for line in first.decisions('scheduled')
+                for line in first.log_lines('scheduled')
                 if line['request'] == 'r-1'
             ]
             assert [line['outcome'] for line in silent] == ['silent']
@@ -193,18 +193,19 @@
     """
 
     async def check():
-        async with open_desks(tmp_path) as desks:
-            first, *others = desks
-            for desk in others:
-                kill_scheduling(desk)
+        async with run_gateways(tmp_path) as harnesses:
+            first, *others = harnesses
+            for harness in others:
+                kill_scheduling(harness)
             first.gateway.scheduling.scheduler = mock.Mock()
             statuses = [
-                (await first.ask(PATH, f'r-{number}'))[0] for number in range(6)
+                (await first.send(PATH, f'r-{number}'))[0]
+                for number in range(6)
             ]
             assert set(statuses) == {200}
             silent = [
                 line
-                for line in first.decisions('scheduled')
+                for line in first.log_lines('scheduled')
                 if line['outcome'] == 'silent'
             ]
             assert len(silent) <= 3
@@ -222,16 +223,16 @@
     async def check():
         engines = make_engines(readers=1)
         engines[0].faults.slow_read_s = 0.5
-        async with open_desks(tmp_path, engines) as desks:
-            first = desks[0]
-            state = find_state(desks[-1])
+        async with run_gateways(tmp_path, engines) as harnesses:
+            first = harnesses[0]
+            state = find_state(harnesses[-1])
             busy, queued = await queue_behind(first, state)
-            kill_scheduling(desks[-1])
+            kill_scheduling(harnesses[-1])
             answers = await asyncio.gather(busy, queued)
             assert {status for status, _, _ in answers} == {200}
             assert 'silent' in {
                 line['outcome']
-                for line in first.decisions('scheduled')
+                for line in first.log_lines('scheduled')
                 if line['request'] == 'r-2'
             }
 
@@ -242,13 +243,13 @@
     """The platform stops the scheduler, and the next one is tried."""
 
     async def check():
-        async with open_desks(tmp_path) as desks:
-            first = desks[0]
-            desks[-1].gateway.scheduling.scheduler.stopping = lambda: True
-            status, _, _ = await first.ask(PATH, 'r-1')
+        async with run_gateways(tmp_path) as harnesses:
+            first = harnesses[0]
+            harnesses[-1].gateway.scheduling.scheduler.stopping = lambda: True
+            status, _, _ = await first.send(PATH, 'r-1')
             assert status == 200
             outcomes = [
-                line['outcome'] for line in first.decisions('scheduled')
+                line['outcome'] for line in first.log_lines('scheduled')
             ]
             assert outcomes[-2:] == ['Declined', 'Assignment']
 
@@ -261,14 +262,14 @@
     async def check():
         engines = make_engines(readers=1)
         engines[0].faults.slow_read_s = 0.4
-        async with open_desks(tmp_path, engines) as desks:
-            first = desks[0]
-            state = find_state(desks[-1])
+        async with run_gateways(tmp_path, engines) as harnesses:
+            first = harnesses[0]
+            state = find_state(harnesses[-1])
             busy, queued = await queue_behind(first, state)
             queued.cancel()
-            await first.until(lambda: not state.queue.waiting)
+            await first.wait_until(lambda: not state.queue.waiting)
             await busy
-            await first.until(lambda: is_idle(desks[-1]))
+            await first.wait_until(lambda: is_idle(harnesses[-1]))
             read = [one['X-Verbenahall-Request-Id'] for one in engines[0].reads]
             assert 'r-2' not in read
 
@@ -283,17 +284,17 @@
     """
 
     async def check():
-        async with open_desks(tmp_path) as desks:
-            first = desks[0]
-            await first.ask(PATH, 'r-1')
-            reader = first.decisions('placed')[-1]['reader']
-            core = desks[-1].gateway.core
+        async with run_gateways(tmp_path) as harnesses:
+            first = harnesses[0]
+            await first.send(PATH, 'r-1')
+            reader = first.log_lines('placed')[-1]['reader']
+            core = harnesses[-1].gateway.core
             for engine in first.site.engines:
                 if engine.name == reader:
                     engine.faults.full = True
-            status, _, _ = await first.ask(PATH, 'r-2')
+            status, _, _ = await first.send(PATH, 'r-2')
             assert status == 200
-            await first.until(lambda: core.endpoint_health.has(reader))
+            await first.wait_until(lambda: core.endpoint_health.has(reader))
             assert core.endpoint_health.is_avoided(reader, core.now())
 
     run(check())
--- a/packages/verbenahall/tests/gateway/test_store.py
+++ b/packages/verbenahall/tests/gateway/test_store.py
@@ -16,18 +16,18 @@
     dump,
     make_engines,
     make_plain,
-    open_desk,
     run,
+    run_gateway,
 )
 
 
 def test_new_manifest_is_in_force_at_once(tmp_path):
     async def check():
-        async with open_desk(tmp_path, plain=make_plain(1)) as desk:
-            state = desk.gateway.core.catalog
-            desk.site.publish(routes=[])
-            await desk.until(lambda: state.catalog.version == 2, 0.5)
-            assert (await desk.ask('/archive/1'))[0] == 404
+        async with run_gateway(tmp_path, plain=make_plain(1)) as harness:
+            state = harness.gateway.core.catalog
+            harness.site.publish(routes=[])
+            await harness.wait_until(lambda: state.catalog.version == 2, 0.5)
+            assert (await harness.send('/archive/1'))[0] == 404
 
     run(check())
 
@@ -36,10 +36,12 @@
     # A manifest arrives that cannot be decoded. If it were applied in part,
     # callers of the routes that are missing from it would get a 404.
     async def check():
-        async with open_desk(tmp_path, plain=make_plain(1)) as desk:
-            desk.site.publish(routes=[{'name': 'half'}])
-            await desk.until(lambda: desk.decisions('manifest_unreadable'))
-            assert (await desk.ask('/archive/1', method='GET'))[0] == 200
+        async with run_gateway(tmp_path, plain=make_plain(1)) as harness:
+            harness.site.publish(routes=[{'name': 'half'}])
+            await harness.wait_until(
+                lambda: harness.log_lines('manifest_unreadable')
+            )
+            assert (await harness.send('/archive/1', method='GET'))[0] == 200
 
     run(check())
 
@@ -77,11 +79,13 @@
     # Another writer adds an entry that cannot be decoded. Requests must neither
     # be sent there nor fail because of it.
     async def check():
-        async with open_desk(tmp_path, plain=make_plain(1)) as desk:
-            desk.site.store.put('keyed.servers', 'odd', content)
-            await desk.until(lambda: desk.decisions('endpoint_unreadable'))
-            assert 'odd' not in desk.gateway.core.roster.listings
-            assert (await desk.ask('/archive/1', method='GET'))[0] == 200
+        async with run_gateway(tmp_path, plain=make_plain(1)) as harness:
+            harness.site.store.put('keyed.servers', 'odd', content)
+            await harness.wait_until(
+                lambda: harness.log_lines('endpoint_unreadable')
+            )
+            assert 'odd' not in harness.gateway.core.roster.listings
+            assert (await harness.send('/archive/1', method='GET'))[0] == 200
 
     run(check())
 
@@ -91,18 +95,20 @@
     # the store deletes history, so the list is read whole. The endpoint is
     # still listed and answers; if it were removed, callers would be refused.
     async def check():
-        async with open_desk(tmp_path, plain=make_plain(1)) as desk:
-            store = desk.site.store
+        async with run_gateway(tmp_path, plain=make_plain(1)) as harness:
+            store = harness.site.store
             store.faults.down = 503
-            await desk.until(lambda: desk.decisions('store_lost'))
+            await harness.wait_until(lambda: harness.log_lines('store_lost'))
             for _ in range(2):
                 store.put('keyed.servers', 'page-0', b'[]')
             store.forget('keyed.servers')
             store.faults.down = 0
-            await desk.until(lambda: desk.decisions('endpoint_unreadable'))
+            await harness.wait_until(
+                lambda: harness.log_lines('endpoint_unreadable')
+            )
             # Longer than an endpoint without an entry is kept.
             await asyncio.sleep(2)
-            assert (await desk.ask('/archive/1', method='GET'))[0] == 200
+            assert (await harness.send('/archive/1', method='GET'))[0] == 200
 
     run(check())
 
@@ -111,14 +117,14 @@
     # The store is down for minutes. Requests are served by the last known
     # state.
     async def check():
-        async with open_desk(tmp_path, plain=make_plain(1)) as desk:
-            desk.site.store.faults.down = 503
-            desk.site.publish()
-            await desk.until(lambda: desk.decisions('store_lost'))
-            assert (await desk.ask('/archive/1', method='GET'))[0] == 200
-            desk.site.store.faults.down = 0
-            state = desk.gateway.core.catalog
-            await desk.until(lambda: state.catalog.version == 2, 1.9)
+        async with run_gateway(tmp_path, plain=make_plain(1)) as harness:
+            harness.site.store.faults.down = 503
+            harness.site.publish()
+            await harness.wait_until(lambda: harness.log_lines('store_lost'))
+            assert (await harness.send('/archive/1', method='GET'))[0] == 200
+            harness.site.store.faults.down = 0
+            state = harness.gateway.core.catalog
+            await harness.wait_until(lambda: state.catalog.version == 2, 1.9)
 
     run(check())
 
@@ -127,16 +133,16 @@
     # The store deletes records that this instance has not read yet. If it kept
     # polling for them, it would never receive another change.
     async def check():
-        async with open_desk(tmp_path, plain=make_plain(1)) as desk:
-            store = desk.site.store
+        async with run_gateway(tmp_path, plain=make_plain(1)) as harness:
+            store = harness.site.store
             store.faults.down = 503
-            await desk.until(lambda: desk.decisions('store_lost'))
+            await harness.wait_until(lambda: harness.log_lines('store_lost'))
             for _ in range(3):
-                desk.site.publish()
+                harness.site.publish()
             store.forget('keyed.op')
             store.faults.down = 0
-            state = desk.gateway.core.catalog
-            await desk.until(lambda: state.catalog.version == 4, 1.9)
+            state = harness.gateway.core.catalog
+            await harness.wait_until(lambda: state.catalog.version == 4, 1.9)
 
     run(check())
 
@@ -150,17 +156,17 @@
     # role until the poll timed out.
     async def check():
         engines = make_engines()
-        async with open_desk(tmp_path, engines) as desk:
-            store = desk.site.store
-            roster = desk.gateway.core.roster
-            desk.site.list_endpoint(engines[0], slots=5)
-            await desk.until(
+        async with run_gateway(tmp_path, engines) as harness:
+            store = harness.site.store
+            roster = harness.gateway.core.roster
+            harness.site.list_endpoint(engines[0], slots=5)
+            await harness.wait_until(
                 lambda: roster.listings['reader-0'].entry.slots == 5,
             )
             store.faults.deaf = True
             await asyncio.sleep(0.05)
-            desk.site.list_endpoint(engines[1], slots=6)
-            await desk.until(
+            harness.site.list_endpoint(engines[1], slots=6)
+            await harness.wait_until(
                 lambda: roster.listings['reader-1'].entry.slots == 6,
                 1,
             )
@@ -172,11 +178,11 @@
     monkeypatch.setattr(followers, '_POLL_S', 0.5)
 
     async def check():
-        async with open_desk(tmp_path, plain=make_plain(1)) as desk:
+        async with run_gateway(tmp_path, plain=make_plain(1)) as harness:
             await asyncio.sleep(1)
-            before = sum(desk.site.store.calls.values())
+            before = sum(harness.site.store.calls.values())
             await asyncio.sleep(1)
-            assert sum(desk.site.store.calls.values()) - before <= 5
+            assert sum(harness.site.store.calls.values()) - before <= 5
 
     run(check())
 
@@ -187,9 +193,9 @@
     # one lease.
     async def check():
         engines = [EngineStandIn(f'e{n}', 'decode') for n in range(3)]
-        async with open_desk(tmp_path, engines) as one:
-            async with open_desk(tmp_path, name='front-2', site=one.site):
-                await one.until(
+        async with run_gateway(tmp_path, engines) as one:
+            async with run_gateway(tmp_path, name='front-2', site=one.site):
+                await one.wait_until(
                     lambda: sum(len(e.orders) for e in engines) == 2,
                     8,
                 )
@@ -208,22 +214,22 @@
     # instances stayed ready, they would refuse their callers for as long as
     # the partition lasts, though instances on the other side could serve them.
     async def check():
-        async with open_desk(tmp_path, make_engines()) as desk:
-            gateway = desk.gateway
+        async with run_gateway(tmp_path, make_engines()) as harness:
+            gateway = harness.gateway
             now = gateway.core.now
             for number in range(3):
                 add_peer(
                     gateway.core.peer_table, f'front-{number + 2}', '10.0.0.9:9'
                 )
             await asyncio.sleep(0.2)
-            assert await desk.is_ready()
+            assert await harness.is_ready()
             gateway.core.endpoint_health.record_unreachable(
                 'generator-0', now()
             )
-            await desk.site.engines[2].stop()
+            await harness.site.engines[2].stop()
             await asyncio.sleep(0.7)
-            assert not await desk.is_ready()
-            _, headers, _ = await desk.ask('/blurb/1')
+            assert not await harness.is_ready()
+            _, headers, _ = await harness.send('/blurb/1')
             assert headers['Connection'] == 'close'
 
     run(check())
@@ -233,8 +239,8 @@
     # All engines have crashed. The other instances can't serve requests either,
     # and if none were ready the balancer would have no instance left.
     async def check():
-        async with open_desk(tmp_path, make_engines()) as desk:
-            gateway = desk.gateway
+        async with run_gateway(tmp_path, make_engines()) as harness:
+            gateway = harness.gateway
             peer_table = gateway.core.peer_table
             add_peer(peer_table, 'front-2', '10.0.0.9:9')
             add_peer(peer_table, 'front-3', '10.0.0.8:9')
@@ -242,7 +248,7 @@
                 'generator-0',
                 gateway.core.now(),
             )
-            await desk.site.engines[2].stop()
+            await harness.site.engines[2].stop()
             for number in range(8):
                 record_heartbeat(
                     peer_table, 'front-2', number, gateway.core.now()
@@ -251,7 +257,7 @@
                     peer_table, 'front-3', number, gateway.core.now()
                 )
                 await asyncio.sleep(0.1)
-            assert await desk.is_ready()
+            assert await harness.is_ready()
 
     run(check())
 
@@ -261,16 +267,16 @@
     # never answered. While it waited for the poll to time out, an instance
     # served by an old manifest for seconds after the store had recovered.
     async def check():
-        async with open_desk(tmp_path, plain=make_plain(1)) as desk:
-            state = desk.gateway.core.catalog
-            desk.site.publish()
-            await desk.until(lambda: state.catalog.version == 2)
+        async with run_gateway(tmp_path, plain=make_plain(1)) as harness:
+            state = harness.gateway.core.catalog
+            harness.site.publish()
+            await harness.wait_until(lambda: state.catalog.version == 2)
             await asyncio.sleep(0.35)
-            desk.site.store.faults.silent = True
+            harness.site.store.faults.silent = True
             await asyncio.sleep(0.65)
-            desk.site.store.faults.silent = False
-            desk.site.publish()
-            await desk.until(lambda: state.catalog.version == 3, 2.9)
+            harness.site.store.faults.silent = False
+            harness.site.publish()
+            await harness.wait_until(lambda: state.catalog.version == 3, 2.9)
 
     run(check())
 
@@ -279,12 +285,14 @@
     # Endpoints are replaced all day, each under a new name. If their state
     # were kept, the instance would run out of memory and be killed.
     async def check():
-        async with open_desk(tmp_path, make_engines()) as desk:
-            core = desk.gateway.core
-            await desk.ask('/blurb/1')
+        async with run_gateway(tmp_path, make_engines()) as harness:
+            core = harness.gateway.core
+            await harness.send('/blurb/1')
             assert core.endpoint_health.has('generator-0')
-            desk.site.unlist('generator-0')
-            await desk.until(lambda: 'generator-0' not in core.roster.listings)
+            harness.site.unlist('generator-0')
+            await harness.wait_until(
+                lambda: 'generator-0' not in core.roster.listings
+            )
             assert not core.endpoint_health.has('generator-0')
             assert core.endpoint_health.has(
                 'reader-0'
@@ -299,15 +307,17 @@
     """A route is removed while the process is stalled."""
 
     async def check():
-        async with open_desk(tmp_path, plain=make_plain()) as desk:
-            host, _, port = desk.gateway.core.settings.callers.rpartition(':')
+        async with run_gateway(tmp_path, plain=make_plain()) as harness:
+            host, _, port = harness.gateway.core.settings.callers.rpartition(
+                ':'
+            )
             with socket.create_connection((host, int(port))) as caller:
                 caller.sendall(
                     f'GET /archive/1 HTTP/1.1\r\nHost: {HOST}\r\n'
                     f'{PREFIX}Request-Id: r-1\r\n\r\n'.encode(),
                 )
-                desk.site.publish(routes=[])
+                harness.site.publish(routes=[])
                 time.sleep(2.5)
-                await desk.until(lambda: desk.decisions('refused'))
+                await harness.wait_until(lambda: harness.log_lines('refused'))
 
     run(check())
--- a/packages/verbenahall/tests/gateway/test_waiting.py
+++ b/packages/verbenahall/tests/gateway/test_waiting.py
@@ -2,7 +2,7 @@
 
 import asyncio
 
-from .conftest import PREFIX, make_engines, open_desk, run
+from .conftest import PREFIX, make_engines, run, run_gateway
 
 #: A prompt whose prefill takes long enough for the next request to be queued.
 LONG = {
@@ -11,17 +11,17 @@
 }
 
 
-def ask_long(desk, identity, **changes):
+def send_long(harness, identity, **changes):
     headers = {**LONG, **changes}
-    return desk.ask('/summary/1', identity, headers=headers)
+    return harness.send('/summary/1', identity, headers=headers)
 
 
-async def start_queued(desk, identity='r-2', **changes):
+async def start_queued(harness, identity='r-2', **changes):
     """Send a request and queue another behind it; return both tasks."""
-    first = asyncio.create_task(ask_long(desk, 'r-1'))
-    await desk.until(lambda: desk.decisions('placed'))
-    second = asyncio.create_task(ask_long(desk, identity, **changes))
-    await desk.until(lambda: desk.decisions('queued'))
+    first = asyncio.create_task(send_long(harness, 'r-1'))
+    await harness.wait_until(lambda: harness.log_lines('placed'))
+    second = asyncio.create_task(send_long(harness, identity, **changes))
+    await harness.wait_until(lambda: harness.log_lines('queued'))
     return first, second
 
 
@@ -34,11 +34,11 @@
 def test_second_prompt_waits_and_is_served(tmp_path):
     async def check():
         engines = make_slow_engines()
-        async with open_desk(tmp_path, engines) as desk:
-            tasks = await start_queued(desk)
+        async with run_gateway(tmp_path, engines) as harness:
+            tasks = await start_queued(harness)
             answers = await asyncio.gather(*tasks)
             assert [status for status, _, _ in answers] == [200, 200]
-            queued = desk.decisions('queued')[0]
+            queued = harness.log_lines('queued')[0]
             assert queued['request'] == 'r-2'
             assert queued['waiting'] == 1
 
@@ -50,16 +50,18 @@
     # prefilled, which would delay the requests of other callers.
     async def check():
         engines = make_slow_engines()
-        async with open_desk(tmp_path, engines) as desk:
-            first, second = await start_queued(desk)
+        async with run_gateway(tmp_path, engines) as harness:
+            first, second = await start_queued(harness)
             second.cancel()
-            await desk.until(lambda: len(desk.decisions('answered')) == 1)
+            await harness.wait_until(
+                lambda: len(harness.log_lines('answered')) == 1
+            )
             status, _, _ = await first
             assert status == 200
             read = [one[f'{PREFIX}Request-Id'] for one in engines[0].reads]
             assert read == ['r-1']
-            load_table = desk.gateway.core.placement.load_table
-            await desk.until(lambda: not load_table.local_loads())
+            load_table = harness.gateway.core.placement.load_table
+            await harness.wait_until(lambda: not load_table.local_loads())
 
     run(check())
 
@@ -68,14 +70,14 @@
     # The expected wait in the queue exceeds the request's deadline, so it must
     # be refused at once rather than at the deadline.
     async def check():
-        async with open_desk(tmp_path, make_slow_engines(1.5)) as desk:
+        async with run_gateway(tmp_path, make_slow_engines(1.5)) as harness:
             changes = {f'{PREFIX}Deadline-Ms': '90'}
-            first = asyncio.create_task(ask_long(desk, 'r-1'))
-            await desk.until(lambda: desk.decisions('placed'))
-            status, headers, _ = await ask_long(desk, 'r-2', **changes)
+            first = asyncio.create_task(send_long(harness, 'r-1'))
+            await harness.wait_until(lambda: harness.log_lines('placed'))
+            status, headers, _ = await send_long(harness, 'r-2', **changes)
             assert status == 429
             assert float(headers['Retry-After']) > 0
-            given_up = desk.decisions('given_up')[0]
+            given_up = harness.log_lines('given_up')[0]
             assert given_up['ran'] == 'no'
             assert given_up['took_s'] < 0.06
             first.cancel()
@@ -88,10 +90,10 @@
     # a refusal has less of it left, and its objective counts from its first
     # attempt.
     async def check():
-        async with open_desk(tmp_path, make_slow_engines(0)) as desk:
-            await ask_long(desk, 'r-1')
-            await ask_long(desk, 'r-2', **{f'{PREFIX}Deadline-Ms': '2000'})
-            waited = [one['waited_s'] for one in desk.decisions('accepted')]
+        async with run_gateway(tmp_path, make_slow_engines(0)) as harness:
+            await send_long(harness, 'r-1')
+            await send_long(harness, 'r-2', **{f'{PREFIX}Deadline-Ms': '2000'})
+            waited = [one['waited_s'] for one in harness.log_lines('accepted')]
             assert waited == [0, 1]
 
     run(check())
@@ -102,11 +104,11 @@
     # for a retry counts as past its objective on arrival, and is queued behind
     # all others although it could be served in time.
     async def check():
-        async with open_desk(tmp_path, make_slow_engines(0)) as desk:
+        async with run_gateway(tmp_path, make_slow_engines(0)) as harness:
             for number, wait_ms in enumerate((3000, 2900, 2700, 2560)):
                 changes = {f'{PREFIX}Deadline-Ms': str(wait_ms)}
-                await ask_long(desk, f'r-{number}', **changes)
-            waited = [one['waited_s'] for one in desk.decisions('accepted')]
+                await send_long(harness, f'r-{number}', **changes)
+            waited = [one['waited_s'] for one in harness.log_lines('accepted')]
             assert waited == [0, 0, 0, 0]
 
     run(check())
