--- a/packages/verbenahall/src/verbenahall/gateway/_grants.py
+++ b/packages/verbenahall/src/verbenahall/gateway/_grants.py
@@ -9,31 +9,31 @@
 
 
 class Grant(Protocol):
-    """The engines of one request; reports its progress to their assigner."""
+    """The engines assigned to one request; records its progress."""
 
     @property
     def plan(self) -> Plan:
-        """Where the request goes."""
+        """The engines that prefill and decode the request."""
 
     @property
     def holds_decode(self) -> bool:
         """Whether a place at the decode engine is reserved."""
 
     def start(self) -> None:
-        """Report that the request is sent now."""
+        """Record that the request is sent now."""
 
     def record_prefill(self, seconds: float) -> None:
-        """Report that the prefill took ``seconds``."""
+        """Record the end of the prefill, which took ``seconds``."""
 
     def record_first_event(self, handover_s: float) -> None:
-        """Report the first event.
+        """Record the first event.
 
         ``handover_s`` is the time from the send of the KV cache handle to the
         decode engine until now, 0 for a send without a handle.
         """
 
     def end(self, *, step_s: float = 0, refused: str = '') -> None:
-        """Report that the request uses no engine any more; idempotent.
+        """Release the engines; further calls have no effect.
 
         ``step_s`` is the time between two tokens, 0 if unknown, and
         ``refused`` the name of the engine that refused the request, if any.
@@ -65,7 +65,7 @@
 
     @property
     def plan(self) -> Plan:
-        """Where the request goes."""
+        """The engines that prefill and decode the request."""
         return self._admitted.plan
 
     def start(self) -> None:
--- a/packages/verbenahall/src/verbenahall/gateway/_prefill_queues.py
+++ b/packages/verbenahall/src/verbenahall/gateway/_prefill_queues.py
@@ -21,9 +21,9 @@
     enqueue,
 )
 
-#: Interval in seconds at which queues are processed, beside at the end of each
-#: local prefill: prefills of peers end as well, and requests that have waited
-#: too long must be refused.
+#: Interval in seconds at which queues are processed, in addition to the end of
+#: each local prefill: prefills of peers end as well, and requests that have
+#: waited too long must be refused.
 _POLL_S: Final = 0.02
 
 AdmitResult = Result[Admitted, Problem]
--- a/packages/verbenahall/src/verbenahall/gateway/_scheduled_grants.py
+++ b/packages/verbenahall/src/verbenahall/gateway/_scheduled_grants.py
@@ -63,7 +63,7 @@
         self._core.placement.load_table.close(self._flight)
 
     def record_prefill(self, seconds: float) -> None:
-        """Report the end of the prefill, which took so many seconds."""
+        """Report the end of the prefill, which took ``seconds``."""
         self._send(Prefilled(self._channel.key, seconds))
 
     def record_first_event(self, handover_s: float) -> None:
--- a/packages/verbenahall/src/verbenahall/gateway/_scheduler.py
+++ b/packages/verbenahall/src/verbenahall/gateway/_scheduler.py
@@ -109,7 +109,7 @@
         self,
         progress: Prefilled | FirstEvent | Released,
     ) -> None:
-        """Record the progress of an assignment, and reuse what it releases."""
+        """Record the progress of an assignment, and assign the freed room."""
         for scope, state in self._states.items():
             if progress.key in state.assigned or progress.key in state.waiting:
                 self._record_progress(scope, state, progress)
@@ -241,7 +241,8 @@
 class SchedulingTransport:
     """Carries messages between schedulers and their clients.
 
-    Both the local scheduler and those of the peers are addressed by it.
+    Messages between the scheduler and the client of this instance bypass the
+    network.
     """
 
     __slots__ = ('scheduler', 'scheduler_client', '_exchange', '_local_address')
--- a/packages/verbenahall/src/verbenahall/gateway/_scheduler_client.py
+++ b/packages/verbenahall/src/verbenahall/gateway/_scheduler_client.py
@@ -60,9 +60,9 @@
 
 @final
 class SchedulerClient:
-    """Has requests placed by the schedulers of a large fleet.
+    """Requests engine assignments from the schedulers of a large fleet.
 
-    In a small fleet each instance places its requests by itself.
+    In a small fleet each instance chooses engines by itself.
     """
 
     __slots__ = (
@@ -103,7 +103,7 @@
     ) -> Maybe[Result[ScheduledGrant, Problem]]:
         """Return the assigned engines, or why the request cannot be served.
 
-        Nothing means that this instance has to place the request by itself:
+        Nothing means that this instance has to choose engines by itself:
         in a small fleet it knows the whole load, and in a large one all
         schedulers may be unreachable.
         """
@@ -152,12 +152,12 @@
         now = self._core.now()
         peer_table = self._core.peer_table
         avoided = self._health.list_unresponsive(now)
-        most = (
+        max_tries = (
             _MAX_LOCAL_TRIES
             if is_local(group, peer_table)
             else _MAX_REMOTE_TRIES
         )
-        return rank_schedulers(group, peer_table, now, avoided)[:most]
+        return rank_schedulers(group, peer_table, now, avoided)[:max_tries]
 
     async def _request_from_scheduler(
         self,
--- a/packages/verbenahall/src/verbenahall/placement/_load_table.py
+++ b/packages/verbenahall/src/verbenahall/placement/_load_table.py
@@ -54,7 +54,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class InFlight:
-    """An open request at an engine: its number and what it occupies."""
+    """An open request at an engine, and the load that it adds there."""
 
     number: int
     engine: str
@@ -96,9 +96,9 @@
     def __init__(self) -> None:
         """Start with no open work.
 
-        ``scale`` is the number of instances for each one that reports to this
-        one. In a large fleet only a sample of the peers reports here, and the
-        others are assumed to send the same load.
+        ``scale`` is the ratio of all instances to those whose load is counted
+        here. In a large fleet only a sample of the peers reports to this
+        instance, and the others are assumed to send the same load.
         """
         self.scale: float = 1
         self._open_sends: dict[int, InFlight] = {}
--- a/packages/verbenahall/src/verbenahall/scheduling/__init__.py
+++ b/packages/verbenahall/src/verbenahall/scheduling/__init__.py
@@ -4,10 +4,10 @@
 chooses engines by itself. In a large fleet each one sees a small sample of the
 load: engines that look idle get the prompts of many instances at once, and the
 requests have no common order. So the engines are divided into groups, and one
-instance schedules each group. The others ask it by datagram where to prefill
-and decode a request, and report the progress. They send the request to the
-engines themselves, so no request is lost with a scheduler, and an instance
-that gets no answer chooses engines by itself.
+instance schedules each group. The others request engines from it by datagram
+and report the progress of their requests. They send the requests to the engines
+themselves, so no request is lost with a scheduler, and an instance that gets no
+answer chooses engines by itself.
 """
 
 from verbenahall.scheduling._decisions import (
--- a/packages/verbenahall/src/verbenahall/scheduling/_decisions.py
+++ b/packages/verbenahall/src/verbenahall/scheduling/_decisions.py
@@ -41,8 +41,8 @@
 #: Before that, it may have replaced another scheduler, under which the engines
 #: have prefilled most prefixes.
 _CACHES_COMPLETE_S: Final = 5.0
-#: An instance that died reports no end of its requests. Their load is released
-#: this long after the deadline, in seconds.
+#: Time in seconds after the deadline of a request at which its load is released
+#: if no end was reported, because its instance has crashed.
 _GRACE_S: Final = 0.5
 
 Replies = Sequence[Reply]
--- a/packages/verbenahall/src/verbenahall/scheduling/_groups.py
+++ b/packages/verbenahall/src/verbenahall/scheduling/_groups.py
@@ -66,8 +66,8 @@
     names = _name_groups(engines)
     decoding = {names[one.name] for one in engines if one.role is Role.DECODE}
     prefilling = [one.name for one in engines if one.role is Role.PREFILL]
-    holders = [name for name in prefilling if names[name] in decoding]
-    ranked = rank_by_rendezvous(work.affinity_key, holders)
+    candidates = [name for name in prefilling if names[name] in decoding]
+    ranked = rank_by_rendezvous(work.affinity_key, candidates)
     groups = dict.fromkeys(names[name] for name in ranked)
     ordered = [*groups, *sorted(decoding - groups.keys())]
     local = [
--- a/packages/verbenahall/src/verbenahall/scheduling/_messages.py
+++ b/packages/verbenahall/src/verbenahall/scheduling/_messages.py
@@ -108,7 +108,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Released:
-    """No work of the request is open at the engines any more.
+    """The request has no open work at the engines any more.
 
     ``step_s`` is the decode step time measured in its stream, 0 if unknown,
     and ``refused`` the name of the engine that refused the work, if one did.
