--- a/packages/standins/src/verbenahall_standins/replay.py
+++ b/packages/standins/src/verbenahall_standins/replay.py
@@ -95,11 +95,11 @@
         tokens = work.prompt_tokens
         tokens -= sum(
             part.tokens
-            for part in work.shared
+            for part in work.shared_parts
             if part.identity in self.cached_parts
         )
         self.whole += work.prompt_tokens
-        self.cached_parts.update(part.identity for part in work.shared)
+        self.cached_parts.update(part.identity for part in work.shared_parts)
         self.read += tokens
         self.open[number] = PREFILL_START_S + tokens * S_PER_TOKEN / self.speed
 
@@ -233,13 +233,13 @@
 
     def _send_heartbeats(self, now):
         for one in self.instances:
-            totals = dict(one.state.ledger.own())
+            totals = dict(one.state.load_table.local_loads())
             for other in self.instances[
                 one.number % self.sample :: self.sample
             ]:
-                other.state.ledger.scale = self.sample
+                other.state.load_table.scale = self.sample
                 if other is not one:
-                    other.state.ledger.hear(one.name, totals, now)
+                    other.state.load_table.set_peer_loads(one.name, totals, now)
 
     def _end_prefills(self, engine, version, now):
         if engine.version != version:
@@ -265,18 +265,18 @@
             itertools.cycle(_TIMED_PROMPTS), _TIMED_PREFILLS
         ):
             seconds = PREFILL_START_S + tokens * S_PER_TOKEN
-            self.state.learn_read(tokens, _CACHED_TOKENS, seconds)
+            self.state.record_prefill_time(tokens, _CACHED_TOKENS, seconds)
         self.queue = PrefillQueue()
         self.arrived = {}
 
     def handle_request(self, work, load, queued, now):
         """Queue a request, or send it at once if not ``queued``."""
-        wanted = PlacementRequest(work, 0.2)
+        placement_request = PlacementRequest(work, 0.2)
         pending = QueuedRequest(
             request=f'r{next(self.replay.numbers)}',
-            wanted=wanted,
+            placement_request=placement_request,
             priority=load.priority,
-            since=now,
+            queued_at=now,
             due_at=now + load.objective_s,
             objective_s=load.objective_s,
             leaves_at=now + load.patience_s,
@@ -289,9 +289,9 @@
             self.dispatch_waiting(now)
             return
         plan = self._fleet().place(pending, now).unwrap()
-        reader = (plan.reader or plan.generator).name
-        totals = Totals(reading=plan.missing)
-        flight = self.state.ledger.open(reader, totals)
+        prefill_engine = (plan.prefill_engine or plan.decode_engine).name
+        totals = Totals(prefill_tokens=plan.missing)
+        flight = self.state.load_table.open(prefill_engine, totals)
         self._send(pending, plan, flight, now)
 
     def dispatch_waiting(self, now):
@@ -305,8 +305,8 @@
         """Record the end of a prefill."""
         pending, flight, sent_at = admitted
         took = now + HANDOVER_S - sent_at
-        self.queue.note_first(pending, took, now)
-        self.state.ledger.close(flight)
+        self.queue.record_first_event(pending, took, now)
+        self.state.load_table.close(flight)
         outcome = self.replay.outcome
         waited = now + HANDOVER_S - self.arrived[pending]
         if now < pending.leaves_at:
@@ -323,13 +323,13 @@
             outcome.held.append(now - self.arrived[pending])
 
     def _send(self, pending, plan, flight, now):
-        reader = plan.reader or plan.generator
-        engine = self.replay.engines[reader.name]
+        prefill_engine = plan.prefill_engine or plan.decode_engine
+        engine = self.replay.engines[prefill_engine.name]
         engine.start_prefill(
-            (self, (pending, flight, now)), pending.wanted.work, now
+            (self, (pending, flight, now)), pending.placement_request.work, now
         )
-        self.state.cache_of(reader, TRAITS.kv_tokens).note(
-            pending.wanted.work.parts
+        self.state.find_cache(prefill_engine, TRAITS.kv_tokens).record(
+            pending.placement_request.work.parts
         )
         self.replay.watch(engine)
 
--- a/packages/verbenahall/src/verbenahall/gateway/_generation.py
+++ b/packages/verbenahall/src/verbenahall/gateway/_generation.py
@@ -9,7 +9,7 @@
 from verbenahall.gateway._core import Core
 from verbenahall.gateway._grants import Grant
 from verbenahall.gateway._messages import Answered, Call, StreamEnded
-from verbenahall.gateway._reads import CacheHandle
+from verbenahall.gateway._prefill_calls import CacheHandle
 from verbenahall.gateway._relay import EventRelay
 from verbenahall.gateway._sender import SUCCESS_STATUSES, Opened, Sender
 from verbenahall.placement import InFlight, Plan, Totals
@@ -69,26 +69,28 @@
         """
         self._grant: Grant = grant
         options = self._make_options(plan, handle)
-        ledger = self._core.placement.ledger
+        load_table = self._core.placement.load_table
         self._handed_over = handle is not None
-        self._flight = ledger.open(
-            plan.generator.name,
+        self._flight = load_table.open(
+            plan.decode_engine.name,
             Totals(
-                reading=0 if handle else plan.missing,
-                context=self._call.ask.work.context_tokens,
+                prefill_tokens=0 if handle else plan.missing,
+                held_tokens=self._call.head.work.context_tokens,
                 streams=1,
             ),
         )
         self._sent_at = self._core.now()
         until = self._relay.find_idle_deadline(resumable=resumable)
-        sending = self._sender.open(self._call, plan.generator, options, until)
+        sending = self._sender.open(
+            self._call, plan.decode_engine, options, until
+        )
         try:
             async with sending as opened:
                 result = await self._handle_opened(
                     plan, options, opened, resumable
                 )
         finally:
-            ledger.close(self._flight)
+            load_table.close(self._flight)
         ended = result.value_or(None)
         if isinstance(ended, StreamEnded):
             self._record_completion(plan, ended)
@@ -99,7 +101,7 @@
     ) -> SendOptions:
         call = self._call
         return SendOptions(
-            plan.generator.name,
+            plan.decode_engine.name,
             call.left_s(self._core.now()),
             priority=call.priority,
             kv_source=handle.source if handle else '',
@@ -130,7 +132,7 @@
     ) -> Generated:
         """Relay a stream, or return an error answer whole."""
         call = self._call
-        engine = plan.generator
+        engine = plan.decode_engine
         if response.status not in SUCCESS_STATUSES:
             return await self._sender.read_whole(
                 call,
@@ -165,12 +167,12 @@
         """
         self._count_usage()
         placement = self._core.placement
-        self._flight = placement.ledger.note_read(self._flight)
+        self._flight = placement.load_table.record_prefill_end(self._flight)
         now = self._core.now()
         handover_s = now - self._sent_at if self._handed_over else 0
-        self._grant.note_first(handover_s)
+        self._grant.record_first_event(handover_s)
         if handover_s:
-            placement.handover.note(handover_s, now)
+            placement.handover.observe(handover_s, now)
 
     def _count_usage(self) -> None:
         """Count the request in its workspace's usage, once for all attempts."""
@@ -183,16 +185,20 @@
         call = self._call
         timing = ended.timing
         now = self._core.now()
-        self._sender.record_outcome(plan.generator, good=True)
+        self._sender.record_outcome(plan.decode_engine, good=True)
         self._core.observer.record_answered(call.fingerprint)
         placement = self._core.placement
-        placement.note_kept(plan.generator, call.ask.work, call.service)
+        placement.record_cached(
+            plan.decode_engine, call.head.work, call.service
+        )
         if ended.step_s:
-            placement.step_of(plan.generator.name).note(ended.step_s, now)
+            placement.find_step_time(plan.decode_engine.name).observe(
+                ended.step_s, now
+            )
         journal.write_decision(
             'generated',
-            request=call.ask.identity,
-            engine=plan.generator.name,
+            request=call.head.identity,
+            engine=plan.decode_engine.name,
             events=timing.events,
             first_s=journal.round_seconds(
                 (timing.first_at or now) - self._sent_at
--- a/packages/verbenahall/src/verbenahall/gateway/_reads.py
+++ b/packages/verbenahall/src/verbenahall/gateway/_prefill_calls.py
@@ -67,9 +67,11 @@
             prefill_only=True,
         )
         timeout_at = now + _TIMEOUT_MARGIN_S + plan.wait_s * _TIMEOUT_FACTOR
-        ledger = self._core.placement.ledger
-        tokens_ahead = ledger.totals(prefill_engine.name).reading
-        flight = ledger.open(prefill_engine.name, Totals(reading=plan.missing))
+        load_table = self._core.placement.load_table
+        tokens_ahead = load_table.totals(prefill_engine.name).prefill_tokens
+        flight = load_table.open(
+            prefill_engine.name, Totals(prefill_tokens=plan.missing)
+        )
         try:
             result = await self._sender.exchange(
                 call,
@@ -78,7 +80,7 @@
                 min(call.deadline, timeout_at),
             )
         finally:
-            ledger.close(flight)
+            load_table.close(flight)
         prefilled = _decode_handle(result)
         if isinstance(prefilled, Success):
             self._record_prefill(
@@ -88,14 +90,14 @@
             lambda prompt: CacheHandle(prefill_engine, prompt.handle)
         )
 
-    def free(self, handle: CacheHandle) -> None:
+    def free_handle(self, handle: CacheHandle) -> None:
         """Free a handle in the background.
 
         An unused handle would occupy the engine's memory for seconds, and the
         engine would refuse other requests for lack of memory.
         """
         calls = self._core.engines
-        self._core.spawn(calls.free(handle.engine, handle.name))
+        self._core.spawn(calls.free_handle(handle.engine, handle.name))
 
     def _record_prefill(
         self,
@@ -105,14 +107,14 @@
         tokens_ahead: int,
         seconds: float,
     ) -> None:
-        cached_tokens = call.ask.work.prompt_tokens - plan.missing
+        cached_tokens = call.head.work.prompt_tokens - plan.missing
         if not tokens_ahead:
-            self._core.placement.learn_read(
+            self._core.placement.record_prefill_time(
                 plan.missing, cached_tokens, seconds
             )
         journal.write_decision(
             'read',
-            request=call.ask.identity,
+            request=call.head.identity,
             engine=prefill_engine.name,
             missing=plan.missing,
             kept=cached_tokens,
@@ -122,8 +124,8 @@
         metrics.READ_SECONDS.observe(seconds)
         metrics.READ_TOKENS.add('missing', count=plan.missing)
         metrics.READ_TOKENS.add('kept', count=cached_tokens)
-        self._core.placement.note_kept(
-            prefill_engine, call.ask.work, call.service
+        self._core.placement.record_cached(
+            prefill_engine, call.head.work, call.service
         )
 
 
--- a/packages/verbenahall/src/verbenahall/gateway/_prefill_queues.py
+++ b/packages/verbenahall/src/verbenahall/gateway/_prefill_queues.py
@@ -21,9 +21,9 @@
     enqueue,
 )
 
-#: Interval in seconds at which queues are processed, beside at the end of each
-#: local prefill: prefills of peers end as well, and requests that have waited
-#: too long must be refused.
+#: Interval in seconds at which queues are processed, in addition to the end of
+#: each local prefill: prefills of peers end as well, and requests that have
+#: waited too long must be refused.
 _POLL_S: Final = 0.02
 
 AdmitResult = Result[Admitted, Problem]
@@ -45,22 +45,22 @@
     async def admit(
         self,
         call: Call,
-        wanted: PlacementRequest,
+        placement_request: PlacementRequest,
         tried: frozenset[str],
     ) -> AdmitResult:
         """Wait to be admitted.
 
-        The caller must close the reservation in the ledger that it gets.
+        The caller must close the reservation in the load table that it gets.
         """
         now = self._core.now()
         pending = QueuedRequest(
-            call.ask.identity,
-            wanted,
+            call.head.identity,
+            placement_request,
             call.priority,
-            since=now,
-            due_at=call.due,
+            queued_at=now,
+            due_at=call.due_at,
             objective_s=call.route.objective_s,
-            leaves_at=call.leaves,
+            leaves_at=call.leaves_at,
             returning=call.waited_s > 0,
             tried=tried,
         )
@@ -83,7 +83,7 @@
             queue.remove(pending)
             self._futures.pop(pending)
 
-    def note_first(
+    def record_first_event(
         self, call: Call, pending: QueuedRequest, sent_at: float
     ) -> None:
         """Record the time to the first event of an admitted request.
@@ -92,7 +92,7 @@
         """
         now = self._core.now()
         queue = self._queues[call.service.name]
-        queue.note_first(pending, now - sent_at, now)
+        queue.record_first_event(pending, now - sent_at, now)
 
     def admit_waiting(self, service: Service) -> None:
         """Admit waiting requests that an engine has room for."""
@@ -140,7 +140,7 @@
 
     def _release(self, outcome: AdmitResult) -> None:
         if isinstance(outcome, Success):
-            self._core.placement.ledger.close(outcome.unwrap().flight)
+            self._core.placement.load_table.close(outcome.unwrap().flight)
 
     def _describe_fleet(self, service: Service, now: float) -> Fleet:
         core = self._core
@@ -169,10 +169,10 @@
         now = self._core.now()
         journal.write_decision(
             'queued',
-            request=call.ask.identity,
+            request=call.head.identity,
             waiting=len(queue.waiting),
             late=pending.is_late(now),
             returning=pending.returning,
-            lead_s=journal.round_seconds(pending.lead_s),
+            lead_s=journal.round_seconds(pending.expected_first_s),
             due_s=journal.round_seconds(pending.due_at - now),
         )
--- a/packages/verbenahall/src/verbenahall/gateway/_relay.py
+++ b/packages/verbenahall/src/verbenahall/gateway/_relay.py
@@ -31,7 +31,7 @@
 
     def __init__(self, request: web.Request, call: Call, now: Clock) -> None:
         """Store the arguments; nothing is sent yet."""
-        self.state = EventState(call.ask.last_event)
+        self.state = EventState(call.head.last_event)
         self._request = request
         self._call = call
         self._clock = now
@@ -45,13 +45,13 @@
     async def pump(
         self,
         response: ClientResponse,
-        note_first: Callable[[], None],
+        record_first_event: Callable[[], None],
         *,
         resumable: bool,
     ) -> StreamTiming:
         """Relay an engine's stream to its end; return its timing.
 
-        ``note_first`` is called at the engine's first new event. Raises
+        ``record_first_event`` is called at the engine's first new event. Raises
         ``TimeoutError`` when the stream stalls, ``ClientPayloadError`` when it
         ends inside an event, and other errors when the connection breaks.
         """
@@ -64,7 +64,7 @@
             step = feed(self.state, piece)
             if step.events:
                 if not timing.events:
-                    note_first()
+                    record_first_event()
                 self._record_timing(timing, step.events)
                 await self._write(response, step.data)
         if self.state.partial:
--- a/packages/verbenahall/src/verbenahall/gateway/_scheduler.py
+++ b/packages/verbenahall/src/verbenahall/gateway/_scheduler.py
@@ -9,8 +9,8 @@
 
 from verbenahall import journal
 from verbenahall.catalog import Service
-from verbenahall.gateway._assignments import Assignments
 from verbenahall.gateway._core import Core
+from verbenahall.gateway._scheduler_client import SchedulerClient
 from verbenahall.peers import PeerExchange
 from verbenahall.placement import Fleet
 from verbenahall.scheduling import (
@@ -25,13 +25,13 @@
     Reply,
     ScheduleRequest,
     SchedulerState,
+    assign_waiting,
     decode,
     encode,
-    expire,
-    list_group,
-    look,
-    note,
-    receive,
+    expire_assignments,
+    list_group_engines,
+    receive_request,
+    record_progress,
 )
 
 #: Interval at which queues are processed without an event, in seconds, so that
@@ -85,7 +85,7 @@
             await asyncio.sleep(_EXPIRE_S)
             now = self._core.now()
             for state in self._states.values():
-                expire(state, now)
+                expire_assignments(state, now)
 
     def receive_request(self, request: ScheduleRequest, caller: str) -> None:
         """Schedule a request of the instance at an address."""
@@ -98,7 +98,9 @@
         now = self._core.now()
         fleet = self._describe_fleet(state, service, request.group)
         self._send_replies(
-            receive(state, request, caller, fleet, now, self._core.random),
+            receive_request(
+                state, request, caller, fleet, now, self._core.random
+            ),
             state,
         )
         self._schedule_run(scope)
@@ -107,7 +109,7 @@
         self,
         progress: Prefilled | FirstEvent | Released,
     ) -> None:
-        """Record the progress of an assignment, and reuse what it releases."""
+        """Record the progress of an assignment, and assign the freed room."""
         for scope, state in self._states.items():
             if progress.key in state.assigned or progress.key in state.waiting:
                 self._record_progress(scope, state, progress)
@@ -116,7 +118,7 @@
     def _find_state(self, scope: _Scope) -> SchedulerState:
         state = self._states.get(scope)
         if state is None:
-            placement = self._core.placement.without_load()
+            placement = self._core.placement.copy_without_load()
             state = SchedulerState(placement, self._core.now())
             self._states[scope] = state
         return state
@@ -131,7 +133,7 @@
         if service is None:
             return
         now = self._core.now()
-        note(state, progress, service, now)
+        record_progress(state, progress, service, now)
         if isinstance(progress, Released) and progress.refused:
             self._core.endpoint_health.record_refusal(progress.refused, now)
         self._schedule_run(scope)
@@ -166,7 +168,9 @@
         now = self._core.now()
         self._processed_at[scope] = now
         fleet = self._describe_fleet(state, service, scope[1])
-        self._send_replies(look(state, fleet, now, self._core.random), state)
+        self._send_replies(
+            assign_waiting(state, fleet, now, self._core.random), state
+        )
         self._schedule_run(scope, _QUEUE_INTERVAL_S)
 
     def _describe_fleet(
@@ -178,7 +182,7 @@
         usable = self._core.list_usable(service.name, self._core.now())
         return Fleet(
             state.placement,
-            list_group(group, usable),
+            list_group_engines(group, usable),
             service.engine,
             len(state.queue.waiting),
         )
@@ -234,19 +238,20 @@
 
 
 @final
-class Scheduling:
+class SchedulingTransport:
     """Carries messages between schedulers and their clients.
 
-    Both the local scheduler and those of the peers are addressed by it.
+    Messages between the scheduler and the client of this instance bypass the
+    network.
     """
 
-    __slots__ = ('assignments', 'scheduler', '_exchange', '_local_address')
+    __slots__ = ('scheduler', 'scheduler_client', '_exchange', '_local_address')
 
     def __init__(self, core: Core, exchange: PeerExchange) -> None:
         """Send and receive datagrams by the exchange between peers."""
         self._local_address = core.settings.peer_address
         self._exchange = exchange
-        self.assignments = Assignments(core, self.send)
+        self.scheduler_client = SchedulerClient(core, self.send)
         self.scheduler = Scheduler(core, self.send)
         exchange.fallback_handler = self.receive_datagram
 
@@ -274,4 +279,4 @@
             case Prefilled() | FirstEvent() | Released():
                 self.scheduler.receive_progress(message)
             case Queued() | Assignment() | Rejection() | Declined():
-                self.assignments.receive(message, sender)
+                self.scheduler_client.receive(message, sender)
--- a/packages/verbenahall/src/verbenahall/gateway/_assignments.py
+++ b/packages/verbenahall/src/verbenahall/gateway/_scheduler_client.py
@@ -29,7 +29,7 @@
     Released,
     ScheduleRequest,
     SchedulerHealth,
-    is_near,
+    is_local,
     needs_scheduler,
     rank_groups,
     rank_schedulers,
@@ -59,10 +59,10 @@
 
 
 @final
-class Assignments:
-    """Has requests placed by the schedulers of a large fleet.
+class SchedulerClient:
+    """Requests engine assignments from the schedulers of a large fleet.
 
-    In a small fleet each instance places its requests by itself.
+    In a small fleet each instance chooses engines by itself.
     """
 
     __slots__ = (
@@ -95,15 +95,15 @@
             # engines' slots would stay reserved until its deadline.
             self._send(scheduler, Released(message.key))
 
-    async def ask(
+    async def request_assignment(
         self,
         call: Call,
-        wanted: PlacementRequest,
+        placement_request: PlacementRequest,
         tried: frozenset[str],
     ) -> Maybe[Result[ScheduledGrant, Problem]]:
         """Return the assigned engines, or why the request cannot be served.
 
-        Nothing means that this instance has to place the request by itself:
+        Nothing means that this instance has to choose engines by itself:
         in a small fleet it knows the whole load, and in a large one all
         schedulers may be unreachable.
         """
@@ -113,12 +113,12 @@
         usable = self._core.list_usable(call.service.name, now)
         found: Maybe[Result[ScheduledGrant, Problem]] = Nothing
         local_centre = self._core.settings.data_centre
-        skipped = self._groups.list_silent(now)
-        for group in rank_groups(wanted.work, usable, local_centre):
+        skipped = self._groups.list_unresponsive(now)
+        for group in rank_groups(placement_request.work, usable, local_centre):
             if group in skipped:
                 continue
             answer = await self._request_from_group(
-                _GroupRequest(call, wanted, tried, group),
+                _GroupRequest(call, placement_request, tried, group),
             )
             match answer:
                 case Some(Success(_)):
@@ -136,7 +136,7 @@
                 group_request, scheduler
             )
             if answer is not None:
-                self._groups.note_answer(group_request.group)
+                self._groups.record_answer(group_request.group)
                 self._misses.pop(group_request.group, None)
             match answer:
                 case Assignment():
@@ -145,19 +145,19 @@
                     return _read_rejection(answer)
         self._misses[group_request.group] += 1
         if self._misses[group_request.group] >= _MAX_MISSES:
-            self._groups.note_silence(group_request.group, self._core.now())
+            self._groups.record_timeout(group_request.group, self._core.now())
         return Nothing
 
     def _list_schedulers(self, group: str) -> Sequence[str]:
         now = self._core.now()
         peer_table = self._core.peer_table
-        avoided = self._health.list_silent(now)
-        most = (
+        avoided = self._health.list_unresponsive(now)
+        max_tries = (
             _MAX_LOCAL_TRIES
-            if is_near(group, peer_table)
+            if is_local(group, peer_table)
             else _MAX_REMOTE_TRIES
         )
-        return rank_schedulers(group, peer_table, now, avoided)[:most]
+        return rank_schedulers(group, peer_table, now, avoided)[:max_tries]
 
     async def _request_from_scheduler(
         self,
@@ -208,7 +208,7 @@
         """Return a key that is unique in the fleet."""
         instance = self._core.settings.name
         number = str(next(self._numbers))
-        return '/'.join((call.ask.identity, instance, number))
+        return '/'.join((call.head.identity, instance, number))
 
     def _record_outcome(
         self,
@@ -218,13 +218,13 @@
         waited_s: float,
     ) -> None:
         if answer is None or isinstance(answer, Declined):
-            self._health.note_silence(scheduler, self._core.now())
+            self._health.record_timeout(scheduler, self._core.now())
         else:
-            self._health.note_answer(scheduler)
+            self._health.record_answer(scheduler)
         metrics.QUEUE_SECONDS.observe(waited_s)
         journal.write_decision(
             'scheduled',
-            request=group_request.call.ask.identity,
+            request=group_request.call.head.identity,
             scheduler=scheduler,
             group=group_request.group,
             outcome=type(answer).__name__ if answer else 'silent',
@@ -261,9 +261,9 @@
             f'{group_request.group} {assignment.reason}',
             assignment.ahead_s,
         )
-        flight = self._core.placement.ledger.open(
+        flight = self._core.placement.load_table.open(
             (prefill or decode).name,
-            Totals(reading=assignment.missing),
+            Totals(prefill_tokens=assignment.missing),
         )
         channel = AssignmentChannel(self._send, address, assignment.key)
         return Some(Success(ScheduledGrant(self._core, plan, flight, channel)))
@@ -274,7 +274,7 @@
     """A request for engines of one group."""
 
     call: Call
-    wanted: PlacementRequest
+    placement_request: PlacementRequest
     tried: frozenset[str]
     group: str
 
@@ -285,12 +285,12 @@
             key=key,
             service=call.service.name,
             group=self.group,
-            work=self.wanted.work,
-            gap_s=self.wanted.gap_s,
+            work=self.placement_request.work,
+            gap_s=self.placement_request.gap_s,
             priority=call.priority,
-            due_s=call.due - now,
+            due_s=call.due_at - now,
             objective_s=call.route.objective_s,
-            leaves_s=call.leaves - now,
+            leaves_s=call.leaves_at - now,
             deadline_s=call.left_s(now),
             returning=call.waited_s > 0,
             tried=tuple(self.tried),
--- a/packages/verbenahall/src/verbenahall/gateway/_streams.py
+++ b/packages/verbenahall/src/verbenahall/gateway/_stream_flow.py
@@ -15,7 +15,7 @@
 from verbenahall.gateway._generation import Generated, Generation
 from verbenahall.gateway._grants import Grant, UnqueuedGrant
 from verbenahall.gateway._messages import Answered, Call, StreamEnded
-from verbenahall.gateway._reads import CacheHandle, PrefillCalls
+from verbenahall.gateway._prefill_calls import CacheHandle, PrefillCalls
 from verbenahall.gateway._relay import EventRelay
 from verbenahall.gateway._sender import Sender
 from verbenahall.placement import PlacementRequest, Plan, place
@@ -76,7 +76,7 @@
             return await self._run(dispatch)
         finally:
             self._release()
-            metrics.ATTEMPTS.add(str(self._attempts.begun))
+            metrics.ATTEMPTS.add(str(self._attempts.started))
 
     async def _run(self, dispatch: Dispatch) -> web.StreamResponse:
         final_answer: web.StreamResponse | None = None
@@ -102,9 +102,11 @@
         """
         if self._kv_handle or self._attempts.runs or self._relay.begun:
             return self._place().map(UnqueuedGrant)
-        wanted = PlacementRequest(self._call.ask.work, self._call.route.gap_s)
+        placement_request = PlacementRequest(
+            self._call.head.work, self._call.route.gap_s
+        )
         tried = frozenset(self._attempts.tried)
-        return await dispatch.admit(self._call, wanted, tried)
+        return await dispatch.admit(self._call, placement_request, tried)
 
     async def _handle_result(
         self,
@@ -130,7 +132,7 @@
         prefilled_by = self._kv_handle.engine if self._kv_handle else None
         return place(
             core.placement,
-            PlacementRequest(call.ask.work, call.route.gap_s, prefilled_by),
+            PlacementRequest(call.head.work, call.route.gap_s, prefilled_by),
             untried or usable,
             call.service.engine,
             now,
@@ -138,22 +140,22 @@
 
     async def _execute_plan(self, grant: Grant) -> Generated:
         """Prefill and decode by the plan; keep the handle if it is unused."""
-        self._attempts.begun += 1
+        self._attempts.started += 1
         grant.start()
         plan = grant.plan
-        if plan.reader is not None and self._kv_handle is None:
+        if plan.prefill_engine is not None and self._kv_handle is None:
             started = self._core.now()
             prefilled = await self._prefills.prefill(
-                self._call, plan, plan.reader
+                self._call, plan, plan.prefill_engine
             )
             match prefilled:
                 case Failure(outcome):
-                    self._attempts.tried.add(plan.reader.name)
-                    _end_grant(grant, plan.reader, outcome)
+                    self._attempts.tried.add(plan.prefill_engine.name)
+                    _end_grant(grant, plan.prefill_engine, outcome)
                     return Failure(_classify_prefill_failure(outcome))
                 case Success(handle):
                     self._kv_handle = handle
-            grant.note_prefill(self._core.now() - started)
+            grant.record_prefill(self._core.now() - started)
             plan = self._update_plan(grant)
         return await self._generate(plan, grant)
 
@@ -165,10 +167,10 @@
             grant,
             resumable=route.resumable and self._attempts.may_run_again,
         )
-        self._attempts.record(plan.generator.name, result)
+        self._attempts.record(plan.decode_engine.name, result)
         match result:
             case Failure(outcome):
-                _end_grant(grant, plan.generator, outcome)
+                _end_grant(grant, plan.decode_engine, outcome)
                 if not self._can_keep_handle(outcome):
                     self._drop_handle()
             case Success(StreamEnded(step_s=step_s)):
@@ -213,7 +215,7 @@
         if grant.holds_decode:
             service = self._call.service.name
             usable = self._core.list_usable(service, self._core.now())
-            if plan.generator.name in {one.name for one in usable}:
+            if plan.decode_engine.name in {one.name for one in usable}:
                 return plan
         return self._place().value_or(plan)
 
@@ -226,7 +228,7 @@
     def _drop_handle(self) -> None:
         """Free the handle if there is an unused one."""
         if self._kv_handle is not None:
-            self._prefills.free(self._kv_handle)
+            self._prefills.free_handle(self._kv_handle)
             self._kv_handle = None
 
     def _handle_failure(
@@ -242,8 +244,8 @@
             outcome,
             delivered=self._relay.begun,
             resends=1 if self._kv_handle or prefill_failed else 2,
-            reader=plan.reader.name if plan.reader else None,
-            generator=plan.generator.name,
+            reader=plan.prefill_engine.name if plan.prefill_engine else None,
+            generator=plan.decode_engine.name,
             last_event=self._relay.state.last,
         )
         if problem is not None:
@@ -273,13 +275,13 @@
     def _log_placement(self, plan: Plan) -> None:
         journal.write_decision(
             'placed',
-            request=self._call.ask.identity,
-            reader=plan.reader.name if plan.reader else None,
-            generator=plan.generator.name,
+            request=self._call.head.identity,
+            reader=plan.prefill_engine.name if plan.prefill_engine else None,
+            generator=plan.decode_engine.name,
             missing=plan.missing,
             wait_s=journal.round_seconds(plan.wait_s),
             reason=plan.reason,
-            attempt=self._attempts.begun + 1,
+            attempt=self._attempts.started + 1,
         )
 
 
--- a/packages/verbenahall/src/verbenahall/placement/_decisions.py
+++ b/packages/verbenahall/src/verbenahall/placement/_decisions.py
@@ -58,13 +58,13 @@
     """A request to place, with its token counts and its limits.
 
     ``gap_s`` is the longest pause in seconds between two events that still
-    counts as on time. ``read_by`` is the engine that has prefilled the prompt
-    already, if any.
+    counts as on time. ``prefilled_by`` is the engine that has prefilled the
+    prompt already, if any.
     """
 
     work: Work
     gap_s: float
-    read_by: Entry | None = None
+    prefilled_by: Entry | None = None
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
@@ -92,12 +92,14 @@
     decode_engines = [one for one in engines if one.role is not Role.PREFILL]
     if not decode_engines:
         return Failure(
-            Problem(ErrorKind.NO_ENDPOINT, 'no engine generates now'),
+            Problem(ErrorKind.NO_ENDPOINT, 'no decode engine is available'),
         )
     prefill_engines = [one for one in engines if one.role is Role.PREFILL]
     cost_model = _CostModel(state, request, traits, now, waiting)
-    if request.read_by is not None:
-        return Success(cost_model.plan_decode(request.read_by, decode_engines))
+    if request.prefilled_by is not None:
+        return Success(
+            cost_model.plan_decode(request.prefilled_by, decode_engines)
+        )
     options = itertools.chain(
         cost_model.evaluate_split(prefill_engines, decode_engines),
         cost_model.evaluate_mixed(decode_engines),
@@ -219,7 +221,7 @@
         return Plan(prefill_engine, decode.engine, 0, decode.first_s, 'handle')
 
     def _mixed_first_s(self, engine: Entry, prefill_s: float) -> float:
-        step_s = self._state.step_of(engine.name).read(self._now)
+        step_s = self._state.find_step_time(engine.name).estimate(self._now)
         return self._start_s + prefill_s + step_s
 
     def _stall_cost(self, engine: Entry, prefill_s: float) -> float:
@@ -229,7 +231,7 @@
         cost, prefills that looked cheap were sent to decode engines, and
         streams there missed their objective because of the pauses.
         """
-        streams = self._state.ledger.totals(engine.name).streams
+        streams = self._state.load_table.totals(engine.name).streams
         return prefill_s * (
             self._engine_time_cost + streams * _STREAM_STALL_COST
         )
@@ -273,10 +275,10 @@
         requests would be queued behind it.
         """
         if rank == 0 and not self._state.caches_complete:
-            cached = sum(part.tokens for part in self._work.shared)
+            cached = sum(part.tokens for part in self._work.shared_parts)
         else:
-            cache = self._state.cache_of(engine, self._traits.kv_tokens)
-            cached = cache.count_cached_tokens(self._work.shared)
+            cache = self._state.find_cache(engine, self._traits.kv_tokens)
+            cached = cache.count_cached_tokens(self._work.shared_parts)
         return max(1, self._work.prompt_tokens - cached)
 
     @property
@@ -291,15 +293,15 @@
 
     @property
     def _start_s(self) -> float:
-        return self._state.read_speed.start_s
+        return self._state.prefill_speed.start_s
 
     def _prefill_s(self, missing: int) -> float:
         cached = self._work.prompt_tokens - missing
-        return self._state.read_speed.predict_s(missing, cached)
+        return self._state.prefill_speed.predict_s(missing, cached)
 
     def _backlog_s(self, engine: Entry) -> float:
-        totals = self._state.ledger.totals(engine.name)
-        return totals.reading * self._state.read_speed.token_s
+        totals = self._state.load_table.totals(engine.name)
+        return totals.prefill_tokens * self._state.prefill_speed.token_s
 
     def _transfer_s(self, source: Entry, target: Entry) -> float:
         kv_bytes = self._work.prompt_tokens * self._traits.kv_token_bytes
@@ -312,13 +314,13 @@
 
         Prompts that the engine prefills itself go first, in chunks.
         """
-        handover_s = self._state.handover.read(self._now)
+        handover_s = self._state.handover.estimate(self._now)
         return handover_s + self._backlog_s(engine) * _MIXED_SLOWDOWN
 
     def _fill(self, engine: Entry) -> float:
         """Return the fill of an engine with the request, by memory or slots."""
-        totals = self._state.ledger.totals(engine.name)
-        held_tokens = totals.context + self._work.context_tokens
+        totals = self._state.load_table.totals(engine.name)
+        held_tokens = totals.held_tokens + self._work.context_tokens
         streams_after = totals.streams + 1
         return max(
             held_tokens / self._traits.kv_tokens,
@@ -328,7 +330,7 @@
     def _congestion_cost(self, engine: Entry) -> float:
         """Return the cost in seconds of joining the batch of a busy engine."""
         fill = _relative_excess(self._fill(engine), _CONGESTION_THRESHOLD)
-        step = self._state.step_of(engine.name).read(self._now)
+        step = self._state.find_step_time(engine.name).estimate(self._now)
         max_step_s = self._request.gap_s / self._traits.event_tokens
         step_share = step / max_step_s if max_step_s else 0
         return _FULL_COST * fill * fill + _STEP_COST * _relative_excess(
@@ -344,5 +346,5 @@
 
 def _rank_preferred(work: Work, engines: Sequence[Entry]) -> list[Entry]:
     by_name = {engine.name: engine for engine in engines}
-    ranked = rank_by_rendezvous(work.home_key, by_name)
+    ranked = rank_by_rendezvous(work.affinity_key, by_name)
     return [by_name[name] for name in ranked[:_PREFERRED_ENGINES]]
--- a/packages/verbenahall/src/verbenahall/placement/_ledger.py
+++ b/packages/verbenahall/src/verbenahall/placement/_load_table.py
@@ -14,37 +14,37 @@
 class Totals:
     """Open work at one engine.
 
-    ``reading`` is the number of tokens still to be prefilled. An engine
+    ``prefill_tokens`` is the number of tokens still to be prefilled. An engine
     prefills all admitted prompts concurrently, so a request waits for all of
-    them, whatever their priority. ``context`` is the number of tokens held in
-    KV memory by ``streams`` that are being decoded.
+    them, whatever their priority. ``held_tokens`` is the number of tokens that
+    ``streams`` being decoded hold in KV memory.
     """
 
-    reading: int = 0
-    context: int = 0
+    prefill_tokens: int = 0
+    held_tokens: int = 0
     streams: int = 0
 
     def plus(self, other: 'Totals') -> 'Totals':
         """Return the sum."""
         return Totals(
-            self.reading + other.reading,
-            self.context + other.context,
+            self.prefill_tokens + other.prefill_tokens,
+            self.held_tokens + other.held_tokens,
             self.streams + other.streams,
         )
 
     def times(self, factor: float) -> 'Totals':
         """Return the totals multiplied by ``factor``, rounded down."""
         return Totals(
-            int(self.reading * factor),
-            int(self.context * factor),
+            int(self.prefill_tokens * factor),
+            int(self.held_tokens * factor),
             int(self.streams * factor),
         )
 
     def minus(self, other: 'Totals') -> 'Totals':
         """Return the difference."""
         return Totals(
-            self.reading - other.reading,
-            self.context - other.context,
+            self.prefill_tokens - other.prefill_tokens,
+            self.held_tokens - other.held_tokens,
             self.streams - other.streams,
         )
 
@@ -54,7 +54,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class InFlight:
-    """An open request at an engine: its number and what it occupies."""
+    """An open request at an engine, and the load that it adds there."""
 
     number: int
     engine: str
@@ -71,11 +71,11 @@
     @property
     def is_prefilling(self) -> bool:
         """Whether the peer has prompts in prefill."""
-        return any(totals.reading for totals in self.loads.values())
+        return any(totals.prefill_tokens for totals in self.loads.values())
 
 
 @final
-class Ledger:
+class LoadTable:
     """Open work by engine, of this instance and as reported by peers.
 
     The sum over all peers is updated with each report. Adding up the reports
@@ -96,9 +96,9 @@
     def __init__(self) -> None:
         """Start with no open work.
 
-        ``scale`` is the number of instances for each one that reports to this
-        one. In a large fleet only a sample of the peers reports here, and the
-        others are assumed to send the same load.
+        ``scale`` is the ratio of all instances to those whose load is counted
+        here. In a large fleet only a sample of the peers reports to this
+        instance, and the others are assumed to send the same load.
         """
         self.scale: float = 1
         self._open_sends: dict[int, InFlight] = {}
@@ -120,17 +120,22 @@
         if self._open_sends.pop(flight.number, None) is not None:
             _subtract(self._local, flight.engine, flight.totals)
 
-    def note_read(self, flight: InFlight) -> InFlight:
+    def record_prefill_end(self, flight: InFlight) -> InFlight:
         """Record the end of a prefill; return the work that is still open."""
-        if not flight.totals.reading or flight.number not in self._open_sends:
+        if (
+            not flight.totals.prefill_tokens
+            or flight.number not in self._open_sends
+        ):
             return flight
         self.close(flight)
         return self.open(
             flight.engine,
-            dataclasses.replace(flight.totals, reading=0),
+            dataclasses.replace(flight.totals, prefill_tokens=0),
         )
 
-    def hear(self, peer: str, loads: Mapping[str, Totals], now: float) -> None:
+    def set_peer_loads(
+        self, peer: str, loads: Mapping[str, Totals], now: float
+    ) -> None:
         """Replace the report of a peer."""
         self._remove_report(peer)
         report = _PeerReport(loads, now)
@@ -139,7 +144,7 @@
         for engine, totals in loads.items():
             _add(self._peer_totals, engine, totals)
 
-    def own(self) -> Mapping[str, Totals]:
+    def local_loads(self) -> Mapping[str, Totals]:
         """Return the open work of this instance, as reported to peers."""
         return self._local
 
@@ -148,7 +153,7 @@
         return self._local.get(engine, NO_LOAD)
 
     @property
-    def speakers(self) -> int:
+    def reporting_peers(self) -> int:
         """Number of peers whose reports are counted."""
         return len(self._reports)
 
@@ -164,7 +169,7 @@
         total = local if peers is None else local.plus(peers)
         return total if self.scale == 1 else total.times(self.scale)
 
-    def forget_silent(self, now: float) -> None:
+    def expire_peers(self, now: float) -> None:
         """Remove the reports of peers that have stopped reporting."""
         for peer, report in tuple(self._reports.items()):
             if now - report.received_at >= _REPORT_TTL_S:
--- a/packages/verbenahall/src/verbenahall/placement/_messages.py
+++ b/packages/verbenahall/src/verbenahall/placement/_messages.py
@@ -26,14 +26,14 @@
     output_tokens: int = 0
 
     @property
-    def shared(self) -> tuple[Part, ...]:
+    def shared_parts(self) -> tuple[Part, ...]:
         """The parts that other requests share with this one."""
         return self.parts[:-1]
 
     @property
-    def home_key(self) -> str:
-        """The part that selects the preferred engines of the prompt."""
-        chosen = self.shared or self.parts
+    def affinity_key(self) -> str:
+        """The identity of the part by which preferred engines are ranked."""
+        chosen = self.shared_parts or self.parts
         return chosen[-1].identity if chosen else ''
 
     @property
@@ -46,14 +46,14 @@
 class Plan:
     """The engines of a request, and the estimates behind the choice.
 
-    ``reader`` prefills the prompt; it is None if ``generator``, which decodes,
-    prefills as well. ``missing`` is the estimated number of tokens to prefill,
-    ``wait_s`` the expected time to the first event in seconds, and ``ahead_s``
-    the part of it for prefills that the engine has already admitted.
+    ``prefill_engine`` is None if ``decode_engine`` prefills the prompt as well.
+    ``missing`` is the estimated number of tokens to prefill, ``wait_s`` the
+    expected time to the first event in seconds, and ``ahead_s`` the part of it
+    for prefills that the engine has already admitted.
     """
 
-    reader: Entry | None
-    generator: Entry
+    prefill_engine: Entry | None
+    decode_engine: Entry
     missing: int
     wait_s: float
     reason: str
--- a/packages/verbenahall/src/verbenahall/placement/_queue.py
+++ b/packages/verbenahall/src/verbenahall/placement/_queue.py
@@ -7,7 +7,7 @@
 from verbenahall.admission import RateMeter
 from verbenahall.errors import Problem
 from verbenahall.placement._decisions import PlacementRequest
-from verbenahall.placement._ledger import InFlight
+from verbenahall.placement._load_table import InFlight
 from verbenahall.placement._messages import Plan
 
 #: Weight of one first event in the smoothed delay.
@@ -26,34 +26,34 @@
 class QueuedRequest:
     """A request that waits for prefill; times are monotonic seconds.
 
-    ``since`` is when it was queued, ``due_at`` when its first event is past
+    ``queued_at`` is when it was queued, ``due_at`` when its first event is past
     its objective, which is ``objective_s`` after the first attempt of its
     caller, and ``leaves_at`` when its caller leaves. ``returning`` is true if
     the caller was refused before. ``tried`` names the engines that have failed
-    this request. ``lead_s`` is the expected time to its first event on idle
-    engines, and ``preferred_engine`` the engine most likely to have its shared
-    parts cached.
+    this request. ``expected_first_s`` is the expected time to its first event
+    on idle engines, and ``preferred_engine`` the engine most likely to have its
+    shared parts cached.
     """
 
     request: str
-    wanted: PlacementRequest
+    placement_request: PlacementRequest
     priority: int
-    since: float
+    queued_at: float
     due_at: float
     objective_s: float
     leaves_at: float
     returning: bool = False
     tried: frozenset[str] = _NO_ENGINES
-    lead_s: float = 0
+    expected_first_s: float = 0
     preferred_engine: str = ''
 
     def is_late(self, now: float) -> bool:
         """Whether the first event can no longer be on time."""
-        return now + self.lead_s > self.due_at
+        return now + self.expected_first_s > self.due_at
 
     def will_expire(self, now: float) -> bool:
         """Whether the caller leaves before the first event."""
-        return now + self.lead_s > self.leaves_at
+        return now + self.expected_first_s > self.leaves_at
 
     def rank(self, now: float) -> _Rank:
         """Return the sort key of the queue; the lowest is next."""
@@ -97,14 +97,14 @@
         self._deviation_s: float = 0
         self._observed_at: float = 0
 
-    def note(self, seconds: float, now: float) -> None:
+    def observe(self, seconds: float, now: float) -> None:
         """Record one delay."""
         error_s = seconds - self._mean_s
         self._mean_s += _SMOOTHING * error_s
         self._deviation_s += _SMOOTHING * (abs(error_s) - self._deviation_s)
         self._observed_at = now
 
-    def read(self, now: float) -> float:
+    def estimate(self, now: float) -> float:
         """Return the bound in seconds."""
         decay = 0.5 ** (max(0, now - self._observed_at) / _HALF_LIFE_S)
         return (self._mean_s + self._deviation_s) * decay
@@ -141,13 +141,15 @@
         would be admitted at the last moment at which they could be on time,
         and all would be slightly late.
         """
-        return now + self.first_event_delay.read(now)
+        return now + self.first_event_delay.estimate(now)
 
-    def note_first(
+    def record_first_event(
         self, pending: QueuedRequest, took_s: float, now: float
     ) -> None:
         """Record the time to the first event of an admitted request."""
-        self.first_event_delay.note(max(0, took_s - pending.lead_s), now)
+        self.first_event_delay.observe(
+            max(0, took_s - pending.expected_first_s), now
+        )
 
     def remove(self, pending: QueuedRequest) -> None:
         """Remove a request if it is still queued."""
--- a/packages/verbenahall/src/verbenahall/scheduling/_decisions.py
+++ b/packages/verbenahall/src/verbenahall/scheduling/_decisions.py
@@ -41,15 +41,15 @@
 #: Before that, it may have replaced another scheduler, under which the engines
 #: have prefilled most prefixes.
 _CACHES_COMPLETE_S: Final = 5.0
-#: An instance that died reports no end of its requests. Their load is released
-#: this long after the deadline, in seconds.
+#: Time in seconds after the deadline of a request at which its load is released
+#: if no end was reported, because its instance has crashed.
 _GRACE_S: Final = 0.5
 
 Replies = Sequence[Reply]
 Progress = Prefilled | FirstEvent | Released
 
 
-def receive(
+def receive_request(
     state: SchedulerState,
     request: ScheduleRequest,
     caller: str,
@@ -59,10 +59,10 @@
 ) -> Replies:
     """Add a request to the queue, or answer a copy of it as before.
 
-    A new request that is not rejected is answered by the next ``look``. That
-    one goes through the whole queue once for all requests that have arrived
-    together. An instance repeats its request while it waits, to check that the
-    scheduler still runs and to get an answer that was lost.
+    A new request that is not rejected is answered by the next
+    ``assign_waiting``, which goes through the whole queue once for all requests
+    that have arrived together. An instance repeats its request while it waits,
+    to check that the scheduler still runs and to get an answer that was lost.
     """
     assigned = state.assigned.get(request.key)
     if assigned is not None:
@@ -77,7 +77,7 @@
     return tuple(_apply(state, effects))
 
 
-def look(
+def assign_waiting(
     state: SchedulerState,
     fleet: Fleet,
     now: float,
@@ -93,7 +93,7 @@
     return (*_apply(state, effects), *_notify_waiting(state))
 
 
-def note(
+def record_progress(
     state: SchedulerState,
     progress: Progress,
     service: Service,
@@ -108,7 +108,7 @@
     assigned = state.assigned.get(progress.key)
     if assigned is None:
         return
-    state.placement.ledger.close(assigned.prefill)
+    state.placement.load_table.close(assigned.prefill)
     match progress:
         case Prefilled(seconds=seconds):
             _record_prefill(state, assigned, seconds, service)
@@ -117,11 +117,13 @@
         case Released(step_s=step_s):
             _release(state, assigned)
             if step_s:
-                step = state.placement.step_of(assigned.plan.generator.name)
-                step.note(step_s, now)
+                step = state.placement.find_step_time(
+                    assigned.plan.decode_engine.name
+                )
+                step.observe(step_s, now)
 
 
-def expire(state: SchedulerState, now: float) -> None:
+def expire_assignments(state: SchedulerState, now: float) -> None:
     """Release the assignments whose instances have not reported an end."""
     overdue = [
         assigned
@@ -148,7 +150,7 @@
         request.key,
         PlacementRequest(request.work, request.gap_s),
         request.priority,
-        since=now,
+        queued_at=now,
         due_at=now + request.due_s,
         objective_s=request.objective_s,
         leaves_at=now + request.leaves_s,
@@ -175,20 +177,20 @@
     waiting: Waiting,
     admitted: Admitted,
 ) -> Reply:
-    """Add the load of a request to the ledger until it is released."""
+    """Add the load of a request to the load table until it is released."""
     plan = admitted.plan
     key = admitted.pending.request
-    decode = state.placement.ledger.open(
-        plan.generator.name,
+    decode = state.placement.load_table.open(
+        plan.decode_engine.name,
         Totals(
-            context=admitted.pending.wanted.work.context_tokens,
+            held_tokens=admitted.pending.placement_request.work.context_tokens,
             streams=1,
         ),
     )
     answer = Assignment(
         key=key,
-        prefill=plan.reader.name if plan.reader else '',
-        decode=plan.generator.name,
+        prefill=plan.prefill_engine.name if plan.prefill_engine else '',
+        decode=plan.decode_engine.name,
         missing=plan.missing,
         wait_s=plan.wait_s,
         ahead_s=plan.ahead_s,
@@ -220,11 +222,13 @@
     service: Service,
 ) -> None:
     plan = assigned.plan
-    work = assigned.waiting.pending.wanted.work
+    work = assigned.waiting.pending.placement_request.work
     if not plan.ahead_s:
         cached = work.prompt_tokens - plan.missing
-        state.placement.learn_read(plan.missing, cached, seconds)
-    state.placement.note_kept(plan.reader or plan.generator, work, service)
+        state.placement.record_prefill_time(plan.missing, cached, seconds)
+    state.placement.record_cached(
+        plan.prefill_engine or plan.decode_engine, work, service
+    )
 
 
 def _record_first_event(
@@ -235,15 +239,15 @@
     now: float,
 ) -> None:
     pending = assigned.waiting.pending
-    state.queue.note_first(pending, event.seconds, now)
+    state.queue.record_first_event(pending, event.seconds, now)
     if event.handover_s:
-        state.placement.handover.note(event.handover_s, now)
-    state.placement.note_kept(
-        assigned.plan.generator, pending.wanted.work, service
+        state.placement.handover.observe(event.handover_s, now)
+    state.placement.record_cached(
+        assigned.plan.decode_engine, pending.placement_request.work, service
     )
 
 
 def _release(state: SchedulerState, assigned: Assigned) -> None:
-    state.placement.ledger.close(assigned.prefill)
-    state.placement.ledger.close(assigned.decode)
+    state.placement.load_table.close(assigned.prefill)
+    state.placement.load_table.close(assigned.decode)
     state.assigned.pop(assigned.answer.key)
--- a/packages/verbenahall/tests/placement/test_dispatch.py
+++ b/packages/verbenahall/tests/placement/test_dispatch.py
@@ -29,16 +29,16 @@
     return Fleet(PlacementState(), engines, TRAITS, len(queue.waiting))
 
 
-def make_queued(name='t', *, priority=0, since=0, due=0.5, **changes):
+def make_queued(name='t', *, priority=0, queued_at=0, due=0.5, **changes):
     work = Work((Part('form', 6_000), Part(name, 3_000)), 9_000, 2)
     return QueuedRequest(
         request=name,
-        wanted=PlacementRequest(work, 0.2),
+        placement_request=PlacementRequest(work, 0.2),
         priority=priority,
-        since=since,
-        due_at=since + due,
+        queued_at=queued_at,
+        due_at=queued_at + due,
         objective_s=0.5,
-        leaves_at=since + 2,
+        leaves_at=queued_at + 2,
         **changes,
     )
 
@@ -46,7 +46,7 @@
 def fill_queue(fleet, queue, *requests, now=0):
     """Queue requests behind a prefill that the instance has open."""
     for engine in fleet.engines:
-        fleet.state.ledger.open(engine.name, Totals(reading=200_000))
+        fleet.state.load_table.open(engine.name, Totals(prefill_tokens=200_000))
     for pending in requests:
         enqueue(queue, pending, fleet, now, RNG)
 
@@ -62,8 +62,11 @@
     enqueue(queue, make_queued(), fleet, 0, RNG)
     effects = dispatch(queue, fleet, 0, RNG)
     assert [one.pending.request for one in effects.admitted] == ['t']
-    reader = effects.admitted[0].plan.reader.name
-    assert fleet.state.ledger.local_totals(reader).reading == 3_000
+    prefill_engine = effects.admitted[0].plan.prefill_engine.name
+    assert (
+        fleet.state.load_table.local_totals(prefill_engine).prefill_tokens
+        == 3_000
+    )
 
 
 def test_no_admission_while_the_engines_are_busy():
@@ -131,10 +134,10 @@
     enqueue(queue, pending, fleet, 0, RNG)
     assert not pending.is_late(queue.predict_start(0))
     for _ in range(40):
-        queue.note_first(pending, pending.lead_s + 0.3, 0)
+        queue.record_first_event(pending, pending.expected_first_s + 0.3, 0)
     assert pending.is_late(queue.predict_start(0))
     for _ in range(80):
-        queue.note_first(pending, pending.lead_s, 0)
+        queue.record_first_event(pending, pending.expected_first_s, 0)
     assert not pending.is_late(queue.predict_start(0))
 
 
@@ -144,7 +147,7 @@
     pending = make_queued(tried=frozenset(('r0',)))
     enqueue(queue, pending, fleet, 0, RNG)
     admitted = dispatch(queue, fleet, 0, RNG).admitted[0]
-    assert admitted.plan.reader.name == 'r1'
+    assert admitted.plan.prefill_engine.name == 'r1'
 
 
 def test_without_engines_requests_are_refused():
@@ -183,16 +186,18 @@
             TRAITS,
         )
         for peer in range(peers):
-            report = {'other': Totals(reading=3_000)}
-            fleet.state.ledger.hear(f'p{peer}', report, 0)
+            report = {'other': Totals(prefill_tokens=3_000)}
+            fleet.state.load_table.set_peer_loads(f'p{peer}', report, 0)
         for number in range(4):
             work = Work((Part('form', 6_000), Part(f'{number}', 1_500)), 7_500)
             pending = make_queued(f't{number}')
-            pending.wanted = PlacementRequest(work, 0.2)
+            pending.placement_request = PlacementRequest(work, 0.2)
             enqueue(queue, pending, fleet, 0, RNG)
         effects = dispatch(queue, fleet, 0, RNG)
         counts.append(
-            sum(one.plan.reader is not None for one in effects.admitted),
+            sum(
+                one.plan.prefill_engine is not None for one in effects.admitted
+            ),
         )
     assert counts[1] == 1
     assert counts[0] > 1
@@ -248,7 +253,7 @@
     pending = make_queued()
     fill_queue(fleet, queue, pending)
     for _ in range(60):
-        queue.note_first(pending, pending.lead_s + 0.5, 1.2)
+        queue.record_first_event(pending, pending.expected_first_s + 0.5, 1.2)
     assert not dispatch(queue, fleet, 1.2, RNG).refused
     assert dispatch(queue, fleet, 1.6, RNG).refused
 
@@ -261,8 +266,8 @@
     queue = PrefillQueue()
     fleet = make_fleet(queue)
     for _ in range(200):
-        queue.note_first(make_queued(), 5, 0)
-    pending = make_queued(since=0.1)
+        queue.record_first_event(make_queued(), 5, 0)
+    pending = make_queued(queued_at=0.1)
     assert not enqueue(queue, pending, fleet, 0.1, RNG).refused
     admitted = dispatch(queue, fleet, 0.1, RNG).admitted
     assert [one.pending for one in admitted] == [pending]
@@ -270,6 +275,6 @@
 
 def test_delay_estimate_decays():
     queue = PrefillQueue()
-    queue.note_first(make_queued(), 5, 0)
-    estimated_s = queue.first_event_delay.read(0)
-    assert queue.first_event_delay.read(10) < estimated_s / 20
+    queue.record_first_event(make_queued(), 5, 0)
+    estimated_s = queue.first_event_delay.estimate(0)
+    assert queue.first_event_delay.estimate(10) < estimated_s / 20
--- a/packages/verbenahall/tests/scheduling/test_scheduler.py
+++ b/packages/verbenahall/tests/scheduling/test_scheduler.py
@@ -53,8 +53,10 @@
 def submit(state, request, now=0.0, caller='10.0.0.1:7380'):
     """Send a request to the scheduler; return its replies."""
     fleet = make_fleet(state)
-    replies = scheduling.receive(state, request, caller, fleet, now, RNG)
-    return [*replies, *scheduling.look(state, fleet, now, RNG)]
+    replies = scheduling.receive_request(
+        state, request, caller, fleet, now, RNG
+    )
+    return [*replies, *scheduling.assign_waiting(state, fleet, now, RNG)]
 
 
 def list_types(replies):
@@ -63,9 +65,11 @@
 
 def finish(state, key, service, now):
     """End an assignment; return the replies to the requests that wait."""
-    scheduling.note(state, scheduling.Prefilled(key, 0.05), service, now)
-    scheduling.note(state, scheduling.Released(key), service, now)
-    return scheduling.look(state, make_fleet(state), now, RNG)
+    scheduling.record_progress(
+        state, scheduling.Prefilled(key, 0.05), service, now
+    )
+    scheduling.record_progress(state, scheduling.Released(key), service, now)
+    return scheduling.assign_waiting(state, make_fleet(state), now, RNG)
 
 
 def test_first_request_is_assigned_at_once(state):
@@ -73,8 +77,8 @@
 
     assert reply.message.prefill == 'p0'
     assert reply.message.decode == 'd0'
-    assert state.placement.ledger.local_totals('p0').reading == 3_000
-    assert state.placement.ledger.local_totals('d0').streams == 1
+    assert state.placement.load_table.local_totals('p0').prefill_tokens == 3_000
+    assert state.placement.load_table.local_totals('d0').streams == 1
 
 
 def test_prompts_of_many_instances_are_queued_together(state):
@@ -122,7 +126,7 @@
     again = submit(state, make_request('a'), now=0.25)
 
     assert list(again) == list(first)
-    assert state.placement.ledger.local_totals('d0').streams == 1
+    assert state.placement.load_table.local_totals('d0').streams == 1
 
 
 def test_repeated_request_that_waits_is_answered_queued(state):
@@ -161,7 +165,7 @@
         submit(state, make_request(f'r{number}', due_s=9))
         number += 1
     key = state.queue.waiting[0].request
-    scheduling.note(state, scheduling.Released(key), service, 0.1)
+    scheduling.record_progress(state, scheduling.Released(key), service, 0.1)
 
     assert not state.queue.waiting
     assert not state.waiting
@@ -173,32 +177,34 @@
     If they counted for ever, the engines would stay idle.
     """
     submit(state, make_request('a'))
-    scheduling.expire(state, 2)
+    scheduling.expire_assignments(state, 2)
     assert state.assigned
 
-    scheduling.expire(state, 3.1)
+    scheduling.expire_assignments(state, 3.1)
     assert not state.assigned
-    assert not state.placement.ledger.own()
+    assert not state.placement.load_table.local_loads()
 
 
 def test_first_event_ends_the_prefill(state, service):
     """The message about the prefill itself was lost."""
     submit(state, make_request('a'))
     event = scheduling.FirstEvent('a', 0.1, 0.01)
-    scheduling.note(state, event, service, 0.1)
+    scheduling.record_progress(state, event, service, 0.1)
 
-    assert not state.placement.ledger.local_totals('p0').reading
-    assert state.placement.ledger.local_totals('d0').streams == 1
+    assert not state.placement.load_table.local_totals('p0').prefill_tokens
+    assert state.placement.load_table.local_totals('d0').streams == 1
 
 
 def test_late_message_of_an_ended_assignment_changes_nothing(state, service):
     """Datagrams can arrive out of order."""
     submit(state, make_request('a'))
     finish(state, 'a', service, 0.1)
-    scheduling.note(state, scheduling.Prefilled('a', 0.1), service, 0.2)
-    scheduling.note(state, scheduling.Released('a'), service, 0.2)
+    scheduling.record_progress(
+        state, scheduling.Prefilled('a', 0.1), service, 0.2
+    )
+    scheduling.record_progress(state, scheduling.Released('a'), service, 0.2)
 
-    assert not state.placement.ledger.own()
+    assert not state.placement.load_table.local_loads()
 
 
 def test_request_that_cannot_be_served_in_time_is_rejected_at_once(state):
@@ -216,13 +222,13 @@
 
 def test_speed_estimate_uses_all_instances(state, service):
     """Each instance has timed one prefill; the scheduler records all."""
-    before = state.placement.read_speed.samples
+    before = state.placement.prefill_speed.samples
     for number in range(20):
         key = f'r{number}'
         submit(state, make_request(key), now=number)
         finish(state, key, service, number + 0.1)
 
-    assert state.placement.read_speed.samples == before + 20
+    assert state.placement.prefill_speed.samples == before + 20
 
 
 def test_new_prefix_counts_as_prefill(state, service):
@@ -263,12 +269,12 @@
     """
     fleet = make_fleet(state)
     answered = [
-        scheduling.receive(
+        scheduling.receive_request(
             state, make_request(f'r{number}', due_s=9), 'x', fleet, 0, RNG
         )
         for number in range(30)
     ]
-    replies_sent = scheduling.look(state, fleet, 0, RNG)
+    replies_sent = scheduling.assign_waiting(state, fleet, 0, RNG)
 
     assert not any(answered)
     assert len(replies_sent) == 30
@@ -276,4 +282,4 @@
         scheduling.Assignment,
         scheduling.Queued,
     }
-    assert not scheduling.look(state, fleet, 0.01, RNG)
+    assert not scheduling.assign_waiting(state, fleet, 0.01, RNG)
