--- a/packages/verbenahall/tests/drains/usage_fleet.py
+++ b/packages/verbenahall/tests/drains/usage_fleet.py
@@ -28,7 +28,7 @@
 
 def skew_clock(core, skew_s):
     """Have an instance's wall clock be off, as it was when it started."""
-    core.true_clock._own += skew_s
+    core.true_clock._local_offset += skew_s
 
 
 @dataclasses.dataclass(frozen=True)
