--- a/packages/standins/src/verbenahall_standins/capacity/_fleet.py
+++ b/packages/standins/src/verbenahall_standins/capacity/_fleet.py
@@ -13,7 +13,7 @@
     Standing,
     Target,
 )
-from verbenahall.load import LoadState, Report, observe_report
+from verbenahall.load import LoadState, Report, record_report
 from verbenahall.membership import (
     ListEntry,
     MembershipState,
@@ -152,7 +152,7 @@
 def _report(load: LoadState, candidates: list[Candidate]) -> None:
     for candidate in candidates:
         report = Report(running=3, queued=0, kv_free_share=1)
-        observe_report(load, candidate.endpoint.name, report, 0)
+        record_report(load, candidate.endpoint.name, report, 0)
 
 
 def _ignore(change: StandingChange) -> None:
--- a/packages/standins/src/verbenahall_standins/explorer/_moves.py
+++ b/packages/standins/src/verbenahall_standins/explorer/_moves.py
@@ -10,7 +10,7 @@
     Renew,
     choose_step,
     encode_step,
-    note_sent,
+    record_sent,
 )
 from verbenahall.fleet import Role, Target
 from verbenahall.records import AUTHORITY_STREAM, ORDERS_STREAM, Record
@@ -96,7 +96,7 @@
     moved = copy_instance(instance)
     step = choose_step(moved.authority, moved.candidacy, LEASE, world.now)
     if isinstance(step, Claim | Renew):
-        note_sent(moved.candidacy, step.after, world.now)
+        record_sent(moved.candidacy, step.after, world.now)
         holder = moved.candidacy.holder
         body = encode_step(step, SCOPE, holder, LEASE.lease_s)
         append = Append(index, AUTHORITY_STREAM, body, f'{step}')
@@ -141,7 +141,7 @@
 ) -> Iterator[Move]:
     name = engine.endpoint.name
     asked = copy_instance(leading)
-    orders.observe_report(asked.orders, tell_state(engine), world.now)
+    orders.record_report(asked.orders, tell_state(engine), world.now)
     orders.is_cleared(asked.dispatch, asked.orders, engine.endpoint)
     if leading.dispatch.find_track(name).cleared:
         asked = leading
@@ -149,7 +149,7 @@
         yield f'{index} asks {name}', put(world, index, asked)
     for order in orders.outstanding(asked.orders, SCOPE):
         moved = copy_instance(asked)
-        orders.observe_report(moved.orders, tell_state(engine), world.now)
+        orders.record_report(moved.orders, tell_state(engine), world.now)
         if order.engine == name and orders.may_send(
             moved.dispatch,
             moved.orders,
--- a/packages/standins/src/verbenahall_standins/ours.py
+++ b/packages/standins/src/verbenahall_standins/ours.py
@@ -14,9 +14,9 @@
 from verbenahall.load import (
     LoadState,
     Report,
-    note_finished,
-    note_sent,
-    observe_report,
+    record_finished,
+    record_sent,
+    record_report,
 )
 from verbenahall_standins.simulation import (
     INSTANCES_PER_SITE,
@@ -79,7 +79,7 @@
         name = choice.endpoint.name
         work = arrival.prompt / _TYPICAL_PROMPT
         work += arrival.output / _TYPICAL_OUTPUT
-        note_sent(state, name, question.request, work, now)
+        record_sent(state, name, question.request, work, now)
         demand = self._demands[router.data_centre]
         roles.note_arrival(demand, arrival.prompt, arrival.output, now)
         return name
@@ -88,14 +88,14 @@
         """Count the attempt as over."""
         identity = str(outcome.arrival.number)
         state = self._loads[instance]
-        note_finished(state, outcome.engine, identity, now)
+        record_finished(state, outcome.engine, identity, now)
 
     def report(self, loads: Loads, now: float) -> None:
         """Hand the reports to every instance."""
         for name, (running, queued) in loads.items():
             found = Report(running, queued)
             for state in self._loads:
-                observe_report(state, name, found, now)
+                record_report(state, name, found, now)
 
     def plan(
         self,
--- a/packages/verbenahall/src/verbenahall/authority/__init__.py
+++ b/packages/verbenahall/src/verbenahall/authority/__init__.py
@@ -6,7 +6,7 @@
     find_claim_time,
     find_deadline,
     find_token,
-    note_sent,
+    record_sent,
 )
 from verbenahall.authority._messages import (
     Claim,
@@ -44,6 +44,6 @@
     'find_claim_time',
     'find_deadline',
     'find_token',
-    'note_sent',
+    'record_sent',
     'restore_state',
 )
--- a/packages/verbenahall/src/verbenahall/authority/_decisions.py
+++ b/packages/verbenahall/src/verbenahall/authority/_decisions.py
@@ -44,7 +44,7 @@
         self.tried_at = -float('inf')
 
 
-def note_sent(candidacy: Candidacy, after: int, now: float) -> None:
+def record_sent(candidacy: Candidacy, after: int, now: float) -> None:
     """Record the time just before an append is sent.
 
     The earliest time for an offset is kept: the log may have accepted the
--- a/packages/verbenahall/src/verbenahall/authority/_shell.py
+++ b/packages/verbenahall/src/verbenahall/authority/_shell.py
@@ -12,7 +12,7 @@
     choose_step,
     find_deadline,
     find_token,
-    note_sent,
+    record_sent,
 )
 from verbenahall.authority._messages import (
     Claim,
@@ -115,7 +115,7 @@
                 await self._append(step)
 
     async def _append(self, step: Claim | Renew | Release) -> None:
-        note_sent(self.candidacy, step.after, self._clock())
+        record_sent(self.candidacy, step.after, self._clock())
         self.appends += 1
         body = encode_step(
             step,
--- a/packages/verbenahall/src/verbenahall/duties/_lease.py
+++ b/packages/verbenahall/src/verbenahall/duties/_lease.py
@@ -25,7 +25,7 @@
     choose_step,
     find_claim_time,
     find_token,
-    note_sent,
+    record_sent,
 )
 from verbenahall.clock import Clock
 from verbenahall.platform import (
@@ -220,7 +220,7 @@
         # If the store accepted the record but its response was lost, the next
         # read finds the record. Its lease is counted from ``sent_at``, which
         # is before the store accepted it.
-        note_sent(self._candidacy, self._end + 1, sent_at)
+        record_sent(self._candidacy, self._end + 1, sent_at)
         match outcome:
             case Appended(offset):
                 self._end = offset + 1
--- a/packages/verbenahall/src/verbenahall/front/_attempts.py
+++ b/packages/verbenahall/src/verbenahall/front/_attempts.py
@@ -20,7 +20,7 @@
     Sent,
     estimate_work,
 )
-from verbenahall.load import note_finished, note_sent
+from verbenahall.load import record_finished, record_sent
 from verbenahall.requests import (
     Broken,
     Facts,
@@ -149,7 +149,7 @@
         timeout: asyncio.Timeout,
     ) -> None:
         self._open[placed.attempt] = (placed.endpoint, timeout)
-        note_sent(
+        record_sent(
             self._dependencies.load,
             placed.endpoint.name,
             placed.attempt,
@@ -159,7 +159,7 @@
 
     def _record_closed(self, placed: PlacedAttempt) -> None:
         self._open.pop(placed.attempt)
-        note_finished(
+        record_finished(
             self._dependencies.load,
             placed.endpoint.name,
             placed.attempt,
--- a/packages/verbenahall/src/verbenahall/front/_feedback.py
+++ b/packages/verbenahall/src/verbenahall/front/_feedback.py
@@ -5,7 +5,7 @@
 from returns.result import Failure, Result, Success
 
 from verbenahall.front._dependencies import FrontDependencies
-from verbenahall.load import note_failed
+from verbenahall.load import record_failure
 from verbenahall.requests import Broken, NeverWritten, Outcome, Refused
 
 #: Status of an engine that does not have the model loaded.
@@ -33,16 +33,16 @@
         case Failure(Broken(answered=True)):
             # The endpoint answered, so it is alive: otherwise one request
             # that fails on every engine would mark all of them as down.
-            note_failed(dependencies.load, name, dependencies.clock())
+            record_failure(dependencies.load, name, dependencies.clock())
             dependencies.report_answer(name)
         case Failure(NeverWritten() | Broken()):
-            note_failed(dependencies.load, name, dependencies.clock())
+            record_failure(dependencies.load, name, dependencies.clock())
             dependencies.report_failure(name)
         case Failure(Refused(status)):
             # The state is outdated; until the next poll it would route
             # further requests to an engine that cannot serve them.
             if status == _CONFLICT:
-                dependencies.states.forget(name)
+                dependencies.states.remove(name)
             dependencies.report_answer(name)
         case Success(_):
             dependencies.report_answer(name)
--- a/packages/verbenahall/src/verbenahall/front/_fleet.py
+++ b/packages/verbenahall/src/verbenahall/front/_fleet.py
@@ -99,7 +99,7 @@
         if service:
             return self._build_missing_service(service, settings.services)
         known = model in settings.models
-        if not known and not self._dependencies.states.knows_model(model):
+        if not known and not self._dependencies.states.has_model(model):
             return _fail(ErrorKind.UNKNOWN_MODEL, f'no model {model!r}')
         if adapter and adapter not in settings.adapters:
             return _fail(ErrorKind.UNKNOWN_MODEL, f'no adapter {adapter!r}')
@@ -170,7 +170,7 @@
             # the state of its predecessor must not be used for it.
             if state is None or state.incarnation != endpoint.incarnation:
                 continue
-            if state.holds(model, adapter):
+            if state.can_serve(model, adapter):
                 candidates.append(Candidate(endpoint, state.role))
         return candidates
 
--- a/packages/verbenahall/src/verbenahall/front/_shell.py
+++ b/packages/verbenahall/src/verbenahall/front/_shell.py
@@ -101,7 +101,7 @@
     async def _remove_stale_endpoints(self) -> None:
         while True:
             await asyncio.sleep(_CLEANUP_S)
-            self._dependencies.load.keep(self._fleet.list_names())
+            self._dependencies.load.retain(self._fleet.list_names())
 
     def _read_workspaces(self) -> dict[str, WorkspaceBounds]:
         workspaces = self._dependencies.read_settings().workspaces
--- a/packages/verbenahall/src/verbenahall/instance/_wiring.py
+++ b/packages/verbenahall/src/verbenahall/instance/_wiring.py
@@ -19,7 +19,7 @@
 )
 from verbenahall.instance._control import Control
 from verbenahall.instance._core import Core
-from verbenahall.load import LoadState, Report, StatePoller, observe_report
+from verbenahall.load import LoadState, Report, StatePoller, record_report
 from verbenahall.orders import is_changing
 from verbenahall.supervisor import Loops
 
@@ -111,4 +111,4 @@
         return Problem(ErrorKind.NOT_READY, readiness.reason)
 
     def _record_load_report(self, name: str, report: Report) -> None:
-        observe_report(self._load, name, report, clock.monotonic())
+        record_report(self._load, name, report, clock.monotonic())
--- a/packages/verbenahall/src/verbenahall/load/__init__.py
+++ b/packages/verbenahall/src/verbenahall/load/__init__.py
@@ -3,10 +3,10 @@
 from verbenahall.load._decisions import (
     compute_load_cost,
     estimate_load,
-    note_failed,
-    note_finished,
-    note_sent,
-    observe_report,
+    record_failure,
+    record_finished,
+    record_sent,
+    record_report,
 )
 from verbenahall.load._engines import (
     EngineState,
@@ -26,10 +26,10 @@
     'StatePoller',
     'compute_load_cost',
     'estimate_load',
-    'note_failed',
-    'note_finished',
-    'note_sent',
-    'observe_report',
+    'record_failure',
+    'record_finished',
+    'record_sent',
+    'record_report',
     'parse_report',
     'read_engine_state',
 )
--- a/packages/verbenahall/src/verbenahall/load/_decisions.py
+++ b/packages/verbenahall/src/verbenahall/load/_decisions.py
@@ -37,22 +37,22 @@
 _MAX_FAILURES: Final = 8.0
 
 
-def observe_report(
+def record_report(
     state: LoadState,
     name: str,
     report: Report,
     now: float,
 ) -> None:
     """Record a load report, from a poll or from an answer's header."""
-    entry = state.of(name)
+    entry = state.get_or_create(name)
     entry.report = report
     entry.reported_at = now
-    entry.local_at_report = len(entry.own)
+    entry.local_at_report = len(entry.local_attempts)
     others = _count_others(entry)
     state.mean_others += _MEAN_SMOOTHING * (others - state.mean_others)
 
 
-def note_sent(
+def record_sent(
     state: LoadState,
     name: str,
     attempt: str,
@@ -60,30 +60,32 @@
     now: float,
 ) -> None:
     """Record an open attempt with its ``work`` in typical requests."""
-    entry = state.of(name)
-    entry.own[attempt] = work
+    entry = state.get_or_create(name)
+    entry.local_attempts[attempt] = work
     entry.local_work += work
-    state.open += 1
+    state.open_attempts += 1
 
 
-def note_finished(
+def record_finished(
     state: LoadState,
     name: str,
     attempt: str,
     now: float,
 ) -> None:
     """Record the end of an attempt; a second call has no effect."""
-    entry = state.of(name)
-    work = entry.own.pop(attempt, None)
+    entry = state.get_or_create(name)
+    work = entry.local_attempts.pop(attempt, None)
     if work is not None:
-        state.open -= 1
+        state.open_attempts -= 1
         # Zero without open attempts, so that rounding errors do not add up.
-        entry.local_work = entry.local_work - work if entry.own else 0
+        entry.local_work = (
+            entry.local_work - work if entry.local_attempts else 0
+        )
 
 
-def note_failed(state: LoadState, name: str, now: float) -> None:
+def record_failure(state: LoadState, name: str, now: float) -> None:
     """Record a failed attempt, which adds to the endpoint's cost."""
-    entry = state.of(name)
+    entry = state.get_or_create(name)
     failures = _decay_failures(entry, now) + 1
     entry.failures = min(failures, _MAX_FAILURES)
     entry.failed_at = now
@@ -91,7 +93,7 @@
 
 def estimate_load(state: LoadState, name: str, now: float) -> LoadEstimate:
     """Return the estimated load and the age of the last report."""
-    entry = state.of(name)
+    entry = state.get_or_create(name)
     age = now - entry.reported_at
     others = _estimate_others(state, entry, _compute_report_weight(age))
     return LoadEstimate(entry.local_work + others, age)
@@ -103,7 +105,7 @@
     It counts local work in full and the work of other instances in part.
     Recent failures and a lack of free KV cache add to it.
     """
-    entry = state.of(name)
+    entry = state.get_or_create(name)
     report_weight = _compute_report_weight(now - entry.reported_at)
     others = _estimate_others(state, entry, report_weight)
     cost = entry.local_work + _compute_others_weight(state) * others
@@ -132,7 +134,10 @@
 def _compute_others_weight(state: LoadState) -> float:
     """Return the local share of all work, at most its maximum."""
     others = state.mean_others * len(state.endpoints)
-    return min(_MAX_OTHERS_WEIGHT, state.open / (state.open + others + 1))
+    return min(
+        _MAX_OTHERS_WEIGHT,
+        state.open_attempts / (state.open_attempts + others + 1),
+    )
 
 
 def _count_others(entry: EndpointLoad) -> int:
--- a/packages/verbenahall/src/verbenahall/load/_engines.py
+++ b/packages/verbenahall/src/verbenahall/load/_engines.py
@@ -30,7 +30,7 @@
     resumes: bool
     report: Report
 
-    def holds(self, model: str, adapter: str) -> bool:
+    def can_serve(self, model: str, adapter: str) -> bool:
         """Whether the engine can serve the model and adapter now."""
         if self.changing or model not in self.models:
             return False
@@ -54,11 +54,11 @@
         """Store the state of an engine in place of its last one."""
         self.by_name[found.name] = found
 
-    def forget(self, name: str) -> None:
+    def remove(self, name: str) -> None:
         """Remove the state of an engine whose answers contradict it."""
         self.by_name.pop(name, None)
 
-    def knows_model(self, model: str) -> bool:
+    def has_model(self, model: str) -> bool:
         """Whether any engine has the model."""
         return any(model in found.models for found in self.by_name.values())
 
--- a/packages/verbenahall/src/verbenahall/load/_shell.py
+++ b/packages/verbenahall/src/verbenahall/load/_shell.py
@@ -13,7 +13,7 @@
 from verbenahall import wire
 from verbenahall.clock import Clock, monotonic
 from verbenahall.fleet import Endpoint
-from verbenahall.load._decisions import observe_report
+from verbenahall.load._decisions import record_report
 from verbenahall.load._engines import (
     EngineState,
     EngineStates,
@@ -141,4 +141,4 @@
         self._on_state(state)
         self._on_success(endpoint.name)
         self._states.put(state)
-        observe_report(self._load, state.name, state.report, self._clock())
+        record_report(self._load, state.name, state.report, self._clock())
--- a/packages/verbenahall/src/verbenahall/orders/__init__.py
+++ b/packages/verbenahall/src/verbenahall/orders/__init__.py
@@ -32,7 +32,7 @@
 from verbenahall.orders._outcomes import Outcome
 from verbenahall.orders._progress import Progress, find_progress
 from verbenahall.orders._shell import OrderSender, send_and_record
-from verbenahall.orders._state import OrdersState, apply_record, observe_report
+from verbenahall.orders._state import OrdersState, apply_record, record_report
 
 __all__ = (
     'Dispatch',
@@ -59,7 +59,7 @@
     'record_failed_change',
     'note_outcome',
     'note_sending',
-    'observe_report',
+    'record_report',
     'find_send_gate',
     'outstanding',
     'restore_state',
--- a/packages/verbenahall/src/verbenahall/orders/_state.py
+++ b/packages/verbenahall/src/verbenahall/orders/_state.py
@@ -65,7 +65,7 @@
     return token != 0 and order.token == token
 
 
-def observe_report(
+def record_report(
     state: OrdersState,
     report: EngineReport,
     now: float,
--- a/packages/verbenahall/src/verbenahall/rollout/_engines.py
+++ b/packages/verbenahall/src/verbenahall/rollout/_engines.py
@@ -14,7 +14,7 @@
     OrdersState,
     may_send,
     note_sending,
-    observe_report,
+    record_report,
     send_and_record,
 )
 from verbenahall.rollout._decision_log import SentOrderLog
@@ -135,7 +135,7 @@
         report = found.value_or(None)
         # Another engine may have started at this address.
         if report is not None and report.name == endpoint.name:
-            observe_report(self._orders, report, polled_at)
+            record_report(self._orders, report, polled_at)
 
     async def _send(self, order: Order, endpoint: Endpoint) -> None:
         report = self._orders.reports[order.engine]
--- a/packages/verbenahall/src/verbenahall/routing/_decisions.py
+++ b/packages/verbenahall/src/verbenahall/routing/_decisions.py
@@ -104,7 +104,7 @@
             candidate,
             _compute_candidate_cost(state, candidate, preferred, load, now),
         )
-        for candidate in _sample(state, pool, preferred, load.open)
+        for candidate in _sample(state, pool, preferred, load.open_attempts)
     ]
     prefix_owner = _find_prefix_owner(question, pool)
     if prefix_owner:
--- a/packages/verbenahall/tests/authority/test_clocks.py
+++ b/packages/verbenahall/tests/authority/test_clocks.py
@@ -11,7 +11,7 @@
     apply_record,
     choose_step,
     find_deadline,
-    note_sent,
+    record_sent,
 )
 from verbenahall.records import AUTHORITY_STREAM, Record
 
@@ -50,7 +50,7 @@
     """
     state = AuthorityState()
     holder = Candidacy('fes', 'a', 0)
-    note_sent(holder, 0, offset)
+    record_sent(holder, 0, offset)
     apply_record(state, CLAIM, offset + rate * sending)
     ends_at = (find_deadline(state, holder, TIMING) - offset) / rate
 
--- a/packages/verbenahall/tests/authority/test_fold.py
+++ b/packages/verbenahall/tests/authority/test_fold.py
@@ -14,7 +14,7 @@
     current_token,
     export_state,
     find_token,
-    note_sent,
+    record_sent,
     restore_state,
 )
 from verbenahall.records import AUTHORITY_STREAM, Record
@@ -94,7 +94,7 @@
     the other instances, and two would hold the scope at once.
     """
     candidacy = Candidacy(SCOPE, 'a', 0)
-    note_sent(candidacy, 0, now=100)
+    record_sent(candidacy, 0, now=100)
     state = fold(write(1, 'claim', 'a', 0), now=104)
 
     assert find_token(state, candidacy, TIMING, 105.9) == 1
@@ -107,8 +107,8 @@
     The log may have accepted the first copy, so the lease starts with it.
     """
     candidacy = Candidacy(SCOPE, 'a', 0)
-    note_sent(candidacy, 0, now=100)
-    note_sent(candidacy, 0, now=105)
+    record_sent(candidacy, 0, now=100)
+    record_sent(candidacy, 0, now=105)
     state = fold(write(1, 'claim', 'a', 0), now=105)
 
     assert find_token(state, candidacy, TIMING, 106.5) is None
@@ -126,7 +126,7 @@
 def test_holder_renews_in_time():
     """A holder renews when a third of its lease has passed."""
     candidacy = Candidacy(SCOPE, 'a', 0)
-    note_sent(candidacy, 0, now=100)
+    record_sent(candidacy, 0, now=100)
     state = fold(write(1, 'claim', 'a', 0), now=100)
 
     assert choose_step(state, candidacy, TIMING, 101) == Idle(102)
--- a/packages/verbenahall/tests/front/conftest.py
+++ b/packages/verbenahall/tests/front/conftest.py
@@ -27,7 +27,7 @@
     EngineStates,
     LoadState,
     Report,
-    observe_report,
+    record_report,
 )
 
 LIMITS = LimitsConfig(
@@ -219,7 +219,7 @@
         )
 
     def store_report(name, report):
-        observe_report(loads, name, report, clock.monotonic())
+        record_report(loads, name, report, clock.monotonic())
 
     async def claim(workspace, key):
         recorder.claims.append((workspace, key))
--- a/packages/verbenahall/tests/front/test_streams.py
+++ b/packages/verbenahall/tests/front/test_streams.py
@@ -86,7 +86,9 @@
             answer.close()
             await until(lambda: engine.cancelled)
             assert engine.cancelled == engine.started
-            assert not harness.dependencies.load.of('a').own
+            assert not harness.dependencies.load.get_or_create(
+                'a'
+            ).local_attempts
 
     asyncio.run(run())
 
@@ -109,7 +111,13 @@
             size = f'Content-Length: {len(body)}\r\n\r\n'
             writer.write(f'{head}{size}{body}'.encode())
             await until(lambda: engine.cancelled)
-            await until(lambda: not harness.dependencies.load.of('a').own)
+            await until(
+                lambda: (
+                    not harness.dependencies.load.get_or_create(
+                        'a'
+                    ).local_attempts
+                )
+            )
             writer.close()
 
     asyncio.run(run())
--- a/packages/verbenahall/tests/orders/test_orders.py
+++ b/packages/verbenahall/tests/orders/test_orders.py
@@ -23,7 +23,7 @@
     record_failed_change,
     note_outcome,
     note_sending,
-    observe_report,
+    record_report,
     outstanding,
     restore_state,
     take_over,
@@ -128,7 +128,7 @@
     take_over(dispatch, Grant('b', 1, 1, 0, 5, clean), 100)
     sent = []
     for now in reads:
-        observe_report(state, REPORT, now)
+        record_report(state, REPORT, now)
         if may_send(
             dispatch,
             state,
@@ -156,7 +156,7 @@
     apply_record(state, order(3, 1, OTHER))
     sent = []
     for now in (11, 12, 12.5, 13):
-        observe_report(state, REPORT, now)
+        record_report(state, REPORT, now)
         second = state.orders['e1']
         if may_send(dispatch, state, second, engine(checks=False), now):
             sent.append(now)
@@ -177,7 +177,7 @@
 def test_no_order_to_an_engine_that_is_not_meant(change):
     """The engine was replaced at its address, or has accepted the order."""
     state = fold(claim(1, 'a', 0), order(2, 1))
-    observe_report(state, dataclasses.replace(REPORT, **change), 1)
+    record_report(state, dataclasses.replace(REPORT, **change), 1)
 
     assert not may_send(lead(state), state, state.orders['e1'], engine(), 1)
 
@@ -191,7 +191,7 @@
         {'order': '2.0', 'changing': True},
         {'order': '2.0', 'holding': TARGET},
     ):
-        observe_report(state, dataclasses.replace(REPORT, **change), 1)
+        record_report(state, dataclasses.replace(REPORT, **change), 1)
         seen.append((is_changing(state, 'e1'), len(outstanding(state, SCOPE))))
 
     assert seen == [(True, 1), (True, 1), (False, 0)]
@@ -206,7 +206,7 @@
     """
     state = fold(claim(1, 'a', 0), order(2, 1))
     dispatch = lead(state)
-    observe_report(state, REPORT, 1)
+    record_report(state, REPORT, 1)
     for now in (1, 2):
         note_outcome(dispatch, state.orders['e1'], outcome, now)
     early = list_withdrawals(dispatch, state, SCOPE, 3)
@@ -227,7 +227,7 @@
     for offset in range(2, 14):
         apply_record(state, order(offset, 1))
         failed = dataclasses.replace(REPORT, order=f'{offset}.0')
-        observe_report(state, failed, 100)
+        record_report(state, failed, 100)
         record_failed_change(dispatch, state, 'e1', 100)
         record_failed_change(dispatch, state, 'e1', 100.1)
         pauses.append(dispatch.find_track('e1').retry_at - 100)
--- a/packages/verbenahall/tests/routing/test_balance.py
+++ b/packages/verbenahall/tests/routing/test_balance.py
@@ -16,9 +16,9 @@
 from verbenahall.load import (
     LoadState,
     Report,
-    note_finished,
-    note_sent,
-    observe_report,
+    record_finished,
+    record_sent,
+    record_report,
 )
 from verbenahall.routing import Candidate, Question, RoutingState, choose
 
@@ -105,13 +105,13 @@
         return chosen.unwrap().endpoint.name
 
     def receive_report(self, name, report, now):
-        observe_report(self.load, name, report, now)
+        record_report(self.load, name, report, now)
 
     def start(self, name, request, now):
-        note_sent(self.load, name, str(request), 1, now)
+        record_sent(self.load, name, str(request), 1, now)
 
     def end(self, name, request, now):
-        note_finished(self.load, name, str(request), now)
+        record_finished(self.load, name, str(request), now)
 
 
 class Model:
--- a/packages/verbenahall/tests/routing/test_decisions.py
+++ b/packages/verbenahall/tests/routing/test_decisions.py
@@ -13,10 +13,10 @@
     Report,
     compute_load_cost,
     estimate_load,
-    note_failed,
-    note_finished,
-    note_sent,
-    observe_report,
+    record_failure,
+    record_finished,
+    record_sent,
+    record_report,
 )
 from verbenahall.routing import (
     Candidate,
@@ -70,7 +70,7 @@
     load = LoadState()
     candidates = []
     for index, (data_centre, role, busy) in fleet.items():
-        observe_report(load, f'e{index}', Report(busy, 0), 0)
+        record_report(load, f'e{index}', Report(busy, 0), 0)
         candidates.append(make_candidate(index, data_centre, role))
     excluded_names = frozenset(f'e{number}' for number in excluded)
     remaining = [
@@ -96,16 +96,16 @@
     load, tally = LoadState(), {}
     source = random.Random(seed)
     for number, end in enumerate(ends):
-        note_sent(load, 'e', f'a{number}', 0.25 * end, 0)
+        record_sent(load, 'e', f'a{number}', 0.25 * end, 0)
         tally[f'a{number}'] = 0.25 * end
         finished = f'a{source.randrange(number + 1)}'
         for _ in range(2):
-            note_finished(load, 'e', finished, 0)
+            record_finished(load, 'e', finished, 0)
         tally.pop(finished, None)
         assert compute_load_cost(load, 'e', 0) == pytest.approx(
             sum(tally.values())
         )
-        assert load.open == len(tally)
+        assert load.open_attempts == len(tally)
 
 
 def test_busy_engine_loses_its_role_preference():
@@ -120,7 +120,7 @@
     attributes = {'prompt_tokens': 9000, 'output_tokens': 50}
     assert set(pick(candidates, load, 50, **attributes)) == {'e1'}
     for number in range(20):
-        note_sent(load, 'e1', f'a{number}', 1, 0)
+        record_sent(load, 'e1', f'a{number}', 1, 0)
     assert set(pick(candidates, load, 50, **attributes)) == {'e2'}
 
 
@@ -136,7 +136,7 @@
     assert first == second
     assert len(first) == 1
     for number in range(6):
-        note_sent(load, *first, f'a{number}', 1, 0)
+        record_sent(load, *first, f'a{number}', 1, 0)
     assert not first & set(pick(candidates, load, 30, prefix='archive'))
 
 
@@ -147,9 +147,9 @@
     load = LoadState()
     candidates = [make_candidate(number) for number in range(4)]
     for number in range(15):
-        note_sent(load, f'e{number % 3}', f'a{number}', 1, 0)
+        record_sent(load, f'e{number % 3}', f'a{number}', 1, 0)
     assert pick(candidates, load, 60).count('e3') > 50
-    note_failed(load, 'e3', 0)
+    record_failure(load, 'e3', 0)
     assert 'e3' not in pick(candidates, load, 60)
 
 
@@ -159,12 +159,12 @@
     """
     load = LoadState()
     for number in range(100):
-        observe_report(load, f'e{number}', Report(1, 0), 0)
-    note_sent(load, 'e99', 'a', 1, 0)
-    load.keep({'e0', 'e1'})
+        record_report(load, f'e{number}', Report(1, 0), 0)
+    record_sent(load, 'e99', 'a', 1, 0)
+    load.retain({'e0', 'e1'})
     assert set(load.endpoints) == {'e0', 'e1', 'e99'}
-    note_finished(load, 'e99', 'a', 1)
-    load.keep({'e0', 'e1'})
+    record_finished(load, 'e99', 'a', 1)
+    load.retain({'e0', 'e1'})
     assert set(load.endpoints) == {'e0', 'e1'}
 
 
@@ -174,8 +174,8 @@
     """
     load = LoadState()
     for number in range(9):
-        observe_report(load, f'e{number}', Report(10, 0), 0)
-    observe_report(load, 'e9', Report(500, 0), 0)
+        record_report(load, f'e{number}', Report(10, 0), 0)
+    record_report(load, 'e9', Report(500, 0), 0)
     outdated = estimate_load(load, 'e9', 60)
     assert outdated.age_s == 60
     assert outdated.load == pytest.approx(load.mean_others)
