--- a/packages/verbenahall/src/verbenahall/instance/_control.py
+++ b/packages/verbenahall/src/verbenahall/instance/_control.py
@@ -118,7 +118,7 @@
         sender = OrderSender(
             lambda now: self.lease_manager.held(self.scope, now),
             order_timing,
-            heard=self._record_state,
+            on_state=self._record_state,
         )
         return Controller(
             self.dependencies,
--- a/packages/verbenahall/src/verbenahall/instance/_wiring.py
+++ b/packages/verbenahall/src/verbenahall/instance/_wiring.py
@@ -57,11 +57,11 @@
             self.control.states,
             self._load,
             self.core.config.timing.load_poll_s,
-            heard=membership.report_answer,
-            missed=membership.report_failure,
-            told=membership.report_state,
-            urgent=functools.partial(is_changing, self.core.folds.orders),
-            far=self.control.dependencies.is_in_other_data_centre,
+            on_success=membership.report_answer,
+            on_failure=membership.report_failure,
+            on_state=membership.report_state,
+            is_urgent=functools.partial(is_changing, self.core.folds.orders),
+            is_remote=self.control.dependencies.is_in_other_data_centre,
         )
 
     def _build_dependencies(self) -> FrontDependencies:
--- a/packages/verbenahall/src/verbenahall/load/_shell.py
+++ b/packages/verbenahall/src/verbenahall/load/_shell.py
@@ -45,14 +45,15 @@
 class StatePoller:
     """Polls ``/state`` of a few engines of ``endpoints()`` per period.
 
-    Engines with ``urgent(name)`` are polled first, then those whose last poll
-    is the longest ago; remote ones, with ``far(name)``, are polled less often.
-    So the traffic of an instance does not grow with the fleet. Most load
-    reports come with the answers to requests.
-
-    ``heard(name)`` and ``missed(name)`` are called after a successful or a
-    failed poll. ``told(state)`` is called with each state; the membership
-    reads the engine's incarnation and whether it is leaving from it.
+    Engines with ``is_urgent(name)`` are polled first, then those whose last
+    poll is the longest ago; engines with ``is_remote(name)`` are polled less
+    often. So the traffic of an instance does not grow with the fleet. Most
+    load reports come with the answers to requests.
+
+    ``on_success(name)`` and ``on_failure(name)`` are called after a successful
+    or a failed poll. ``on_state(state)`` is called with each state; the
+    membership reads the engine's incarnation and whether it is leaving from
+    it.
     """
 
     def __init__(
@@ -62,11 +63,11 @@
         states: EngineStates,
         load: LoadState,
         period_s: float,
-        heard: Callable[[str], None],
-        missed: Callable[[str], None],
-        told: Callable[[EngineState], None],
-        urgent: Callable[[str], bool] = _always_false,
-        far: Callable[[str], bool] = _always_false,
+        on_success: Callable[[str], None],
+        on_failure: Callable[[str], None],
+        on_state: Callable[[EngineState], None],
+        is_urgent: Callable[[str], bool] = _always_false,
+        is_remote: Callable[[str], bool] = _always_false,
         clock: Clock = monotonic,
     ) -> None:
         """Create a poller; ``run`` starts it."""
@@ -75,11 +76,11 @@
         self._states = states
         self._load = load
         self._period_s = period_s
-        self._on_success = heard
-        self._on_failure = missed
-        self._on_state = told
-        self._is_urgent = urgent
-        self._is_remote = far
+        self._on_success = on_success
+        self._on_failure = on_failure
+        self._on_state = on_state
+        self._is_urgent = is_urgent
+        self._is_remote = is_remote
         self._polled_at: dict[str, float] = {}
         self._clock = clock
 
--- a/packages/verbenahall/src/verbenahall/orders/_shell.py
+++ b/packages/verbenahall/src/verbenahall/orders/_shell.py
@@ -40,14 +40,14 @@
         held: Callable[[float], int | None],
         timing: OrderTiming,
         clock: Clock = monotonic,
-        heard: Callable[[dict[str, Any]], object] = bool,
+        on_state: Callable[[dict[str, Any]], object] = bool,
     ) -> None:
         """Create the sender; the session is opened by the first call.
 
-        ``heard`` is called with the decoded body of each state that is read
+        ``on_state`` is called with the decoded body of each state that is read
         from an engine.
         """
-        self._on_state = heard
+        self._on_state = on_state
         self._get_token = held
         self._timing = timing
         self._clock = clock
--- a/packages/verbenahall/tests/instance/test_engine_state.py
+++ b/packages/verbenahall/tests/instance/test_engine_state.py
@@ -60,9 +60,9 @@
             EngineStates(),
             LoadState(),
             1,
-            heard=adapter.report_answer,
-            missed=adapter.report_failure,
-            told=adapter.report_state,
+            on_success=adapter.report_answer,
+            on_failure=adapter.report_failure,
+            on_state=adapter.report_state,
         )
         await poller.poll()
     await runner.cleanup()
--- a/packages/verbenahall/tests/load/test_poller.py
+++ b/packages/verbenahall/tests/load/test_poller.py
@@ -31,11 +31,11 @@
                 EngineStates(),
                 LoadState(),
                 PERIOD_S,
-                heard=polls.update,
-                missed=lambda name: polls.update([name]),
-                told=polls.update,
-                urgent=lambda name: name == 'near-1',
-                far=lambda name: name.startswith('far'),
+                on_success=polls.update,
+                on_failure=lambda name: polls.update([name]),
+                on_state=polls.update,
+                is_urgent=lambda name: name == 'near-1',
+                is_remote=lambda name: name.startswith('far'),
                 clock=lambda: next(times) * PERIOD_S,
             )
             for _ in range(80):
