--- a/packages/standins/src/verbenahall_standins/capacity/_fleet.py
+++ b/packages/standins/src/verbenahall_standins/capacity/_fleet.py
@@ -23,7 +23,12 @@
     standing_of,
 )
 from verbenahall.rollout import EngineView, plan
-from verbenahall.routing import Candidate, Question, RoutingState, choose
+from verbenahall.routing import (
+    Candidate,
+    RoutingRequest,
+    RoutingState,
+    choose_endpoint,
+)
 from verbenahall.settings import (
     EffectiveSettings,
     ModelSettings,
@@ -83,9 +88,11 @@
     ]
     used = trace(functools.partial(_report, load, candidates))
     state = RoutingState('entry', 'aber', random.Random(1))
-    question = Question('r', _PROMPT_TOKENS, _OUTPUT_TOKENS)
+    routing_request = RoutingRequest('r', _PROMPT_TOKENS, _OUTPUT_TOKENS)
     spent = time_us(
-        functools.partial(choose, state, question, candidates, load, 1),
+        functools.partial(
+            choose_endpoint, state, routing_request, candidates, load, 1
+        ),
     )
     return size, (used, spent)
 
--- a/packages/standins/src/verbenahall_standins/ours.py
+++ b/packages/standins/src/verbenahall_standins/ours.py
@@ -62,16 +62,16 @@
         now: float,
     ) -> str:
         """Choose as the instance's front does."""
-        question = routing.Question(
+        routing_request = routing.RoutingRequest(
             str(arrival.number),
             arrival.prompt,
             arrival.output,
         )
         state = self._loads[instance]
         router = self._routers[instance]
-        choice = routing.choose(
+        choice = routing.choose_endpoint(
             router,
-            question,
+            routing_request,
             [_describe(engine) for engine in engines],
             state,
             now,
@@ -79,7 +79,7 @@
         name = choice.endpoint.name
         work = arrival.prompt / _TYPICAL_PROMPT
         work += arrival.output / _TYPICAL_OUTPUT
-        record_sent(state, name, question.request, work, now)
+        record_sent(state, name, routing_request.request, work, now)
         demand = self._demands[router.data_centre]
         roles.note_arrival(demand, arrival.prompt, arrival.output, now)
         return name
--- a/packages/verbenahall/src/verbenahall/front/_fleet.py
+++ b/packages/verbenahall/src/verbenahall/front/_fleet.py
@@ -13,7 +13,7 @@
 from verbenahall.fleet import Endpoint, EndpointKind, Role
 from verbenahall.front._dependencies import FrontDependencies
 from verbenahall.front._messages import Call, ModelCall
-from verbenahall.routing import Candidate, take_subset
+from verbenahall.routing import Candidate, select_subset
 
 #: How long a list of candidates is cached, in seconds.
 _CACHE_S: Final = 0.02
@@ -140,7 +140,10 @@
             )
             (local if is_local else remote).append(candidate)
         instance = self._config.name
-        return [*take_subset(instance, local), *take_subset(instance, remote)]
+        return [
+            *select_subset(instance, local),
+            *select_subset(instance, remote),
+        ]
 
     def _list_undrained(
         self,
--- a/packages/verbenahall/src/verbenahall/front/_placement.py
+++ b/packages/verbenahall/src/verbenahall/front/_placement.py
@@ -17,7 +17,7 @@
 )
 from verbenahall.journal import write_decision
 from verbenahall.requests import AttemptNames
-from verbenahall.routing import Candidate, Choice, RoutingState, choose
+from verbenahall.routing import Candidate, Choice, RoutingState, choose_endpoint
 
 #: Logged as the age of the load report if there is none, in seconds.
 _NO_REPORT_AGE_S: Final = 1e9
@@ -74,12 +74,18 @@
         candidates = self.list_candidates(progress)
         now = self._dependencies.clock()
         load = self._dependencies.load
-        question = build_routing_request(progress)
-        chosen = choose(self._routing, question, candidates, load, now)
+        routing_request = build_routing_request(progress)
+        chosen = choose_endpoint(
+            self._routing, routing_request, candidates, load, now
+        )
         if progress.excluded and isinstance(chosen, Failure):
             # Every endpoint has failed once; one of them may have recovered.
-            question = dataclasses.replace(question, excluded=frozenset())
-            chosen = choose(self._routing, question, candidates, load, now)
+            routing_request = dataclasses.replace(
+                routing_request, excluded=frozenset()
+            )
+            chosen = choose_endpoint(
+                self._routing, routing_request, candidates, load, now
+            )
         return chosen
 
     def _may_resume(self, progress: Progress, name: str) -> bool:
@@ -103,8 +109,8 @@
             number=progress.attempts,
             chosen=choice.endpoint.name,
             over=choice.over,
-            load=round(choice.belief.load, 2),
-            age_s=min(round(choice.belief.age_s, 3), _NO_REPORT_AGE_S),
+            load=round(choice.load_estimate.load, 2),
+            age_s=min(round(choice.load_estimate.age_s, 3), _NO_REPORT_AGE_S),
             reason=choice.reason,
             settings_offset=self._dependencies.read_position(),
         )
--- a/packages/verbenahall/src/verbenahall/front/_progress.py
+++ b/packages/verbenahall/src/verbenahall/front/_progress.py
@@ -10,7 +10,7 @@
 from verbenahall.front._fleet import get_requirement
 from verbenahall.front._messages import Call, ModelCall
 from verbenahall.requests import Outcome
-from verbenahall.routing import Question
+from verbenahall.routing import RoutingRequest
 
 #: Output tokens of a typical request, the unit of work.
 _TYPICAL_TOKENS: Final = 512
@@ -76,12 +76,12 @@
         self.version = ''
 
 
-def build_routing_request(progress: Progress) -> Question:
+def build_routing_request(progress: Progress) -> RoutingRequest:
     """Return the input of routing for the next attempt."""
     call = progress.call
     if not isinstance(call, ModelCall):
-        return Question(call.head.request, excluded=progress.excluded)
-    return Question(
+        return RoutingRequest(call.head.request, excluded=progress.excluded)
+    return RoutingRequest(
         request=call.head.request,
         prompt_tokens=call.prompt_tokens,
         output_tokens=call.output_tokens,
--- a/packages/verbenahall/src/verbenahall/routing/__init__.py
+++ b/packages/verbenahall/src/verbenahall/routing/__init__.py
@@ -4,17 +4,17 @@
     Candidate,
     RoutingState,
     rank_by_rendezvous,
-    take_subset,
+    select_subset,
 )
-from verbenahall.routing._decisions import choose
-from verbenahall.routing._messages import Choice, Question
+from verbenahall.routing._decisions import choose_endpoint
+from verbenahall.routing._messages import Choice, RoutingRequest
 
 __all__ = (
     'Candidate',
     'Choice',
-    'Question',
+    'RoutingRequest',
     'RoutingState',
-    'choose',
+    'choose_endpoint',
     'rank_by_rendezvous',
-    'take_subset',
+    'select_subset',
 )
--- a/packages/verbenahall/src/verbenahall/routing/_candidates.py
+++ b/packages/verbenahall/src/verbenahall/routing/_candidates.py
@@ -14,7 +14,7 @@
 import xxhash
 
 from verbenahall.fleet import Endpoint, Role
-from verbenahall.routing._mix import WorkloadMix
+from verbenahall.routing._workload_mix import WorkloadMix
 
 #: Maximum number of endpoints that one instance chooses among.
 SUBSET_SIZE: Final = 24
@@ -67,7 +67,7 @@
     )
 
 
-def take_subset(
+def select_subset(
     instance: str,
     candidates: Sequence[Candidate],
     size: int = SUBSET_SIZE,
--- a/packages/verbenahall/src/verbenahall/routing/_decisions.py
+++ b/packages/verbenahall/src/verbenahall/routing/_decisions.py
@@ -23,10 +23,10 @@
     Candidate,
     RoutingState,
     compute_rendezvous_weight,
-    take_subset,
+    select_subset,
 )
-from verbenahall.routing._gathering import filter_by_prompt_length
-from verbenahall.routing._messages import Choice, Question
+from verbenahall.routing._long_prompts import filter_by_prompt_length
+from verbenahall.routing._messages import Choice, RoutingRequest
 
 #: Bounds of the sample size. The preferred role and the other roles are
 #: sampled separately.
@@ -77,9 +77,9 @@
         self.reason = reason
 
 
-def choose(
+def choose_endpoint(
     state: RoutingState,
-    question: Question,
+    routing_request: RoutingRequest,
     candidates: Sequence[Candidate],
     load: LoadState,
     now: float,
@@ -89,7 +89,7 @@
     ``candidates`` are live and able to serve the request. Those of other data
     centres are used only if the local one has none left.
     """
-    pool = _filter_candidates(state, question, candidates)
+    pool = _filter_candidates(state, routing_request, candidates)
     if not pool:
         return Failure(
             Problem(
@@ -97,8 +97,8 @@
                 'no live endpoint can take this request now',
             ),
         )
-    pool = filter_by_prompt_length(state, question, pool, now)
-    preferred = find_preferred_role(question)
+    pool = filter_by_prompt_length(state, routing_request, pool, now)
+    preferred = find_preferred_role(routing_request)
     scored = [
         _ScoredCandidate(
             candidate,
@@ -106,7 +106,7 @@
         )
         for candidate in _sample(state, pool, preferred, load.open_attempts)
     ]
-    prefix_owner = _find_prefix_owner(question, pool)
+    prefix_owner = _find_prefix_owner(routing_request, pool)
     if prefix_owner:
         cost = _compute_candidate_cost(
             state, prefix_owner, preferred, load, now
@@ -119,20 +119,26 @@
     return Success(_select_cheapest(scored, load, now))
 
 
-def find_preferred_role(question: Question) -> Role:
+def find_preferred_role(routing_request: RoutingRequest) -> Role:
     """Return the engine role that fits the request's token counts."""
-    if not question.prompt_tokens and not question.output_tokens:
+    if not routing_request.prompt_tokens and not routing_request.output_tokens:
         return Role.MIXED
-    if question.prompt_tokens >= _PREFILL_RATIO * question.output_tokens:
+    if (
+        routing_request.prompt_tokens
+        >= _PREFILL_RATIO * routing_request.output_tokens
+    ):
         return Role.PREFILL
-    if question.output_tokens >= _DECODE_RATIO * question.prompt_tokens:
+    if (
+        routing_request.output_tokens
+        >= _DECODE_RATIO * routing_request.prompt_tokens
+    ):
         return Role.DECODE
     return Role.MIXED
 
 
 def _filter_candidates(
     state: RoutingState,
-    question: Question,
+    routing_request: RoutingRequest,
     candidates: Sequence[Candidate],
 ) -> Sequence[Candidate]:
     """Return this instance's subset of the candidates that are usable.
@@ -140,18 +146,18 @@
     Drops excluded endpoints, and remote ones if a local one is left.
     """
     remaining = candidates
-    if question.excluded:
+    if routing_request.excluded:
         remaining = [
             candidate
             for candidate in candidates
-            if candidate.endpoint.name not in question.excluded
+            if candidate.endpoint.name not in routing_request.excluded
         ]
     local = [
         candidate
         for candidate in remaining
         if candidate.endpoint.data_centre == state.data_centre
     ]
-    return take_subset(state.instance, local or remaining)
+    return select_subset(state.instance, local or remaining)
 
 
 def _sample(
@@ -171,19 +177,19 @@
 
 
 def _find_prefix_owner(
-    question: Question,
+    routing_request: RoutingRequest,
     pool: Sequence[Candidate],
 ) -> Candidate | None:
     """Return the engine to which all instances send this prefix.
 
     None if the request has no prefix.
     """
-    if not question.prefix:
+    if not routing_request.prefix:
         return None
     return max(
         pool,
         key=lambda option: compute_rendezvous_weight(
-            question.prefix,
+            routing_request.prefix,
             option.endpoint.name,
         ),
     )
@@ -212,7 +218,7 @@
     over = {option.candidate.endpoint.name for option in scored}
     return Choice(
         endpoint=chosen,
-        belief=estimate_load(load, chosen.name, now),
+        load_estimate=estimate_load(load, chosen.name, now),
         over=tuple(sorted(over - {chosen.name})),
         reason=best.reason,
     )
--- a/packages/verbenahall/src/verbenahall/routing/_gathering.py
+++ b/packages/verbenahall/src/verbenahall/routing/_long_prompts.py
@@ -21,8 +21,8 @@
 
 from verbenahall.fleet import Role
 from verbenahall.routing._candidates import Candidate, RoutingState
-from verbenahall.routing._messages import Question
-from verbenahall.routing._mix import WorkloadMix
+from verbenahall.routing._messages import RoutingRequest
+from verbenahall.routing._workload_mix import WorkloadMix
 
 #: Prompts of at least this many tokens are long: their prefill delays a
 #: decode step by more than a stream tolerates.
@@ -52,7 +52,7 @@
 
 def filter_by_prompt_length(
     state: RoutingState,
-    question: Question,
+    routing_request: RoutingRequest,
     pool: Sequence[Candidate],
     now: float,
 ) -> Sequence[Candidate]:
@@ -62,11 +62,11 @@
     ``pool`` is an instance's subset of a larger pool, the common order still
     puts the same engines first in every subset.
     """
-    if not question.prompt_tokens or len(pool) < _MIN_POOL_SIZE:
+    if not routing_request.prompt_tokens or len(pool) < _MIN_POOL_SIZE:
         return pool
-    mix = state.mixes.setdefault(question.model, WorkloadMix())
-    is_long = question.prompt_tokens >= LONG_PROMPT_TOKENS
-    _record_arrival(mix, question, now, is_long=is_long)
+    mix = state.mixes.setdefault(routing_request.model, WorkloadMix())
+    is_long = routing_request.prompt_tokens >= LONG_PROMPT_TOKENS
+    _record_arrival(mix, routing_request, now, is_long=is_long)
     _update_long_prompt_engines(mix, len(pool))
     if not mix.long_prompt_engines:
         return pool
@@ -78,7 +78,7 @@
 
 def _record_arrival(
     mix: WorkloadMix,
-    question: Question,
+    routing_request: RoutingRequest,
     now: float,
     *,
     is_long: bool,
@@ -88,8 +88,8 @@
     mix.other_work *= factor
     mix.updated = now
     work = (
-        question.prompt_tokens / _PREFILL_TOKENS_PER_OUTPUT_TOKEN
-        + question.output_tokens
+        routing_request.prompt_tokens / _PREFILL_TOKENS_PER_OUTPUT_TOKEN
+        + routing_request.output_tokens
     )
     if is_long:
         mix.long_work += work
--- a/packages/verbenahall/src/verbenahall/routing/_messages.py
+++ b/packages/verbenahall/src/verbenahall/routing/_messages.py
@@ -7,7 +7,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Question:
+class RoutingRequest:
     """One attempt that needs an endpoint.
 
     ``request`` is the request's identity. Token counts are estimates.
@@ -28,11 +28,12 @@
 class Choice:
     """The selected endpoint and why it was selected.
 
-    ``belief`` is its load estimate, ``over`` the names of the other candidates
-    that were compared, ``reason`` either ``load`` or ``prefix``.
+    ``load_estimate`` is the endpoint's estimated load and ``over`` holds the
+    names of the other candidates that were compared. ``reason`` is ``load`` or
+    ``prefix``.
     """
 
     endpoint: Endpoint
-    belief: LoadEstimate
+    load_estimate: LoadEstimate
     over: tuple[str, ...]
     reason: str
--- a/packages/verbenahall/tests/routing/test_balance.py
+++ b/packages/verbenahall/tests/routing/test_balance.py
@@ -20,7 +20,12 @@
     record_sent,
     record_report,
 )
-from verbenahall.routing import Candidate, Question, RoutingState, choose
+from verbenahall.routing import (
+    Candidate,
+    RoutingRequest,
+    RoutingState,
+    choose_endpoint,
+)
 
 INSTANCES = 9
 ENGINES = 10
@@ -100,8 +105,10 @@
         self.load = LoadState()
 
     def pick(self, request, now):
-        question = Question(str(request))
-        chosen = choose(self.routing, question, CANDIDATES, self.load, now)
+        routing_request = RoutingRequest(str(request))
+        chosen = choose_endpoint(
+            self.routing, routing_request, CANDIDATES, self.load, now
+        )
         return chosen.unwrap().endpoint.name
 
     def receive_report(self, name, report, now):
@@ -207,8 +214,10 @@
 
     def pick(self, request, now):
         prefix = f'archive-{request % PREFIXES}'
-        question = Question(str(request), prefix=prefix)
-        chosen = choose(self.routing, question, CANDIDATES, self.load, now)
+        routing_request = RoutingRequest(str(request), prefix=prefix)
+        chosen = choose_endpoint(
+            self.routing, routing_request, CANDIDATES, self.load, now
+        )
         return chosen.unwrap().endpoint.name
 
 
--- a/packages/verbenahall/tests/routing/test_decisions.py
+++ b/packages/verbenahall/tests/routing/test_decisions.py
@@ -20,11 +20,11 @@
 )
 from verbenahall.routing import (
     Candidate,
-    Question,
+    RoutingRequest,
     RoutingState,
-    choose,
+    choose_endpoint,
     rank_by_rendezvous,
-    take_subset,
+    select_subset,
 )
 
 NAMES = st.integers(0, 30)
@@ -53,9 +53,9 @@
 def pick(candidates, load, times=1, seed=1, **attributes):
     """Select an endpoint several times without sending; return the names."""
     routing = make_routing(seed)
-    question = Question('r', **attributes)
+    routing_request = RoutingRequest('r', **attributes)
     chosen = [
-        choose(routing, question, candidates, load, 0).unwrap()
+        choose_endpoint(routing, routing_request, candidates, load, 0).unwrap()
         for _ in range(times)
     ]
     return [choice.endpoint.name for choice in chosen]
@@ -78,8 +78,10 @@
     ]
     local = [row for row in remaining if row.endpoint.data_centre == 'here']
     allowed = {row.endpoint.name for row in local or remaining}
-    question = Question('r', excluded=excluded_names)
-    chosen = choose(make_routing(seed), question, candidates, load, 0)
+    routing_request = RoutingRequest('r', excluded=excluded_names)
+    chosen = choose_endpoint(
+        make_routing(seed), routing_request, candidates, load, 0
+    )
     if allowed:
         assert chosen.unwrap().endpoint.name in allowed
         assert chosen.unwrap().endpoint.name not in chosen.unwrap().over
@@ -187,9 +189,9 @@
     The removal of engines must change a subset only by those engines.
     """
     candidates = [make_candidate(number) for number in range(1000)]
-    subsets = [set(take_subset(f'i{row}', candidates)) for row in range(60)]
+    subsets = [set(select_subset(f'i{row}', candidates)) for row in range(60)]
     assert len(set.union(*subsets)) > 700
-    kept = set(take_subset('i0', candidates[10:]))
+    kept = set(select_subset('i0', candidates[10:]))
     assert len(kept - subsets[0]) <= len(subsets[0] & set(candidates[:10]))
     assert rank_by_rendezvous('k', ['a', 'b']) == rank_by_rendezvous(
         'k',
--- a/packages/verbenahall/tests/routing/test_gathering.py
+++ b/packages/verbenahall/tests/routing/test_gathering.py
@@ -7,10 +7,15 @@
 
 from verbenahall.fleet import Endpoint, EndpointKind, Role
 from verbenahall.load import LoadState
-from verbenahall.routing import Candidate, Question, RoutingState, choose
+from verbenahall.routing import (
+    Candidate,
+    RoutingRequest,
+    RoutingState,
+    choose_endpoint,
+)
 
-LONG = Question('long', 20_000, 50)
-SHORT = Question('short', 100, 200)
+LONG = RoutingRequest('long', 20_000, 50)
+SHORT = RoutingRequest('short', 100, 200)
 
 
 def build_pool(count):
@@ -27,17 +32,23 @@
     return RoutingState(f'instance-{seed}', 'dc', random.Random(seed))
 
 
-def repeat(times, *questions):
-    return [question for _ in range(times) for question in questions]
+def repeat(times, *routing_requests):
+    return [
+        routing_request
+        for _ in range(times)
+        for routing_request in routing_requests
+    ]
 
 
-def choose_all(questions, pool, seed=1):
-    """Yield the ``request`` of each question and the engine selected."""
+def choose_all(routing_requests, pool, seed=1):
+    """Yield the ID of each request and the engine selected."""
     state = build_state(seed)
     load = LoadState()
-    for number, question in enumerate(questions):
-        choice = choose(state, question, pool, load, number / 10).unwrap()
-        yield question.request, choice.endpoint.name
+    for number, routing_request in enumerate(routing_requests):
+        choice = choose_endpoint(
+            state, routing_request, pool, load, number / 10
+        ).unwrap()
+        yield routing_request.request, choice.endpoint.name
 
 
 def test_rush_of_long_prompts_leaves_engines_to_streams():
@@ -61,8 +72,8 @@
     If instances used different engines for long prompts, every engine would
     get some, and all streams would be delayed.
     """
-    questions = [*repeat(60, SHORT), LONG]
-    repeated = [*questions, *questions, *questions]
+    routing_requests = [*repeat(60, SHORT), LONG]
+    repeated = [*routing_requests, *routing_requests, *routing_requests]
     last_choices = [
         list(choose_all(repeated, build_pool(6), seed))[-1] for seed in range(9)
     ]
@@ -83,8 +94,10 @@
     load = LoadState()
     names = {candidate.endpoint.name for candidate in pool}
     for number, (prompt, output) in enumerate(sizes):
-        question = Question(str(number), prompt, output)
-        choice = choose(state, question, pool, load, float(number)).unwrap()
+        routing_request = RoutingRequest(str(number), prompt, output)
+        choice = choose_endpoint(
+            state, routing_request, pool, load, float(number)
+        ).unwrap()
         assert choice.endpoint.name in names
 
 
