--- a/packages/standins/src/verbenahall_standins/ours.py
+++ b/packages/standins/src/verbenahall_standins/ours.py
@@ -81,7 +81,7 @@
         work += arrival.output / _TYPICAL_OUTPUT
         record_sent(state, name, routing_request.request, work, now)
         demand = self._demands[router.data_centre]
-        roles.note_arrival(demand, arrival.prompt, arrival.output, now)
+        roles.record_arrival(demand, arrival.prompt, arrival.output, now)
         return name
 
     def finish(self, instance: int, outcome: Outcome, now: float) -> None:
@@ -117,7 +117,7 @@
     ) -> Mapping[str, Role]:
         seen = roles.Observation(
             pool=site,
-            demand=roles.read_demand(self._demands[site], now),
+            demand=roles.estimate_demand(self._demands[site], now),
             engines=tuple(map(_observe, engines)),
             goodput_weight=self._workload.goodput_weight,
             change_weight=self._workload.change_weight,
@@ -131,9 +131,9 @@
         return plan.roles
 
 
-def _observe(engine: Engine) -> roles.EngineNow:
+def _observe(engine: Engine) -> roles.EngineStatus:
     role = engine.wanted or engine.batch.role
-    return roles.EngineNow(engine.name, role, engine.batch.running)
+    return roles.EngineStatus(engine.name, role, engine.batch.running)
 
 
 def _describe(engine: Engine) -> routing.Candidate:
--- a/packages/verbenahall/src/verbenahall/instance/_pools.py
+++ b/packages/verbenahall/src/verbenahall/instance/_pools.py
@@ -9,7 +9,7 @@
 from verbenahall.instance._dependencies import ControllerDependencies
 from verbenahall.load import EngineStates
 from verbenahall.membership import MembershipState, live
-from verbenahall.roles import EngineNow
+from verbenahall.roles import EngineStatus
 from verbenahall.settings import PoolSettings
 
 _UNIT_WEIGHT: Final = 1.0
@@ -21,7 +21,7 @@
 
     name: str
     models: tuple[str, ...]
-    engines: tuple[EngineNow, ...]
+    engines: tuple[EngineStatus, ...]
     goodput_weight: float
     change_weight: float
     floor: int
@@ -54,11 +54,11 @@
         self._states = states
         self._lease_manager = lease_manager
 
-    def is_leading(self, now: float) -> bool:
+    def is_leader(self, now: float) -> bool:
         """Whether this process holds the data centre's lease."""
         return self._lease_manager.held(self._data_centre, now) is not None
 
-    def find_share(self, now: float) -> float:
+    def get_traffic_share(self, now: float) -> float:
         """Return this instance's share of the data centre's requests.
 
         The balancer distributes callers evenly over live instances.
@@ -96,11 +96,11 @@
             floor=max(floors, default=1),
         )
 
-    def _list_engines(self, pool: PoolSettings) -> Iterator[EngineNow]:
+    def _list_engines(self, pool: PoolSettings) -> Iterator[EngineStatus]:
         drains = self._dependencies.read_settings().drains
         for name in pool.engines:
             state = self._states.by_name.get(name)
             if state is None or name in drains:
                 continue
             if self._dependencies.find_status(name) is Standing.LIVE:
-                yield EngineNow(name, state.role, state.report.running)
+                yield EngineStatus(name, state.role, state.report.running)
--- a/packages/verbenahall/src/verbenahall/instance/_wiring.py
+++ b/packages/verbenahall/src/verbenahall/instance/_wiring.py
@@ -76,7 +76,7 @@
             read_position=lambda: core.folds.settings.position,
             claim=core.claims.claim,
             release=core.claims.release,
-            record_demand=self.control.planner.note_arrival,
+            record_demand=self.control.planner.record_arrival,
             check_ready=self._check_ready,
             load=self._load,
             states=self.control.states,
--- a/packages/verbenahall/src/verbenahall/roles/_demand.py
+++ b/packages/verbenahall/src/verbenahall/roles/_demand.py
@@ -23,7 +23,7 @@
         self.arrived = now
 
 
-def note_arrival(
+def record_arrival(
     state: DemandState,
     prompt_tokens: int,
     output_tokens: int,
@@ -36,7 +36,7 @@
     state.arrived = now
 
 
-def read_demand(state: DemandState, now: float, share: float = 1) -> Demand:
+def estimate_demand(state: DemandState, now: float, share: float = 1) -> Demand:
     """Return the estimated demand in the whole data centre.
 
     The load balancer in front spreads the callers over all instances, so this
--- a/packages/verbenahall/src/verbenahall/roles/_messages.py
+++ b/packages/verbenahall/src/verbenahall/roles/_messages.py
@@ -36,7 +36,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class EngineNow:
+class EngineStatus:
     """A live engine of the pool, its role and its running requests."""
 
     name: str
@@ -80,7 +80,7 @@
 
     pool: str
     demand: Demand
-    engines: tuple[EngineNow, ...]
+    engines: tuple[EngineStatus, ...]
     goodput_weight: float = 1.0
     change_weight: float = 1.0
     floor: int = 1
--- a/packages/verbenahall/src/verbenahall/roles/_planner.py
+++ b/packages/verbenahall/src/verbenahall/roles/_planner.py
@@ -17,12 +17,12 @@
 from verbenahall.fleet import Role
 from verbenahall.roles._messages import (
     Counts,
-    EngineNow,
+    EngineStatus,
     Observation,
     Plan,
     Profile,
 )
-from verbenahall.roles._served import (
+from verbenahall.roles._capacity import (
     compute_engines_needed,
     compute_served_share,
 )
@@ -213,5 +213,5 @@
     return roles
 
 
-def _sort_key(engine: EngineNow) -> tuple[int, str]:
+def _sort_key(engine: EngineStatus) -> tuple[int, str]:
     return -engine.running, engine.name
--- a/packages/verbenahall/src/verbenahall/roles/_shell.py
+++ b/packages/verbenahall/src/verbenahall/roles/_shell.py
@@ -8,8 +8,17 @@
 from verbenahall import journal
 from verbenahall.clock import Clock, monotonic
 from verbenahall.fleet import Role
-from verbenahall.roles._demand import DemandState, note_arrival, read_demand
-from verbenahall.roles._messages import Demand, EngineNow, Observation, Profile
+from verbenahall.roles._demand import (
+    DemandState,
+    record_arrival,
+    estimate_demand,
+)
+from verbenahall.roles._messages import (
+    Demand,
+    EngineStatus,
+    Observation,
+    Profile,
+)
 from verbenahall.roles._planner import PlannerState, decide
 
 #: Time between two steps of the planner, in seconds.
@@ -32,7 +41,7 @@
 
     name: str
     models: tuple[str, ...]
-    engines: tuple[EngineNow, ...]
+    engines: tuple[EngineStatus, ...]
     goodput_weight: float
     change_weight: float
     floor: int
@@ -41,13 +50,13 @@
 class RolePlannerDependencies(Protocol):
     """What the planner reads at each step."""
 
-    def is_leading(self, now: float) -> bool:
+    def is_leader(self, now: float) -> bool:
         """Whether this process holds the data centre's lease."""
 
     def list_pools(self) -> list[AutomaticPool]:
         """Return the automatic pools with their live engines."""
 
-    def find_share(self, now: float) -> float:
+    def get_traffic_share(self, now: float) -> float:
         """Return this instance's share of the data centre's callers."""
 
 
@@ -75,7 +84,7 @@
         self._demands: dict[str, DemandState] = {}
         self._planners: dict[str, PlannerState] = {}
 
-    def note_arrival(
+    def record_arrival(
         self,
         model: str,
         prompt_tokens: int,
@@ -84,7 +93,7 @@
         """Add a caller's request to the demand, by its expected tokens."""
         now = self._clock()
         demand = self._demands.setdefault(model, DemandState(now))
-        note_arrival(demand, prompt_tokens, output_tokens, now)
+        record_arrival(demand, prompt_tokens, output_tokens, now)
 
     async def run(self) -> None:
         """Plan periodically until cancelled."""
@@ -95,7 +104,7 @@
     def plan(self) -> None:
         """Plan all pools once, or clear the target roles without the lease."""
         now = self._clock()
-        if not self._dependencies.is_leading(now):
+        if not self._dependencies.is_leader(now):
             self._planners.clear()
             self.roles = _NO_ROLES
             return
@@ -130,9 +139,9 @@
         return plan.roles
 
     def _add_demands(self, models: tuple[str, ...], now: float) -> Demand:
-        share = self._dependencies.find_share(now)
+        share = self._dependencies.get_traffic_share(now)
         demands = [
-            read_demand(self._demands[model], now, share)
+            estimate_demand(self._demands[model], now, share)
             for model in models
             if model in self._demands
         ]
--- a/packages/verbenahall/tests/roles/test_planner.py
+++ b/packages/verbenahall/tests/roles/test_planner.py
@@ -11,7 +11,7 @@
 from verbenahall.roles import (
     Counts,
     Demand,
-    EngineNow,
+    EngineStatus,
     Observation,
     PlannerState,
     Profile,
@@ -38,7 +38,8 @@
 def make_observation(*roles, demand, **weights):
     """Return an observation of engines in the given roles."""
     engines = tuple(
-        EngineNow(f'engine-{index}', role) for index, role in enumerate(roles)
+        EngineStatus(f'engine-{index}', role)
+        for index, role in enumerate(roles)
     )
     return Observation('pool', demand, engines, **weights)
 
@@ -157,14 +158,14 @@
     def __init__(self):
         self.leading = True
         self.engines = tuple(
-            EngineNow(f'engine-{index}', role)
+            EngineStatus(f'engine-{index}', role)
             for index, role in enumerate(itertools.repeat(Role.PREFILL, 4))
         )
 
-    def is_leading(self, now):
+    def is_leader(self, now):
         return self.leading
 
-    def find_share(self, now):
+    def get_traffic_share(self, now):
         return 1
 
     def list_pools(self):
@@ -186,7 +187,7 @@
     planner = RolePlanner(pools, PROFILE, clock=lambda: next(now) / 10)
     targets = []
     for _ in range(seconds):
-        planner.note_arrival('drafter', 10, 300)
+        planner.record_arrival('drafter', 10, 300)
         planner.plan()
         targets.append(dict(planner.roles))
     return targets
