--- a/packages/verbenahall/src/verbenahall/front/_attempts.py
+++ b/packages/verbenahall/src/verbenahall/front/_attempts.py
@@ -23,13 +23,13 @@
 from verbenahall.load import record_finished, record_sent
 from verbenahall.requests import (
     Broken,
-    Facts,
+    RetryContext,
     GiveUp,
     Outcome,
     Retry,
     RetryBudget,
     TimedOut,
-    decide_next,
+    decide_retry,
 )
 
 
@@ -54,7 +54,7 @@
         sender: Sender[Sent],
     ) -> Result[Sent, Problem]:
         """Run attempts until one succeeds or no further attempt is allowed."""
-        self._budget.earn()
+        self._budget.record_request()
         result = await self._run(progress, sender)
         if isinstance(result, Failure):
             self._release_claim(progress, result.failure())
@@ -174,16 +174,16 @@
     def _decide_retry(
         self, progress: Progress, outcome: Outcome
     ) -> Retry | GiveUp:
-        retry_context = Facts(
+        retry_context = RetryContext(
             repeatable=progress.call.repeatable,
             deadline=progress.call.head.deadline,
             attempts=progress.attempts,
             delivered=progress.delivered_tokens > 0,
             resumable=bool(self._placer.list_candidates(progress)),
-            unknown=progress.may_have_run,
+            may_have_run_before=progress.may_have_run,
             urgent=progress.call.head.ticket.priority == FLAG_PRIORITY,
         )
-        step = decide_next(
+        step = decide_retry(
             outcome,
             retry_context,
             self._budget,
--- a/packages/verbenahall/src/verbenahall/front/_placement.py
+++ b/packages/verbenahall/src/verbenahall/front/_placement.py
@@ -16,7 +16,7 @@
     build_routing_request,
 )
 from verbenahall.journal import write_decision
-from verbenahall.requests import AttemptNames
+from verbenahall.requests import AttemptIds
 from verbenahall.routing import Candidate, Choice, RoutingState, choose_endpoint
 
 #: Logged as the age of the load report if there is none, in seconds.
@@ -32,7 +32,7 @@
         dependencies: FrontDependencies,
         fleet: FleetView,
         routing: RoutingState,
-        ids: AttemptNames,
+        ids: AttemptIds,
     ) -> None:
         """Store what placement depends on."""
         self._dependencies = dependencies
@@ -53,7 +53,7 @@
             return Failure(adjust_problem(_build_deadline_problem(), progress))
         progress.attempts += 1
         choice = chosen.unwrap()
-        attempt = self._ids.next_name()
+        attempt = self._ids.next_id()
         self._log_route(progress, choice, attempt)
         return Success(PlacedAttempt(choice.endpoint, attempt, remaining))
 
--- a/packages/verbenahall/src/verbenahall/front/_reader.py
+++ b/packages/verbenahall/src/verbenahall/front/_reader.py
@@ -11,7 +11,7 @@
 from verbenahall.errors import ErrorKind, Problem, ProblemError
 from verbenahall.front._messages import RequestHead
 from verbenahall.front._parse import read_head
-from verbenahall.requests import AttemptNames
+from verbenahall.requests import AttemptIds
 
 
 @final
@@ -21,7 +21,7 @@
     def __init__(
         self,
         limits: LimitsConfig,
-        ids: AttemptNames,
+        ids: AttemptIds,
         clock: Clock,
     ) -> None:
         """Store the limits and the source of request IDs."""
@@ -33,7 +33,7 @@
         """Parse the headers; raise ``ProblemError`` if they are invalid."""
         read = read_head(
             request.headers,
-            self._ids.next_name(),
+            self._ids.next_id(),
             self._limits.default_deadline_s,
             self._clock(),
         )
--- a/packages/verbenahall/src/verbenahall/front/_relay.py
+++ b/packages/verbenahall/src/verbenahall/front/_relay.py
@@ -12,7 +12,7 @@
 from verbenahall.errors import Problem
 from verbenahall.front._answers import REQUEST_ID_HEADER, build_error_body
 from verbenahall.front._engines import OpenStream, StreamBrokenError
-from verbenahall.requests import Broken, Outcome, StreamState, feed
+from verbenahall.requests import Broken, Outcome, StreamState, process_chunk
 
 _HEADERS: Final[Mapping[str, str]] = MappingProxyType(
     {
@@ -65,12 +65,12 @@
                 return Failure(Broken(str(error)))
             if not chunk:
                 return Failure(Broken('the stream ended without [DONE]'))
-            step = feed(state, chunk)
-            if step.passed:
+            step = process_chunk(state, chunk)
+            if step.forwarded:
                 last_event_at = self._record_timing(last_event_at)
                 response = self.response or await self._start_response()
                 self._writing_since = last_event_at
-                await response.write(step.passed)
+                await response.write(step.forwarded)
                 self._writing_since = None
             if state.gap:
                 return Failure(
--- a/packages/verbenahall/src/verbenahall/front/_shell.py
+++ b/packages/verbenahall/src/verbenahall/front/_shell.py
@@ -18,7 +18,7 @@
 from verbenahall.front._pipeline import RequestPipeline
 from verbenahall.front._placement import Placer
 from verbenahall.front._reader import RequestReader
-from verbenahall.requests import AttemptNames
+from verbenahall.requests import AttemptIds
 from verbenahall.routing import RoutingState
 
 _REFRESH_S: Final = 0.1
@@ -50,8 +50,8 @@
         routing = RoutingState(
             config.name, config.data_centre, dependencies.rng
         )
-        attempts = AttemptNames(f'{config.name}.{incarnation}')
-        requests = AttemptNames(f'r-{incarnation}')
+        attempts = AttemptIds(f'{config.name}.{incarnation}')
+        requests = AttemptIds(f'r-{incarnation}')
         fleet = FleetView(dependencies, config)
         self._fleet = fleet
         self._limits = config.limits
--- a/packages/verbenahall/src/verbenahall/gateway/_attempts.py
+++ b/packages/verbenahall/src/verbenahall/gateway/_attempts.py
@@ -11,13 +11,13 @@
 from verbenahall.gateway._core import Core
 from verbenahall.gateway._messages import Call
 from verbenahall.requests import (
-    Facts,
+    RetryContext,
     Outcome,
     Retry,
-    conclude,
-    decide_next,
+    build_problem,
+    decide_retry,
     may_have_run,
-    name_outcome,
+    get_outcome_label,
 )
 
 
@@ -60,31 +60,31 @@
         outcome: Outcome,
         *,
         delivered: bool = False,
-        resends: int = 1,
+        send_count: int = 1,
         **log_fields: Any,
     ) -> Problem | None:
         """Return the problem that ends the call; None for another attempt.
 
-        ``resends`` is how many sends another attempt takes. ``log_fields``
+        ``send_count`` is how many sends another attempt takes. ``log_fields``
         are further fields of the log line, such as the endpoints that failed.
         """
-        facts = self._make_retry_context(delivered, resends)
-        step = decide_next(
+        retry_context = self._make_retry_context(delivered, send_count)
+        step = decide_retry(
             outcome,
-            facts,
+            retry_context,
             self._budget,
             self._core.random,
             self._core.now(),
         )
         retrying = isinstance(step, Retry)
         self._log_failure(
-            name_outcome(outcome), str(outcome), retrying, log_fields
+            get_outcome_label(outcome), str(outcome), retrying, log_fields
         )
-        return None if retrying else conclude(outcome, facts)
+        return None if retrying else build_problem(outcome, retry_context)
 
     def retry_failed_answer(self, endpoint: str, status: int) -> bool:
         """Spend retry budget on an error answer; False if none is left."""
-        retrying = self._budget.spend()
+        retrying = self._budget.try_spend()
         detail = f'status {status}'
         log_fields = {'endpoint': endpoint}
         self._log_failure('failed_answer', detail, retrying, log_fields)
@@ -119,18 +119,20 @@
         )
         return build_problem_response(problem, call.ask.identity)
 
-    def _make_retry_context(self, delivered: bool, resends: int) -> Facts:
+    def _make_retry_context(
+        self, delivered: bool, send_count: int
+    ) -> RetryContext:
         call = self._call
-        return Facts(
+        return RetryContext(
             repeatable=call.route.repeatable,
             deadline=call.deadline,
             attempts=self.begun,
             delivered=delivered,
             resumable=call.route.resumable,
-            unknown=self.runs > 0,
+            may_have_run_before=self.runs > 0,
             runs=self.runs,
-            most_runs=call.route.max_attempts,
-            resends=resends,
+            max_runs=call.route.max_attempts,
+            send_count=send_count,
         )
 
     def _log_failure(
--- a/packages/verbenahall/src/verbenahall/gateway/_core.py
+++ b/packages/verbenahall/src/verbenahall/gateway/_core.py
@@ -156,17 +156,17 @@
         """
         bounds = self.settings.bounds
         instances = max(self.instances, _MIN_INSTANCES)
-        slack = bounds.retry_slack * _BUDGET_SHARE / instances
+        burst = bounds.retry_slack * _BUDGET_SHARE / instances
         budget = self._budgets.get(service)
         if budget is None:
             budget = WindowBudget(
                 bounds.retry_share * _BUDGET_SHARE,
-                slack,
+                burst,
                 bounds.retry_window_s,
                 self.now,
             )
             self._budgets[service] = budget
-        budget.slack = slack
+        budget.burst = burst
         return budget
 
     def find_waited(self, route: str, wait_s: float) -> float:
--- a/packages/verbenahall/src/verbenahall/gateway/_ingress.py
+++ b/packages/verbenahall/src/verbenahall/gateway/_ingress.py
@@ -24,7 +24,7 @@
 from verbenahall.gateway._streams import StreamFlow
 from verbenahall.platform import OPERATOR_TOPIC, Ask, read_ask
 from verbenahall.quarantine import find_quarantine_s, make_fingerprint
-from verbenahall.requests import describe_quarantine
+from verbenahall.requests import build_quarantine_problem
 from verbenahall.shutdown import GracefulStop
 
 #: Retry-After of a stopping instance, in seconds: callers may retry at once,
@@ -70,7 +70,7 @@
         call: Call,
     ) -> web.StreamResponse:
         self._log_accepted(call)
-        self._core.budget_of(call.service.name).earn()
+        self._core.budget_of(call.service.name).record_request()
         try:
             response = await self._start_flow(request, call)
         except (ConnectionError, asyncio.CancelledError):
@@ -194,7 +194,7 @@
             call.received,
         )
         if left_s:
-            return Failure(describe_quarantine(left_s))
+            return Failure(build_quarantine_problem(left_s))
         return Success(call)
 
     def _log_refused(
--- a/packages/verbenahall/src/verbenahall/gateway/_streams.py
+++ b/packages/verbenahall/src/verbenahall/gateway/_streams.py
@@ -241,7 +241,7 @@
         problem = self._attempts.handle_failure(
             outcome,
             delivered=self._relay.begun,
-            resends=1 if self._kv_handle or prefill_failed else 2,
+            send_count=1 if self._kv_handle or prefill_failed else 2,
             reader=plan.reader.name if plan.reader else None,
             generator=plan.generator.name,
             last_event=self._relay.state.last,
--- a/packages/verbenahall/src/verbenahall/requests/__init__.py
+++ b/packages/verbenahall/src/verbenahall/requests/__init__.py
@@ -2,20 +2,20 @@
 
 from verbenahall.requests._budget import RetryBudget, WindowBudget
 from verbenahall.requests._decisions import (
-    conclude,
-    decide_next,
-    describe_quarantine,
+    build_problem,
+    decide_retry,
+    build_quarantine_problem,
     may_have_run,
-    name_outcome,
+    get_outcome_label,
 )
-from verbenahall.requests._hindrances import (
+from verbenahall.requests._not_sent import (
     Limited,
     Quarantined,
     Unauthorized,
 )
 from verbenahall.requests._messages import (
-    AttemptNames,
-    Facts,
+    AttemptIds,
+    RetryContext,
     GiveUp,
     Retry,
 )
@@ -27,12 +27,16 @@
     TimedOut,
     Unprepared,
 )
-from verbenahall.requests._stream import StreamState, StreamStep, feed
+from verbenahall.requests._stream_check import (
+    StreamState,
+    StreamStep,
+    process_chunk,
+)
 
 __all__ = (
-    'AttemptNames',
+    'AttemptIds',
     'Broken',
-    'Facts',
+    'RetryContext',
     'GiveUp',
     'Limited',
     'NeverWritten',
@@ -47,10 +51,10 @@
     'Unauthorized',
     'Unprepared',
     'WindowBudget',
-    'conclude',
-    'decide_next',
-    'describe_quarantine',
-    'feed',
+    'build_problem',
+    'decide_retry',
+    'build_quarantine_problem',
+    'process_chunk',
     'may_have_run',
-    'name_outcome',
+    'get_outcome_label',
 )
--- a/packages/verbenahall/src/verbenahall/requests/_budget.py
+++ b/packages/verbenahall/src/verbenahall/requests/_budget.py
@@ -33,11 +33,11 @@
         self._max_tokens = max_tokens
         self._tokens = max_tokens
 
-    def earn(self) -> None:
+    def record_request(self) -> None:
         """Count a new request."""
         self._tokens = min(self._max_tokens, self._tokens + self._share)
 
-    def spend(self, sends: int = 1) -> bool:
+    def try_spend(self, sends: int = 1) -> bool:
         """Take one token per send, or return False if there are too few."""
         if self._tokens < sends:
             return False
@@ -50,7 +50,7 @@
     """Limits the retries within a sliding window of time.
 
     In each window of ``window_s`` seconds, the number of retried sends is at
-    most ``share`` times the number of new requests, plus ``slack``. The
+    most ``share`` times the number of new requests, plus ``burst``. The
     operators state their limit in this form.
 
     A token bucket of the same share is empty after four sends. The crash of an
@@ -58,33 +58,33 @@
     them failed although the window's limit was far from reached.
     """
 
-    __slots__ = ('slack', '_share', '_window_s', '_now', '_requests', '_sends')
+    __slots__ = ('burst', '_share', '_window_s', '_now', '_requests', '_sends')
 
     def __init__(
         self,
         share: float,
-        slack: float,
+        burst: float,
         window_s: float,
         now: Clock,
     ) -> None:
         """Start with an empty window."""
-        self.slack = slack
+        self.burst = burst
         self._share = share
         self._window_s = window_s
         self._now = now
         self._requests: collections.deque[float] = collections.deque()
         self._sends: collections.deque[float] = collections.deque()
 
-    def earn(self) -> None:
+    def record_request(self) -> None:
         """Count a new request."""
         self._requests.append(self._now())
         self._drop_expired(self._requests)
 
-    def spend(self, sends: int = 1) -> bool:
+    def try_spend(self, sends: int = 1) -> bool:
         """Add sends to the window, or return False if they exceed it."""
         self._drop_expired(self._requests)
         self._drop_expired(self._sends)
-        allowed = self._share * len(self._requests) + self.slack
+        allowed = self._share * len(self._requests) + self.burst
         if len(self._sends) + sends > allowed:
             return False
         self._sends.extend(itertools.repeat(self._now(), sends))
--- a/packages/verbenahall/src/verbenahall/requests/_decisions.py
+++ b/packages/verbenahall/src/verbenahall/requests/_decisions.py
@@ -10,12 +10,12 @@
 
 from verbenahall.errors import ErrorKind, Problem, Ran
 from verbenahall.requests._budget import RetryBudget, WindowBudget
-from verbenahall.requests._hindrances import (
+from verbenahall.requests._not_sent import (
     Limited,
     Quarantined,
     Unauthorized,
 )
-from verbenahall.requests._messages import Facts, GiveUp, Retry
+from verbenahall.requests._messages import RetryContext, GiveUp, Retry
 from verbenahall.requests._outcomes import (
     Broken,
     NeverWritten,
@@ -34,35 +34,35 @@
 _MAX_DELAY_S: Final = 1.0
 
 
-def decide_next(
+def decide_retry(
     outcome: Outcome,
-    facts: Facts,
+    retry_context: RetryContext,
     budget: RetryBudget | WindowBudget,
     rng: random.Random,
     now: float,
 ) -> Retry | GiveUp:
     """Decide between a retry and a final problem for the caller."""
-    if not _is_retryable(outcome, facts):
-        return GiveUp(conclude(outcome, facts))
-    delay = _compute_backoff(facts.attempts, rng)
-    if now + delay >= facts.deadline or not _is_within_limits(
+    if not _is_retryable(outcome, retry_context):
+        return GiveUp(build_problem(outcome, retry_context))
+    delay = _compute_backoff(retry_context.attempts, rng)
+    if now + delay >= retry_context.deadline or not _is_within_limits(
         outcome,
-        facts,
+        retry_context,
         budget,
     ):
-        return GiveUp(conclude(outcome, facts))
-    return Retry(delay, name_outcome(outcome))
+        return GiveUp(build_problem(outcome, retry_context))
+    return Retry(delay, get_outcome_label(outcome))
 
 
-def conclude(outcome: Outcome, facts: Facts) -> Problem:
+def build_problem(outcome: Outcome, retry_context: RetryContext) -> Problem:
     """Return the problem that answers a request after its last attempt."""
-    ran = Ran.UNKNOWN if facts.unknown else Ran.NO
+    ran = Ran.UNKNOWN if retry_context.may_have_run_before else Ran.NO
     match outcome:
         case TimedOut():
             message = 'the deadline passed after the request was sent'
             return Problem(ErrorKind.DEADLINE_EXCEEDED, message, Ran.UNKNOWN)
-        case _ if facts.delivered:
-            message = f'the answer was truncated: {name_outcome(outcome)}'
+        case _ if retry_context.delivered:
+            message = f'the answer was truncated: {get_outcome_label(outcome)}'
             return Problem(ErrorKind.ANSWER_TRUNCATED, message)
         case Unprepared(detail):
             message = f'the request was not sent: {detail}'
@@ -71,7 +71,7 @@
             message = f'the endpoint could not be reached: {detail}'
             return Problem(ErrorKind.ENDPOINT_FAILED, message, ran)
         case Quarantined(left_s):
-            return describe_quarantine(left_s, ran)
+            return build_quarantine_problem(left_s, ran)
         case Limited(wait_s):
             message = 'the endpoint accepts no more requests at present'
             return Problem(ErrorKind.OVERLOADED, message, ran, wait_s)
@@ -81,7 +81,7 @@
         case Refused(status):
             message = f'the endpoint refused the request with status {status}'
             return Problem(ErrorKind.OVERLOADED, message, ran)
-        case Broken(detail) if facts.repeatable:
+        case Broken(detail) if retry_context.repeatable:
             message = f'the endpoint failed: {detail}'
             return Problem(ErrorKind.ENDPOINT_FAILED, message, Ran.UNKNOWN)
         case Broken(detail):
@@ -89,7 +89,7 @@
             return Problem(ErrorKind.OUTCOME_UNKNOWN, message)
 
 
-def describe_quarantine(left_s: float, ran: Ran = Ran.NO) -> Problem:
+def build_quarantine_problem(left_s: float, ran: Ran = Ran.NO) -> Problem:
     """Return the problem of a request in quarantine for ``left_s`` seconds."""
     message = 'the request is in quarantine: endpoints crashed while running it'
     return Problem(ErrorKind.QUARANTINED, message, ran, left_s)
@@ -108,7 +108,7 @@
     )
 
 
-def name_outcome(outcome: Outcome) -> str:
+def get_outcome_label(outcome: Outcome) -> str:
     """Return the label of an outcome in logs and metrics."""
     match outcome:
         case NeverWritten():
@@ -129,21 +129,21 @@
             return 'timed_out'
 
 
-def _is_retryable(outcome: Outcome, facts: Facts) -> bool:
-    if facts.delivered and not facts.resumable:
+def _is_retryable(outcome: Outcome, retry_context: RetryContext) -> bool:
+    if retry_context.delivered and not retry_context.resumable:
         return False
     match outcome:
         case NeverWritten() | Unprepared() | Refused() | Limited():
             return True
         case Broken():
-            return facts.repeatable
+            return retry_context.repeatable
         case TimedOut() | Quarantined() | Unauthorized():
             return False
 
 
 def _is_within_limits(
     outcome: Outcome,
-    facts: Facts,
+    retry_context: RetryContext,
     budget: RetryBudget | WindowBudget,
 ) -> bool:
     """Whether the limits on attempts and the budget allow a retry.
@@ -152,17 +152,17 @@
     depend on the budget that other requests' retries use. So urgent requests
     that are refused get more attempts, outside the budget.
     """
-    if facts.most_runs and facts.runs >= facts.most_runs:
+    if retry_context.max_runs and retry_context.runs >= retry_context.max_runs:
         return False
-    if facts.urgent and isinstance(outcome, Refused):
-        return facts.attempts < _MAX_URGENT_ATTEMPTS
-    if facts.attempts >= _MAX_ATTEMPTS:
+    if retry_context.urgent and isinstance(outcome, Refused):
+        return retry_context.attempts < _MAX_URGENT_ATTEMPTS
+    if retry_context.attempts >= _MAX_ATTEMPTS:
         return False
     # Attempts that reached no endpoint put no load on the fleet, so they are
     # not charged. When they were, the failed connects after a crash used up
     # the budget that the streams broken by it needed in order to resume.
     is_unsent = isinstance(outcome, NeverWritten | Limited)
-    return is_unsent or budget.spend(facts.resends)
+    return is_unsent or budget.try_spend(retry_context.send_count)
 
 
 def _compute_backoff(attempts: int, rng: random.Random) -> float:
--- a/packages/verbenahall/src/verbenahall/requests/_messages.py
+++ b/packages/verbenahall/src/verbenahall/requests/_messages.py
@@ -8,7 +8,7 @@
 
 
 @final
-class AttemptNames:
+class AttemptIds:
     """Generates identities that are unique across restarts.
 
     Each process draws a new incarnation, so a restarted instance does not
@@ -22,24 +22,25 @@
         self._prefix = incarnation
         self._numbers = itertools.count(1)
 
-    def next_name(self) -> str:
+    def next_id(self) -> str:
         """Return a new identity."""
         number = next(self._numbers)
         return f'{self._prefix}-{number:x}'
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Facts:
+class RetryContext:
     """The state of a request after one of its attempts failed.
 
     ``repeatable`` means that it is safe to run the request twice.
-    ``deadline`` is a time on the clock that ``decide_next`` gets. ``attempts``
+    ``deadline`` is a time on the clock that ``decide_retry`` gets. ``attempts``
     counts the attempts so far. ``delivered`` means that at least one byte of
     the answer has reached the caller, ``resumable`` that another endpoint can
-    continue the answer from there. ``unknown`` means that an earlier attempt
-    may have run, ``urgent`` that the request has the highest priority.
-    ``runs`` counts the attempts that may have run, ``most_runs`` is the limit
-    on it (0 for none). ``resends`` is the number of sends that a retry takes.
+    continue the answer from there. ``may_have_run_before`` means that an
+    earlier attempt may have run, ``urgent`` that the request has the highest
+    priority. ``runs`` counts the attempts that may have run, and ``max_runs``
+    limits them (0 for no limit). ``send_count`` is the number of sends that a
+    retry takes.
     """
 
     repeatable: bool
@@ -47,11 +48,11 @@
     attempts: int
     delivered: bool = False
     resumable: bool = False
-    unknown: bool = False
+    may_have_run_before: bool = False
     urgent: bool = False
     runs: int = 0
-    most_runs: int = 0
-    resends: int = 1
+    max_runs: int = 0
+    send_count: int = 1
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
--- a/packages/verbenahall/src/verbenahall/requests/_outcomes.py
+++ b/packages/verbenahall/src/verbenahall/requests/_outcomes.py
@@ -3,7 +3,7 @@
 import dataclasses
 from typing import Union
 
-from verbenahall.requests._hindrances import (
+from verbenahall.requests._not_sent import (
     Limited,
     Quarantined,
     Unauthorized,
--- a/packages/verbenahall/src/verbenahall/requests/_stream.py
+++ b/packages/verbenahall/src/verbenahall/requests/_stream_check.py
@@ -24,11 +24,11 @@
 
     ``index`` is the next expected token. ``done`` is set by the end marker,
     ``gap`` by a missing token. ``dropped`` counts duplicates, malformed events
-    and events of other attempts. ``tail`` holds the bytes of an incomplete
+    and events of other attempts. ``pending`` holds the bytes of an incomplete
     event.
     """
 
-    __slots__ = ('attempt', 'index', 'done', 'gap', 'dropped', 'tail')
+    __slots__ = ('attempt', 'index', 'done', 'gap', 'dropped', 'pending')
 
     def __init__(self, attempt: str, index: int = 0) -> None:
         """Start a stream of one attempt at the token ``index``."""
@@ -37,25 +37,25 @@
         self.done = False
         self.gap = False
         self.dropped = 0
-        self.tail = b''
+        self.pending = b''
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class StreamStep:
     """The bytes to forward after one chunk, and the tokens in them."""
 
-    passed: bytes
+    forwarded: bytes
     tokens: int
 
 
-def feed(state: StreamState, chunk: bytes) -> StreamStep:
+def process_chunk(state: StreamState, chunk: bytes) -> StreamStep:
     """Check the next chunk and return the complete events to forward.
 
     The end marker is not forwarded: the relay writes it once, after the last
     attempt. Nothing is forwarded after a gap.
     """
-    events = (state.tail + chunk).split(_EVENT_SEPARATOR)
-    state.tail = events.pop()
+    events = (state.pending + chunk).split(_EVENT_SEPARATOR)
+    state.pending = events.pop()
     start_index = state.index
     accepted = [event for event in events if _accept_event(state, event)]
     if accepted:
--- a/packages/verbenahall/tests/requests/test_decisions.py
+++ b/packages/verbenahall/tests/requests/test_decisions.py
@@ -10,9 +10,9 @@
 
 from verbenahall.errors import ErrorKind, Ran
 from verbenahall.requests import (
-    AttemptNames,
+    AttemptIds,
     Broken,
-    Facts,
+    RetryContext,
     GiveUp,
     NeverWritten,
     Refused,
@@ -20,35 +20,39 @@
     RetryBudget,
     StreamState,
     TimedOut,
-    decide_next,
-    feed,
+    decide_retry,
+    process_chunk,
 )
 
 OUTCOMES = (NeverWritten('x'), Refused(503), Broken('x'), TimedOut())
 FLAGS = st.booleans()
 
 
-def decide(outcome, budget=None, now=0, **facts):
-    facts = {'deadline': 100, 'attempts': 1, 'repeatable': False} | facts
-    return decide_next(
+def decide(outcome, budget=None, now=0, **retry_context):
+    retry_context = {
+        'deadline': 100,
+        'attempts': 1,
+        'repeatable': False,
+    } | retry_context
+    return decide_retry(
         outcome,
-        Facts(**facts),
+        RetryContext(**retry_context),
         budget or RetryBudget(),
         random.Random(1),
         now,
     )
 
 
-def look_up_retryable(outcome, facts):
+def look_up_retryable(outcome, retry_context):
     """Look the decision up in a table of all cases."""
     did_not_run = isinstance(outcome, NeverWritten | Refused)
-    is_resumable = not facts['delivered'] or facts['resumable']
+    is_resumable = not retry_context['delivered'] or retry_context['resumable']
     return {
         (True, True): True,
         (True, False): True,
         (False, True): isinstance(outcome, Broken),
         (False, False): False,
-    }[did_not_run, facts['repeatable']] and is_resumable
+    }[did_not_run, retry_context['repeatable']] and is_resumable
 
 
 @given(
@@ -58,29 +62,34 @@
             'repeatable': FLAGS,
             'delivered': FLAGS,
             'resumable': FLAGS,
-            'unknown': FLAGS,
+            'may_have_run_before': FLAGS,
         },
     ),
 )
-def test_retry_only_where_the_naive_table_allows(outcome, facts):
+def test_retry_only_where_the_naive_table_allows(outcome, retry_context):
     """A request may be retried only if the attempt certainly did not run or
     may run twice, and only if an answer that has been partly delivered can be
     resumed. Otherwise the caller gets an answer that never claims "not run"
     wrongly.
     """
-    step = decide(outcome, **facts)
-    assert isinstance(step, Retry) == look_up_retryable(outcome, facts)
+    step = decide(outcome, **retry_context)
+    assert isinstance(step, Retry) == look_up_retryable(outcome, retry_context)
     if isinstance(step, GiveUp) and step.problem.answer.ran is Ran.NO:
         assert isinstance(outcome, NeverWritten | Refused)
-        assert not facts['unknown']
+        assert not retry_context['may_have_run_before']
 
 
 @pytest.mark.parametrize(
-    ('outcome', 'facts', 'kind', 'ran'),
+    ('outcome', 'retry_context', 'kind', 'ran'),
     (
         (NeverWritten('x'), {}, ErrorKind.ENDPOINT_FAILED, Ran.NO),
         (Refused(503), {}, ErrorKind.OVERLOADED, Ran.NO),
-        (Refused(503), {'unknown': True}, ErrorKind.OVERLOADED, Ran.UNKNOWN),
+        (
+            Refused(503),
+            {'may_have_run_before': True},
+            ErrorKind.OVERLOADED,
+            Ran.UNKNOWN,
+        ),
         (Broken('x'), {}, ErrorKind.OUTCOME_UNKNOWN, Ran.UNKNOWN),
         (TimedOut(), {}, ErrorKind.DEADLINE_EXCEEDED, Ran.UNKNOWN),
         (
@@ -92,12 +101,12 @@
     ),
 )
 def test_final_problem_reports_whether_the_request_ran(
-    outcome, facts, kind, ran
+    outcome, retry_context, kind, ran
 ):
     """The final answer may say "not run" only if no endpoint started the
     request. Otherwise the caller would repeat it and it would run twice.
     """
-    step = decide(outcome, attempts=9, **facts)
+    step = decide(outcome, attempts=9, **retry_context)
     assert step.problem.kind is kind
     assert step.problem.answer.ran is ran
 
@@ -130,7 +139,7 @@
     budget = RetryBudget(share=0.2, max_tokens=10)
     retries = 0
     for _ in range(1000):
-        budget.earn()
+        budget.record_request()
         retries += isinstance(decide(Refused(503), budget), Retry)
     assert 200 <= retries <= 211
 
@@ -139,8 +148,8 @@
     """A restarted instance counts from one again. An answer to the first
     attempt of the old process must not match that of the new one.
     """
-    first, second = AttemptNames('i1.aa'), AttemptNames('i1.bb')
-    ids = [names.next_name() for names in (first, second) for _ in range(99)]
+    first, second = AttemptIds('i1.aa'), AttemptIds('i1.bb')
+    ids = [names.next_id() for names in (first, second) for _ in range(99)]
     assert len(set(ids)) == len(ids)
 
 
@@ -164,16 +173,16 @@
 
 def decode_stream(events):
     """Decode every event and return the tokens in order, done and gap."""
-    expected, passed = 0, []
+    expected, forwarded = 0, []
     for kind, index in events:
         if kind == 'done':
-            return passed, True, False
+            return forwarded, True, False
         if kind == 'mine' and index > expected:
-            return passed, False, True
+            return forwarded, False, True
         if kind == 'mine' and index == expected:
-            passed.append(index)
+            forwarded.append(index)
             expected += 1
-    return passed, False, False
+    return forwarded, False, False
 
 
 @given(EVENTS, st.booleans(), st.lists(st.integers(1, 40), max_size=30))
@@ -184,12 +193,12 @@
     """
     sent = b''.join(write_event(*event, spaced) for event in events)
     state = StreamState('mine')
-    passed, start = b'', 0
+    forwarded, start = b'', 0
     for end in itertools.accumulate([*cuts, len(sent)]):
-        passed += feed(state, sent[start:end]).passed
+        forwarded += process_chunk(state, sent[start:end]).forwarded
         start = end
     tokens, done, gap = decode_stream(events)
-    assert passed == b''.join(
+    assert forwarded == b''.join(
         write_event('mine', token, spaced) for token in tokens
     )
     assert (state.index, state.done, state.gap) == (len(tokens), done, gap)
--- a/packages/verbenahall/tests/requests/test_window_budget.py
+++ b/packages/verbenahall/tests/requests/test_window_budget.py
@@ -16,7 +16,7 @@
 
 
 def make_budget(clock):
-    return WindowBudget(share=0.16, slack=4, window_s=10, now=clock)
+    return WindowBudget(share=0.16, burst=4, window_s=10, now=clock)
 
 
 def test_burst_of_retries_may_use_the_whole_window():
@@ -27,8 +27,8 @@
     budget = make_budget(clock)
     for _ in range(100):
         clock.seconds += 0.1
-        budget.earn()
-    assert sum(budget.spend() for _ in range(30)) == 20
+        budget.record_request()
+    assert sum(budget.try_spend() for _ in range(30)) == 20
 
 
 def test_no_window_exceeds_its_bound():
@@ -41,9 +41,9 @@
     for _ in range(3000):
         clock.seconds += source.expovariate(10)
         requests.append(clock.seconds)
-        budget.earn()
+        budget.record_request()
         for _ in range(source.choice((0, 0, 0, 0, 3))):
-            if budget.spend():
+            if budget.try_spend():
                 sends.append(clock.seconds)
     for since in sends:
         sent_in_window = sum(since <= at <= since + 10 for at in sends)
@@ -56,15 +56,15 @@
 def test_several_sends_are_taken_together_or_not_at_all():
     clock = Clock()
     budget = make_budget(clock)
-    assert budget.spend(3)
-    assert not budget.spend(2)
-    assert budget.spend(1)
+    assert budget.try_spend(3)
+    assert not budget.try_spend(2)
+    assert budget.try_spend(1)
 
 
 def test_sends_leave_the_window():
     clock = Clock()
     budget = make_budget(clock)
-    assert budget.spend(4)
-    assert not budget.spend()
+    assert budget.try_spend(4)
+    assert not budget.try_spend()
     clock.seconds = 10.1
-    assert budget.spend(4)
+    assert budget.try_spend(4)
