--- a/packages/verbenahall/src/verbenahall/admission/__init__.py
+++ b/packages/verbenahall/src/verbenahall/admission/__init__.py
@@ -14,7 +14,7 @@
     Ticket,
 )
 from verbenahall.admission._rates import RateMeter
-from verbenahall.admission._shell import RateLimiter
+from verbenahall.admission._shell import AdmissionController
 from verbenahall.admission._state import (
     AdmissionLimits,
     AdmissionState,
@@ -26,7 +26,7 @@
     'AdmissionState',
     'Effects',
     'FLAG_PRIORITY',
-    'RateLimiter',
+    'AdmissionController',
     'LOWEST_PRIORITY',
     'Ticket',
     'WorkspaceBounds',
--- a/packages/verbenahall/src/verbenahall/admission/_shell.py
+++ b/packages/verbenahall/src/verbenahall/admission/_shell.py
@@ -24,11 +24,11 @@
 
 
 @final
-class RateLimiter:
+class AdmissionController:
     """Admits requests to lanes.
 
     ``limits_of(lane)`` returns the limits of a lane. It is called on first use
-    of the lane and by ``refresh``.
+    of the lane and by ``refresh_limits``.
     """
 
     def __init__(
@@ -43,8 +43,8 @@
         self._workspaces: Workspaces = {}
         self._pending: dict[str, asyncio.Future[_Outcome]] = {}
 
-    async def enter(self, lane: str, ticket: Ticket) -> _Outcome:
-        """Wait until the request may run; call ``leave`` after it.
+    async def acquire(self, lane: str, ticket: Ticket) -> _Outcome:
+        """Wait until the request may run; call ``release`` after it.
 
         Returns the problem if the request is rejected.
         """
@@ -61,12 +61,12 @@
             # The caller left. If its ticket stayed queued, it would be
             # admitted later and hold a slot for ever.
             if not _decisions.withdraw(state, ticket):
-                self.leave(lane, ticket)
+                self.release(lane, ticket)
             raise
         finally:
             self._pending.pop(ticket.request, None)
 
-    def leave(self, lane: str, ticket: Ticket) -> None:
+    def release(self, lane: str, ticket: Ticket) -> None:
         """End an admitted request and admit the next ones."""
         state = self._get_lane(lane)
         self._apply(_decisions.finish(state, ticket.request, self._clock()))
@@ -77,7 +77,7 @@
         for state in self._lanes.values():
             state.workspaces = workspaces
 
-    def refresh(self) -> None:
+    def refresh_limits(self) -> None:
         """Update the limits of all lanes."""
         for lane, state in self._lanes.items():
             limits = self._limits_of(lane)
--- a/packages/verbenahall/src/verbenahall/front/_pipeline.py
+++ b/packages/verbenahall/src/verbenahall/front/_pipeline.py
@@ -6,7 +6,7 @@
 from returns.result import Failure, Result, Success
 
 from verbenahall import metrics
-from verbenahall.admission import RateLimiter
+from verbenahall.admission import AdmissionController
 from verbenahall.errors import Problem
 from verbenahall.front._answers import REQUEST_ID_HEADER, answer_problem
 from verbenahall.front._attempts import AttemptRunner
@@ -31,7 +31,7 @@
         self,
         dependencies: FrontDependencies,
         fleet: FleetView,
-        admission: RateLimiter,
+        admission: AdmissionController,
         attempts: AttemptRunner,
     ) -> None:
         """Store the stages of the pipeline."""
@@ -53,7 +53,7 @@
         checked = self._fleet.check(progress.requirement)
         if isinstance(checked, Success):
             self._record_demand(call)
-            checked = await self._admission.enter(lane, ticket)
+            checked = await self._admission.acquire(lane, ticket)
         if isinstance(checked, Failure):
             return self._build_failure(call.head, checked.failure())
         waited = self._dependencies.clock() - call.head.received_at
@@ -61,7 +61,7 @@
         try:
             return await self._serve(progress, call, request)
         finally:
-            self._admission.leave(lane, ticket)
+            self._admission.release(lane, ticket)
 
     def abort_stalled(self, max_stall_s: float) -> None:
         """Disconnect callers that have read nothing for ``max_stall_s``."""
--- a/packages/verbenahall/src/verbenahall/front/_shell.py
+++ b/packages/verbenahall/src/verbenahall/front/_shell.py
@@ -8,7 +8,7 @@
 from returns.result import Failure
 
 from verbenahall import wire
-from verbenahall.admission import RateLimiter, WorkspaceBounds
+from verbenahall.admission import AdmissionController, WorkspaceBounds
 from verbenahall.config import InstanceConfig
 from verbenahall.front._answers import answer_problem
 from verbenahall.front._attempts import AttemptRunner
@@ -59,7 +59,9 @@
         self._reader = RequestReader(
             config.limits, requests, dependencies.clock
         )
-        self._admission = RateLimiter(fleet.get_limits, dependencies.clock)
+        self._admission = AdmissionController(
+            fleet.get_limits, dependencies.clock
+        )
         placer = Placer(dependencies, fleet, routing, attempts)
         self._attempts = AttemptRunner(dependencies, placer)
         self._pipeline = RequestPipeline(
@@ -93,7 +95,7 @@
             if position != self._dependencies.read_position():
                 position = self._dependencies.read_position()
                 self._admission.apply_workspaces(self._read_workspaces())
-            self._admission.refresh()
+            self._admission.refresh_limits()
             self._attempts.abandon_unresponsive()
             self._pipeline.abort_stalled(self._limits.body_timeout_s)
             await asyncio.sleep(_REFRESH_S)
