--- a/packages/standins/src/verbenahall_standins/capacity/_fleet.py
+++ b/packages/standins/src/verbenahall_standins/capacity/_fleet.py
@@ -10,17 +10,17 @@
     Endpoint,
     EndpointKind,
     Role,
-    Standing,
+    EndpointStatus,
     Target,
 )
 from verbenahall.load import LoadState, Report, record_report
 from verbenahall.membership import (
     ListEntry,
     MembershipState,
-    StandingChange,
+    StatusChange,
     all_endpoints,
     apply_list,
-    standing_of,
+    get_status,
 )
 from verbenahall.rollout import EngineView, plan
 from verbenahall.routing import (
@@ -121,10 +121,9 @@
     return Series('standings of a step (us)', 'endpoints', points)
 
 
-def _read_standings(state: MembershipState) -> list[Standing]:
+def _read_standings(state: MembershipState) -> list[EndpointStatus]:
     return [
-        standing_of(state, endpoint.name, 1)
-        for endpoint in all_endpoints(state)
+        get_status(state, endpoint.name, 1) for endpoint in all_endpoints(state)
     ]
 
 
@@ -162,5 +161,5 @@
         record_report(load, candidate.endpoint.name, report, 0)
 
 
-def _ignore(change: StandingChange) -> None:
+def _ignore(change: StatusChange) -> None:
     """Write no decision line; the fold alone is measured."""
--- a/packages/standins/src/verbenahall_standins/control_bytes.py
+++ b/packages/standins/src/verbenahall_standins/control_bytes.py
@@ -19,7 +19,7 @@
 from verbenahall.membership import (
     ListEntry,
     MembershipState,
-    OwnReport,
+    InstanceStatus,
     PeerExchange,
     apply_list,
 )
@@ -114,8 +114,8 @@
     """Write no decision lines while measuring."""
 
 
-def _report() -> OwnReport:
-    return OwnReport(ready=True, position=_POSITION)
+def _report() -> InstanceStatus:
+    return InstanceStatus(ready=True, position=_POSITION)
 
 
 async def measure(count: int, period_s: float, seconds: float) -> None:
--- a/packages/standins/src/verbenahall_standins/holder.py
+++ b/packages/standins/src/verbenahall_standins/holder.py
@@ -20,7 +20,7 @@
 from verbenahall import clock
 from verbenahall.authority import AuthorityState, LeaseKeeper, LeaseTiming
 from verbenahall.authority import apply_record as apply_authority
-from verbenahall.fleet import Endpoint, EndpointKind, Role, Standing
+from verbenahall.fleet import Endpoint, EndpointKind, Role, EndpointStatus
 from verbenahall.log import LogClient, LogFollower
 from verbenahall.orders import Dispatch, OrderSender, OrdersState, OrderTiming
 from verbenahall.orders import apply_record as apply_orders
@@ -95,9 +95,11 @@
         """Return the settings."""
         return self._settings
 
-    def list_engines(self, now: float) -> Sequence[tuple[Endpoint, Standing]]:
+    def list_engines(
+        self, now: float
+    ) -> Sequence[tuple[Endpoint, EndpointStatus]]:
         """Return the engine as live."""
-        return ((self._endpoint, Standing.LIVE),)
+        return ((self._endpoint, EndpointStatus.LIVE),)
 
     def read_roles(self) -> Mapping[str, Role]:
         """Return no roles."""
--- a/packages/verbenahall/src/verbenahall/fleet.py
+++ b/packages/verbenahall/src/verbenahall/fleet.py
@@ -24,7 +24,7 @@
 
 
 @final
-class Standing(enum.Enum):
+class EndpointStatus(enum.Enum):
     """Whether an endpoint may get new work."""
 
     LIVE = 'live'
--- a/packages/verbenahall/src/verbenahall/front/_attempts.py
+++ b/packages/verbenahall/src/verbenahall/front/_attempts.py
@@ -8,7 +8,7 @@
 from verbenahall import metrics
 from verbenahall.admission import FLAG_PRIORITY
 from verbenahall.errors import Problem, Ran
-from verbenahall.fleet import Endpoint, Standing
+from verbenahall.fleet import Endpoint, EndpointStatus
 from verbenahall.front._dependencies import FrontDependencies
 from verbenahall.front._feedback import may_still_run, record_outcome
 from verbenahall.front._messages import Call
@@ -72,7 +72,7 @@
         for endpoint, limit in tuple(self._open.values()):
             if (
                 self._dependencies.find_status(endpoint.name, now)
-                is Standing.SILENT
+                is EndpointStatus.SILENT
             ):
                 limit.reschedule(loop.time())
 
--- a/packages/verbenahall/src/verbenahall/front/_dependencies.py
+++ b/packages/verbenahall/src/verbenahall/front/_dependencies.py
@@ -9,7 +9,7 @@
 
 from verbenahall.clock import Clock, monotonic
 from verbenahall.errors import Problem
-from verbenahall.fleet import Endpoint, EndpointKind, Standing
+from verbenahall.fleet import Endpoint, EndpointKind, EndpointStatus
 from verbenahall.front._engines import EngineAdapter
 from verbenahall.front._services import ServiceAdapter
 from verbenahall.load import EngineStates, LoadState
@@ -68,7 +68,7 @@
     """
 
     list_available: Callable[[EndpointKind, float, str], Sequence[Endpoint]]
-    find_status: Callable[[str, float], Standing]
+    find_status: Callable[[str, float], EndpointStatus]
     report_answer: Callable[[str], None]
     report_failure: Callable[[str], None]
     read_settings: Callable[[], Settings]
--- a/packages/verbenahall/src/verbenahall/instance/_control.py
+++ b/packages/verbenahall/src/verbenahall/instance/_control.py
@@ -15,7 +15,7 @@
 from verbenahall.load import EngineStates, read_engine_state
 from verbenahall.membership import (
     ListPoller,
-    OwnReport,
+    InstanceStatus,
     PeerExchange,
     Prober,
 )
@@ -146,8 +146,8 @@
             core.config.timing.heartbeat_s,
         )
 
-    def _build_peer_report(self) -> OwnReport:
-        return OwnReport(
+    def _build_peer_report(self) -> InstanceStatus:
+        return InstanceStatus(
             ready=self.read_readiness().ready,
             position=self._core.folds.settings.position,
         )
--- a/packages/verbenahall/src/verbenahall/instance/_dependencies.py
+++ b/packages/verbenahall/src/verbenahall/instance/_dependencies.py
@@ -4,13 +4,13 @@
 from typing import Final, final
 
 from verbenahall import clock
-from verbenahall.fleet import Endpoint, EndpointKind, Role, Standing
+from verbenahall.fleet import Endpoint, EndpointKind, Role, EndpointStatus
 from verbenahall.instance._folds import Folds
 from verbenahall.membership import (
     MembershipState,
     all_endpoints,
     find,
-    standing_of,
+    get_status,
 )
 from verbenahall.routing import rank_by_rendezvous
 from verbenahall.settings import EffectiveSettings, effective
@@ -52,10 +52,12 @@
         """Return the effective settings."""
         return effective(self._folds.settings)
 
-    def list_engines(self, now: float) -> Sequence[tuple[Endpoint, Standing]]:
+    def list_engines(
+        self, now: float
+    ) -> Sequence[tuple[Endpoint, EndpointStatus]]:
         """Return the data centre's engines with their status."""
         return [
-            (engine, standing_of(self._members, engine.name, now))
+            (engine, get_status(self._members, engine.name, now))
             for engine in self.list_local_engines()
         ]
 
@@ -78,9 +80,9 @@
         endpoint = find(self._members, name)
         return endpoint is not None and self._is_remote(endpoint)
 
-    def find_status(self, name: str) -> Standing:
+    def find_status(self, name: str) -> EndpointStatus:
         """Return an endpoint's current status."""
-        return standing_of(self._members, name, clock.monotonic())
+        return get_status(self._members, name, clock.monotonic())
 
     def read_roles(self) -> Mapping[str, Role]:
         """Return the planned roles for engines of automatic pools."""
--- a/packages/verbenahall/src/verbenahall/instance/_discovery.py
+++ b/packages/verbenahall/src/verbenahall/instance/_discovery.py
@@ -8,13 +8,13 @@
 from typing import Final, final
 
 from verbenahall import clock
-from verbenahall.fleet import EndpointKind, Standing
+from verbenahall.fleet import EndpointKind, EndpointStatus
 from verbenahall.instance._dependencies import ControllerDependencies
 from verbenahall.load import EngineStates
 from verbenahall.membership import (
     MembershipState,
     all_endpoints,
-    standing_of,
+    get_status,
 )
 from verbenahall.settings import EffectiveSettings
 
@@ -67,7 +67,7 @@
     return [
         name
         for name in names
-        if standing_of(members, name, now) is Standing.LIVE
+        if get_status(members, name, now) is EndpointStatus.LIVE
     ]
 
 
--- a/packages/verbenahall/src/verbenahall/instance/_membership_adapter.py
+++ b/packages/verbenahall/src/verbenahall/instance/_membership_adapter.py
@@ -4,7 +4,7 @@
 from typing import final
 
 from verbenahall import clock
-from verbenahall.fleet import Endpoint, EndpointKind, Standing
+from verbenahall.fleet import Endpoint, EndpointKind, EndpointStatus
 from verbenahall.load import EngineState
 from verbenahall.membership import (
     MembershipState,
@@ -13,7 +13,7 @@
     observe_failure,
     observe_leaving,
     observe_word,
-    standing_of,
+    get_status,
 )
 from verbenahall.orders import OrdersState, is_changing
 
@@ -49,9 +49,9 @@
             if not is_changing(self._orders, endpoint.name)
         ]
 
-    def find_status(self, name: str, now: float) -> Standing:
+    def find_status(self, name: str, now: float) -> EndpointStatus:
         """Return an endpoint's status."""
-        return standing_of(self._members, name, now)
+        return get_status(self._members, name, now)
 
     def report_answer(self, name: str) -> None:
         """Report that an endpoint answered."""
--- a/packages/verbenahall/src/verbenahall/instance/_pools.py
+++ b/packages/verbenahall/src/verbenahall/instance/_pools.py
@@ -5,7 +5,7 @@
 from typing import Final, final
 
 from verbenahall.authority import LeaseKeeper
-from verbenahall.fleet import EndpointKind, Standing
+from verbenahall.fleet import EndpointKind, EndpointStatus
 from verbenahall.instance._dependencies import ControllerDependencies
 from verbenahall.load import EngineStates
 from verbenahall.membership import MembershipState, live
@@ -102,5 +102,5 @@
             state = self._states.by_name.get(name)
             if state is None or name in drains:
                 continue
-            if self._dependencies.find_status(name) is Standing.LIVE:
+            if self._dependencies.find_status(name) is EndpointStatus.LIVE:
                 yield EngineStatus(name, state.role, state.report.running)
--- a/packages/verbenahall/src/verbenahall/membership/__init__.py
+++ b/packages/verbenahall/src/verbenahall/membership/__init__.py
@@ -9,18 +9,18 @@
     observe_failure,
     observe_leaving,
     observe_word,
-    standing_of,
+    get_status,
 )
 from verbenahall.membership._list_updates import apply_list
 from verbenahall.membership._messages import (
     DEFAULT_RULES,
     ListEntry,
-    Listing,
+    ListStatus,
     MembershipRules,
-    OwnReport,
-    PeerView,
-    Sign,
-    StandingChange,
+    InstanceStatus,
+    PeerStatus,
+    StatusReason,
+    StatusChange,
 )
 from verbenahall.membership._peer_shell import PeerExchange
 from verbenahall.membership._poller import ListPoller
@@ -31,15 +31,15 @@
     'DEFAULT_RULES',
     'ListEntry',
     'ListPoller',
-    'Listing',
+    'ListStatus',
     'MembershipRules',
     'MembershipState',
-    'OwnReport',
+    'InstanceStatus',
     'PeerExchange',
-    'PeerView',
+    'PeerStatus',
     'Prober',
-    'Sign',
-    'StandingChange',
+    'StatusReason',
+    'StatusChange',
     'all_endpoints',
     'apply_list',
     'due_probes',
@@ -49,5 +49,5 @@
     'observe_failure',
     'observe_leaving',
     'observe_word',
-    'standing_of',
+    'get_status',
 )
--- a/packages/verbenahall/src/verbenahall/membership/_codec.py
+++ b/packages/verbenahall/src/verbenahall/membership/_codec.py
@@ -11,7 +11,7 @@
     Heartbeat,
     ListAnswer,
     ListEntry,
-    OwnReport,
+    InstanceStatus,
     LeavingNotice,
     Suspicion,
 )
@@ -90,7 +90,7 @@
     return Heartbeat(
         sender=str(table['sender']),
         incarnation=str(table['incarnation']),
-        report=OwnReport(bool(table['ready']), int(table['position'])),
+        report=InstanceStatus(bool(table['ready']), int(table['position'])),
         leaving=bool(table.get('leaving')),
         leaving_notices=tuple(
             LeavingNotice(str(name), str(incarnation), max(float(age_s), 0))
--- a/packages/verbenahall/src/verbenahall/membership/_decisions.py
+++ b/packages/verbenahall/src/verbenahall/membership/_decisions.py
@@ -4,9 +4,13 @@
 import random
 from typing import Final
 
-from verbenahall.fleet import Endpoint, EndpointKind, Standing
+from verbenahall.fleet import Endpoint, EndpointKind, EndpointStatus
 from verbenahall.membership._list_updates import remove_member, replace_member
-from verbenahall.membership._messages import Listing, Sign, StateReport
+from verbenahall.membership._messages import (
+    ListStatus,
+    StatusReason,
+    StateReport,
+)
 from verbenahall.membership._status import update_status
 from verbenahall.membership._state import Member, MembershipState
 
@@ -116,7 +120,7 @@
 
 def _is_available(member: Member, kind: EndpointKind, service: str) -> bool:
     return (
-        member.status is Standing.LIVE
+        member.status is EndpointStatus.LIVE
         and member.endpoint.kind is kind
         and service in {'', member.endpoint.service}
     )
@@ -137,17 +141,17 @@
     member: Member,
     now: float,
 ) -> bool:
-    if member.unlisted_at is None or member.status is Standing.LIVE:
+    if member.unlisted_at is None or member.status is EndpointStatus.LIVE:
         return False
     return now - member.unlisted_at >= state.rules.expire_after_s
 
 
-def standing_of(state: MembershipState, name: str, now: float) -> Standing:
+def get_status(state: MembershipState, name: str, now: float) -> EndpointStatus:
     """Return an endpoint's status, ``SILENT`` for an unknown name."""
     expire_members(state, now)
     member = state.members.get(name)
     if member is None or member.status is None:
-        return Standing.SILENT
+        return EndpointStatus.SILENT
     return member.status
 
 
@@ -191,9 +195,12 @@
 def _needs_probe(member: Member, now: float) -> bool:
     if member.probe_at > now:
         return False
-    if member.status is Standing.SILENT or member.reason is Sign.TOLD_LEAVING:
+    if (
+        member.status is EndpointStatus.SILENT
+        or member.reason is StatusReason.TOLD_LEAVING
+    ):
         return True
-    return member.listing is Listing.DOUBTED
+    return member.list_status is ListStatus.DOUBTED
 
 
 def _schedule_next_probe(
--- a/packages/verbenahall/src/verbenahall/membership/_list_updates.py
+++ b/packages/verbenahall/src/verbenahall/membership/_list_updates.py
@@ -6,7 +6,7 @@
 from typing import Final
 
 from verbenahall.fleet import Endpoint
-from verbenahall.membership._messages import ListEntry, Listing
+from verbenahall.membership._messages import ListEntry, ListStatus
 from verbenahall.membership._status import update_status
 from verbenahall.membership._state import Group, Member, MembershipState
 
@@ -15,7 +15,7 @@
 #: list.
 _REMOVABLE_DIVISOR: Final = 3
 _MAX_FORMER: Final = 4
-_LISTED: Final = frozenset((Listing.SHOWN, Listing.DOUBTED))
+_LISTED: Final = frozenset((ListStatus.SHOWN, ListStatus.DOUBTED))
 
 
 def apply_list(
@@ -94,7 +94,9 @@
     if member is None or member.endpoint != endpoint:
         member = replace_member(state, endpoint, now)
     state.address_owners.setdefault(endpoint.address, endpoint.name)
-    member.listing = Listing.LEAVING if entry.leaving else Listing.SHOWN
+    member.list_status = (
+        ListStatus.LEAVING if entry.leaving else ListStatus.SHOWN
+    )
     member.unlisted_at = None
 
 
@@ -139,14 +141,14 @@
 ) -> None:
     if member.unlisted_at is None:
         member.unlisted_at = now
-    if member.listing is Listing.GONE:
+    if member.list_status is ListStatus.GONE:
         return
     if doubted:
-        member.listing = Listing.DOUBTED
+        member.list_status = ListStatus.DOUBTED
         return
-    if member.listing is not Listing.LEAVING:
+    if member.list_status is not ListStatus.LEAVING:
         _count_removal(state, member, now)
-    member.listing = Listing.GONE
+    member.list_status = ListStatus.GONE
 
 
 def _count_removal(
@@ -187,7 +189,7 @@
 def _group_listed(state: MembershipState) -> dict[Group, set[str]]:
     groups: dict[Group, set[str]] = collections.defaultdict(set)
     for name, member in state.members.items():
-        if member.listing in _LISTED:
+        if member.list_status in _LISTED:
             groups[_group_of(member)].add(name)
     return groups
 
--- a/packages/verbenahall/src/verbenahall/membership/_messages.py
+++ b/packages/verbenahall/src/verbenahall/membership/_messages.py
@@ -4,11 +4,11 @@
 import enum
 from typing import Final, final
 
-from verbenahall.fleet import Endpoint, Standing
+from verbenahall.fleet import Endpoint, EndpointStatus
 
 
 @final
-class Listing(enum.Enum):
+class ListStatus(enum.Enum):
     """How the platform's list shows a member.
 
     ``DOUBTED`` is a member that disappeared together with more others than a
@@ -22,7 +22,7 @@
 
 
 @final
-class Sign(enum.Enum):
+class StatusReason(enum.Enum):
     """The reason for a member's status; the values are logged."""
 
     ADDRESS_TAKEN = 'address_taken'
@@ -64,13 +64,13 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class StandingChange:
+class StatusChange:
     """A change of a member's status, with its reason."""
 
     endpoint: Endpoint
-    before: Standing | None
-    after: Standing
-    reason: Sign
+    before: EndpointStatus | None
+    after: EndpointStatus
+    reason: StatusReason
     failures: int
 
 
@@ -122,7 +122,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class OwnReport:
+class InstanceStatus:
     """An instance's readiness and settings offset."""
 
     ready: bool
@@ -138,16 +138,16 @@
 
     sender: str
     incarnation: str
-    report: OwnReport
+    report: InstanceStatus
     leaving: bool
     leaving_notices: tuple[LeavingNotice, ...] = ()
     suspicions: tuple[Suspicion, ...] = ()
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class PeerView:
+class PeerStatus:
     """A peer's last report about itself, and when it was received."""
 
     incarnation: str
-    report: OwnReport
+    report: InstanceStatus
     received_at: float
--- a/packages/verbenahall/src/verbenahall/membership/_peer_shell.py
+++ b/packages/verbenahall/src/verbenahall/membership/_peer_shell.py
@@ -13,7 +13,7 @@
 from verbenahall.fleet import Endpoint
 from verbenahall.membership._codec import decode_heartbeat, encode_heartbeat
 from verbenahall.membership._decisions import find, observe_failure
-from verbenahall.membership._messages import Heartbeat, OwnReport
+from verbenahall.membership._messages import Heartbeat, InstanceStatus
 from verbenahall.membership._peers import (
     apply_heartbeat,
     build_heartbeat,
@@ -55,7 +55,7 @@
         session: ClientSession,
         state: MembershipState,
         local: Endpoint,
-        report: Callable[[], OwnReport],
+        report: Callable[[], InstanceStatus],
         period_s: float,
         now: clock.Clock = clock.monotonic,
     ) -> None:
--- a/packages/verbenahall/src/verbenahall/membership/_peers.py
+++ b/packages/verbenahall/src/verbenahall/membership/_peers.py
@@ -14,9 +14,9 @@
 )
 from verbenahall.membership._messages import (
     Heartbeat,
-    OwnReport,
+    InstanceStatus,
     LeavingNotice,
-    PeerView,
+    PeerStatus,
     Suspicion,
     StateReport,
 )
@@ -70,7 +70,7 @@
 def build_heartbeat(
     state: MembershipState,
     sender: tuple[str, str],
-    report: OwnReport,
+    report: InstanceStatus,
     now: float,
     *,
     leaving: bool,
@@ -137,7 +137,7 @@
     # heartbeat does not replace the member.
     apply_state_report(state, sender, StateReport(heartbeat.leaving, now), now)
     observe_answer(state, heartbeat.sender, now)
-    state.peers[heartbeat.sender] = PeerView(
+    state.peers[heartbeat.sender] = PeerStatus(
         heartbeat.incarnation,
         heartbeat.report,
         now,
--- a/packages/verbenahall/src/verbenahall/membership/_state.py
+++ b/packages/verbenahall/src/verbenahall/membership/_state.py
@@ -5,14 +5,14 @@
 from typing import final
 
 from verbenahall import journal
-from verbenahall.fleet import Endpoint, EndpointKind, Standing
+from verbenahall.fleet import Endpoint, EndpointKind, EndpointStatus
 from verbenahall.membership._messages import (
     DEFAULT_RULES,
-    Listing,
+    ListStatus,
     MembershipRules,
-    PeerView,
-    Sign,
-    StandingChange,
+    PeerStatus,
+    StatusReason,
+    StatusChange,
     StateReport,
 )
 
@@ -32,7 +32,7 @@
 
     __slots__ = (
         'endpoint',
-        'listing',
+        'list_status',
         'unlisted_at',
         'state_report',
         'failures',
@@ -59,7 +59,7 @@
     ) -> None:
         """Create a member without observations."""
         self.endpoint = endpoint
-        self.listing = Listing.SHOWN
+        self.list_status = ListStatus.SHOWN
         self.unlisted_at: float | None = None
         self.state_report: StateReport | None = None
         self.failures = 0
@@ -74,11 +74,11 @@
         self.former = former
         self.born_at = born_at
         self.unresponsive = False
-        self.status: Standing | None = None
-        self.reason = Sign.ANSWERS
+        self.status: EndpointStatus | None = None
+        self.reason = StatusReason.ANSWERS
 
 
-def _write_change(change: StandingChange) -> None:
+def _write_change(change: StatusChange) -> None:
     journal.write_decision(
         'standing',
         endpoint=change.endpoint.name,
@@ -117,7 +117,7 @@
     def __init__(
         self,
         rules: MembershipRules = DEFAULT_RULES,
-        notify: Callable[[StandingChange], None] = _write_change,
+        notify: Callable[[StatusChange], None] = _write_change,
     ) -> None:
         """Create a state without members."""
         self.rules = rules
@@ -128,7 +128,7 @@
         self.live_cache: dict[
             tuple[EndpointKind, str], tuple[Endpoint, ...]
         ] = {}
-        self.peers: dict[str, PeerView] = {}
+        self.peers: dict[str, PeerStatus] = {}
         self.next_expiry_at = float('-inf')
         self.first_listed_at: float | None = None
         self.listed_at: float | None = None
--- a/packages/verbenahall/src/verbenahall/membership/_status.py
+++ b/packages/verbenahall/src/verbenahall/membership/_status.py
@@ -4,8 +4,12 @@
 from types import MappingProxyType
 from typing import Final
 
-from verbenahall.fleet import Standing
-from verbenahall.membership._messages import Listing, Sign, StandingChange
+from verbenahall.fleet import EndpointStatus
+from verbenahall.membership._messages import (
+    ListStatus,
+    StatusReason,
+    StatusChange,
+)
 from verbenahall.membership._state import Member, MembershipState
 
 
@@ -15,11 +19,11 @@
 
 
 def _list_leaving(state: MembershipState, member: Member, now: float) -> bool:
-    return member.listing is Listing.LEAVING
+    return member.list_status is ListStatus.LEAVING
 
 
 def _list_gone(state: MembershipState, member: Member, now: float) -> bool:
-    return member.listing is Listing.GONE
+    return member.list_status is ListStatus.GONE
 
 
 def _reported_leaving(
@@ -41,7 +45,7 @@
     member: Member,
     now: float,
 ) -> bool:
-    return member.listing is Listing.DOUBTED and member.failures > 0
+    return member.list_status is ListStatus.DOUBTED and member.failures > 0
 
 
 def _peers_suspect(state: MembershipState, member: Member, now: float) -> bool:
@@ -61,23 +65,23 @@
 
 
 _Check = Callable[[MembershipState, Member, float], bool]
-_Table = Mapping[Sign, _Check]
+_Table = Mapping[StatusReason, _Check]
 
 #: The first check that holds gives the reason. Leaving takes precedence over
 #: unresponsive: a leaving member must not get requests again after a probe.
 _LEAVING_CHECKS: Final[_Table] = MappingProxyType(
     {
-        Sign.ADDRESS_TAKEN: _address_taken,
-        Sign.LIST_LEAVING: _list_leaving,
-        Sign.LIST_GONE: _list_gone,
-        Sign.TOLD_LEAVING: _reported_leaving,
+        StatusReason.ADDRESS_TAKEN: _address_taken,
+        StatusReason.LIST_LEAVING: _list_leaving,
+        StatusReason.LIST_GONE: _list_gone,
+        StatusReason.TOLD_LEAVING: _reported_leaving,
     },
 )
 _UNREACHABLE_CHECKS: Final[_Table] = MappingProxyType(
     {
-        Sign.FAILING: _failing,
-        Sign.DOUBTED_FAILING: _doubted_failing,
-        Sign.PEERS_SUSPECT: _peers_suspect,
+        StatusReason.FAILING: _failing,
+        StatusReason.DOUBTED_FAILING: _doubted_failing,
+        StatusReason.PEERS_SUSPECT: _peers_suspect,
     },
 )
 
@@ -97,13 +101,13 @@
     before = member.status
     if leaving_reason:
         member.reason = leaving_reason
-        member.status = Standing.LEAVING
+        member.status = EndpointStatus.LEAVING
     elif member.unresponsive:
-        member.reason = unreachable_reason or Sign.FAILING
-        member.status = Standing.SILENT
+        member.reason = unreachable_reason or StatusReason.FAILING
+        member.status = EndpointStatus.SILENT
     else:
-        member.reason = Sign.ANSWERS
-        member.status = Standing.LIVE
+        member.reason = StatusReason.ANSWERS
+        member.status = EndpointStatus.LIVE
     if member.status is not before:
         _notify_change(state, member, before)
 
@@ -113,7 +117,7 @@
     state: MembershipState,
     member: Member,
     now: float,
-) -> Sign | None:
+) -> StatusReason | None:
     for reason, holds in table.items():
         if holds(state, member, now):
             return reason
@@ -124,7 +128,7 @@
     state: MembershipState,
     member: Member,
     now: float,
-    unreachable_reason: Sign | None,
+    unreachable_reason: StatusReason | None,
 ) -> None:
     """Update whether the member is unresponsive.
 
@@ -158,11 +162,11 @@
 def _notify_change(
     state: MembershipState,
     member: Member,
-    before: Standing | None,
+    before: EndpointStatus | None,
 ) -> None:
     state.live_cache.clear()
     state.notify(
-        StandingChange(
+        StatusChange(
             member.endpoint,
             before,
             member.status,
--- a/packages/verbenahall/src/verbenahall/rollout/_views.py
+++ b/packages/verbenahall/src/verbenahall/rollout/_views.py
@@ -3,7 +3,7 @@
 from collections.abc import Iterator, Sequence
 from typing import Final
 
-from verbenahall.fleet import Endpoint, Standing, Target
+from verbenahall.fleet import Endpoint, EndpointStatus, Target
 from verbenahall.orders import (
     Dispatch,
     EngineReport,
@@ -20,7 +20,7 @@
 _PROPAGATION_S: Final = 1.0
 
 #: An engine of the data centre and its status.
-Member = tuple[Endpoint, Standing]
+Member = tuple[Endpoint, EndpointStatus]
 
 
 def build_views(
@@ -39,12 +39,12 @@
     dispatch: Dispatch,
     now: float,
 ) -> Iterator[EngineView]:
-    for endpoint, standing in members:
+    for endpoint, status in members:
         report = state.reports.get(endpoint.name)
         if report is None:
             continue
         record_failed_change(dispatch, state, endpoint.name, now)
-        live = standing is Standing.LIVE and not report.leaving
+        live = status is EndpointStatus.LIVE and not report.leaving
         cleared = is_cleared(dispatch, state, endpoint)
         resting = now < dispatch.find_track(endpoint.name).retry_at
         progress = _find_progress(state, report)
--- a/packages/verbenahall/tests/front/conftest.py
+++ b/packages/verbenahall/tests/front/conftest.py
@@ -20,7 +20,7 @@
     TimingConfig,
 )
 from verbenahall.errors import Problem
-from verbenahall.fleet import Endpoint, EndpointKind, Role, Standing
+from verbenahall.fleet import Endpoint, EndpointKind, Role, EndpointStatus
 from verbenahall.front._endpoints import Sessions
 from verbenahall.load import (
     EngineState,
@@ -64,7 +64,7 @@
         self.tokens = 5
         self.work_s = 0
         self.running = 0
-        self.status = Standing.LIVE
+        self.status = EndpointStatus.LIVE
         self.address = ''
         self.data_centre = 'here'
 
@@ -237,7 +237,7 @@
             endpoint
             for endpoint in endpoints
             if requested is kind
-            and by_name[endpoint.name].status is Standing.LIVE
+            and by_name[endpoint.name].status is EndpointStatus.LIVE
         ],
         find_status=lambda endpoint_name, now: by_name[endpoint_name].status,
         report_answer=lambda name: None,
--- a/packages/verbenahall/tests/front/test_attempts.py
+++ b/packages/verbenahall/tests/front/test_attempts.py
@@ -8,7 +8,7 @@
 import pytest
 
 from verbenahall.errors import ErrorKind, Problem
-from verbenahall.fleet import EndpointKind, Standing
+from verbenahall.fleet import EndpointKind, EndpointStatus
 
 FAULTS = (
     *('', '', '', ''),
@@ -85,7 +85,7 @@
             while not bad.started:
                 await asyncio.sleep(0.01)
             if fault == 'hang':
-                bad.status = Standing.SILENT
+                bad.status = EndpointStatus.SILENT
             answers = await asyncio.gather(*tasks)
         assert bad.started
         return answers
@@ -179,7 +179,11 @@
         far.data_centre = 'there'
         async with run_front([near, far]) as harness:
             seen = []
-            for status in (Standing.LIVE, Standing.SILENT, Standing.LIVE):
+            for status in (
+                EndpointStatus.LIVE,
+                EndpointStatus.SILENT,
+                EndpointStatus.LIVE,
+            ):
                 near.status = status
                 await asyncio.sleep(0.1)
                 _, _, body = await harness.post()
--- a/packages/verbenahall/tests/front/test_processes.py
+++ b/packages/verbenahall/tests/front/test_processes.py
@@ -9,7 +9,7 @@
 import pytest
 
 from verbenahall import journal
-from verbenahall.fleet import Standing
+from verbenahall.fleet import EndpointStatus
 from verbenahall_standins import process, text
 
 COUNT = 2100
@@ -32,7 +32,7 @@
 
     def __init__(self, name):
         self.name = name
-        self.status = Standing.LIVE
+        self.status = EndpointStatus.LIVE
         arguments = ('--port', '0', '--name', name, '--model', 'm=1')
         self.running = process.start(
             'verbenahall_standins.engine',
@@ -65,14 +65,14 @@
         if number == 4:
             engines[3].running.process.kill()
             await asyncio.sleep(0.2)
-            engines[3].status = Standing.SILENT
+            engines[3].status = EndpointStatus.SILENT
         if number == 8:
             engines[2].running.pause()
             await asyncio.sleep(0.3)
-            engines[2].status = Standing.SILENT
+            engines[2].status = EndpointStatus.SILENT
             await asyncio.sleep(0.3)
             engines[2].running.resume()
-            engines[2].status = Standing.LIVE
+            engines[2].status = EndpointStatus.LIVE
         if done():
             break
 
--- a/packages/verbenahall/tests/instance/test_engine_state.py
+++ b/packages/verbenahall/tests/instance/test_engine_state.py
@@ -8,7 +8,7 @@
 
 from verbenahall import wire
 from verbenahall.authority import AuthorityState
-from verbenahall.fleet import Endpoint, EndpointKind, Standing
+from verbenahall.fleet import Endpoint, EndpointKind, EndpointStatus
 from verbenahall.instance._membership_adapter import MembershipAdapter
 from verbenahall.load import EngineStates, LoadState, StatePoller
 from verbenahall.membership import (
@@ -16,7 +16,7 @@
     MembershipState,
     apply_list,
     find,
-    standing_of,
+    get_status,
 )
 from verbenahall.orders import OrdersState
 from verbenahall.snapshots import SnapshotKeeper
@@ -79,14 +79,14 @@
     members = asyncio.run(poll_once(listed, {}))
 
     assert find(members, 'e').incarnation == 'new'
-    assert standing_of(members, 'e', 1) is Standing.LIVE
+    assert get_status(members, 'e', 1) is EndpointStatus.LIVE
 
 
 def test_leaving_is_taken_from_the_engine_s_state():
     """An engine reports that it is leaving before the list shows it."""
     members = asyncio.run(poll_once('new', {'leaving': True}))
 
-    assert standing_of(members, 'e', 1) is Standing.LEAVING
+    assert get_status(members, 'e', 1) is EndpointStatus.LEAVING
 
 
 def test_idle_log_counts_as_contacted_at_once():
--- a/packages/verbenahall/tests/membership/test_differential.py
+++ b/packages/verbenahall/tests/membership/test_differential.py
@@ -3,7 +3,7 @@
 from hypothesis import example, given
 from hypothesis import strategies as st
 
-from verbenahall.fleet import Endpoint, EndpointKind, Standing
+from verbenahall.fleet import Endpoint, EndpointKind, EndpointStatus
 from verbenahall.membership import (
     ListEntry,
     MembershipState,
@@ -13,7 +13,7 @@
     observe_failure,
     observe_leaving,
     observe_word,
-    standing_of,
+    get_status,
 )
 
 NAMES = ('a', 'b', 'c', 'd')
@@ -142,16 +142,16 @@
     """Compute the status of a name from all events."""
     incarnation, since = find_incarnation(events, one)
     if incarnation is None:
-        return Standing.SILENT
+        return EndpointStatus.SILENT
     if any(find_marks(events[since:], one, incarnation)):
-        return Standing.LEAVING
+        return EndpointStatus.LEAVING
     reach = Reach()
     for at, what in events[since:]:
         if what == ('failure', one):
             reach.fail(at)
         elif what == ('answer', one):
             reach.answer(at)
-    return Standing.SILENT if reach.unresponsive else Standing.LIVE
+    return EndpointStatus.SILENT if reach.unresponsive else EndpointStatus.LIVE
 
 
 def fill(rows):
@@ -186,9 +186,9 @@
         apply(state, what, now)
         events.append((now, what))
         statuses = {one: compute_status(events, one) for one in NAMES}
-        assert {one: standing_of(state, one, now) for one in NAMES} == statuses
+        assert {one: get_status(state, one, now) for one in NAMES} == statuses
         assert [one.name for one in live(state, EndpointKind.ENGINE, now)] == [
-            one for one in NAMES if statuses[one] is Standing.LIVE
+            one for one in NAMES if statuses[one] is EndpointStatus.LIVE
         ]
 
 
@@ -221,10 +221,10 @@
     apply_list(state, entries, 0)
     apply_list(state, [], 1)
     observe_failure(state, 'a', 2)
-    assert standing_of(state, 'a', 2) is Standing.SILENT
+    assert get_status(state, 'a', 2) is EndpointStatus.SILENT
 
     apply_list(state, entries, 3)
-    assert standing_of(state, 'a', 3) is Standing.SILENT
+    assert get_status(state, 'a', 3) is EndpointStatus.SILENT
 
     observe_answer(state, 'a', 4)
-    assert standing_of(state, 'a', 4) is Standing.LIVE
+    assert get_status(state, 'a', 4) is EndpointStatus.LIVE
--- a/packages/verbenahall/tests/membership/test_peers.py
+++ b/packages/verbenahall/tests/membership/test_peers.py
@@ -6,17 +6,17 @@
 import pytest
 from aiohttp import ClientSession, web
 
-from verbenahall.fleet import Endpoint, EndpointKind, Standing
+from verbenahall.fleet import Endpoint, EndpointKind, EndpointStatus
 from verbenahall.membership import (
     ListEntry,
     MembershipState,
-    OwnReport,
+    InstanceStatus,
     PeerExchange,
     apply_list,
     observe_failure,
     observe_leaving,
     observe_word,
-    standing_of,
+    get_status,
 )
 from verbenahall.membership._peers import (
     apply_heartbeat,
@@ -43,7 +43,7 @@
     heartbeat = build_heartbeat(
         source,
         (name, 'own-life'),
-        OwnReport(ready=True, position=7),
+        InstanceStatus(ready=True, position=7),
         now,
         leaving=False,
     )
@@ -60,15 +60,15 @@
     observe_leaving(first, 'e', 1)
     send_heartbeat(first, 'i0', second, 1.5)
     send_heartbeat(second, 'i1', third, 2)
-    assert standing_of(third, 'e', 2) is Standing.LEAVING
+    assert get_status(third, 'e', 2) is EndpointStatus.LEAVING
 
     observe_word(third, 'e', 'a', leaving=False, now=3)
     send_heartbeat(second, 'i1', third, 4)
-    assert standing_of(third, 'e', 4) is Standing.LIVE
+    assert get_status(third, 'e', 4) is EndpointStatus.LIVE
 
     newcomer = make_state()
     send_heartbeat(first, 'i0', newcomer, 30)
-    assert standing_of(newcomer, 'e', 30) is Standing.LIVE
+    assert get_status(newcomer, 'e', 30) is EndpointStatus.LIVE
 
 
 def test_peers_alone_silence_nobody():
@@ -82,10 +82,10 @@
         peer = make_state()
         observe_failure(peer, 'e', 1)
         send_heartbeat(peer, name, state, 1)
-    assert standing_of(state, 'e', 1) is Standing.LIVE
+    assert get_status(state, 'e', 1) is EndpointStatus.LIVE
 
     observe_failure(state, 'e', 1.5)
-    assert standing_of(state, 'e', 1.5) is Standing.SILENT
+    assert get_status(state, 'e', 1.5) is EndpointStatus.SILENT
 
 
 def test_a_peer_may_name_its_life_in_its_own_way():
@@ -99,7 +99,7 @@
     gone = [ListEntry(make_instance('i0', '127.0.0.1:i0'), leaving=True)]
     rest = [make_instance(name, f'127.0.0.1:{name}') for name in NAMES[1:]]
     apply_list(state, [*gone, *map(ListEntry, (ENGINE, *rest))], 2)
-    assert standing_of(state, 'i0', 2) is Standing.LEAVING
+    assert get_status(state, 'i0', 2) is EndpointStatus.LEAVING
 
 
 def test_peers_are_chosen_evenly():
@@ -124,7 +124,7 @@
         session,
         state,
         make_instance(name),
-        lambda: OwnReport(ready=True, position=3),
+        lambda: InstanceStatus(ready=True, position=3),
         0.05,
     )
     exchange.add_routes(app)
@@ -137,8 +137,8 @@
 
 async def wait_until_leaving(states, name):
     async with asyncio.timeout(30):
-        while {standing_of(one, name, 0) for one in states} != {
-            Standing.LEAVING
+        while {get_status(one, name, 0) for one in states} != {
+            EndpointStatus.LEAVING
         }:
             await asyncio.sleep(0.02)
 
--- a/packages/verbenahall/tests/membership/test_shells.py
+++ b/packages/verbenahall/tests/membership/test_shells.py
@@ -8,7 +8,7 @@
 from aiohttp import ClientSession, web
 
 from verbenahall import wire
-from verbenahall.fleet import Endpoint, EndpointKind, Standing
+from verbenahall.fleet import Endpoint, EndpointKind, EndpointStatus
 from verbenahall.membership import (
     ListEntry,
     ListPoller,
@@ -18,7 +18,7 @@
     apply_list,
     observe_failure,
     observe_leaving,
-    standing_of,
+    get_status,
 )
 
 ROW = MappingProxyType(
@@ -81,7 +81,7 @@
         await poller.poll()
         await poller.poll()
         assert [one.name for one in all_endpoints(state)] == ['e']
-        assert standing_of(state, 'e', 0) is Standing.LIVE
+        assert get_status(state, 'e', 0) is EndpointStatus.LIVE
 
     run_against(handler, check)
 
@@ -89,11 +89,23 @@
 @pytest.mark.parametrize(
     ('kind', 'answer', 'after'),
     [
-        (EndpointKind.ENGINE, STATE, Standing.LIVE),
-        (EndpointKind.ENGINE, {**STATE, 'name': 'other'}, Standing.SILENT),
-        (EndpointKind.ENGINE, {**STATE, 'leaving': True}, Standing.LEAVING),
-        (EndpointKind.ENGINE, {**STATE, 'incarnation': 'b'}, Standing.LIVE),
-        (EndpointKind.SERVICE, {}, Standing.LIVE),
+        (EndpointKind.ENGINE, STATE, EndpointStatus.LIVE),
+        (
+            EndpointKind.ENGINE,
+            {**STATE, 'name': 'other'},
+            EndpointStatus.SILENT,
+        ),
+        (
+            EndpointKind.ENGINE,
+            {**STATE, 'leaving': True},
+            EndpointStatus.LEAVING,
+        ),
+        (
+            EndpointKind.ENGINE,
+            {**STATE, 'incarnation': 'b'},
+            EndpointStatus.LIVE,
+        ),
+        (EndpointKind.SERVICE, {}, EndpointStatus.LIVE),
     ],
 )
 def test_probe_of_a_silent_endpoint(kind, answer, after):
@@ -115,7 +127,7 @@
         for _ in range(3):
             observe_failure(state, 'e', 1)
         await Prober(session, state, random.Random(1)).probe(endpoint)
-        assert standing_of(state, 'e', 2) is after
+        assert get_status(state, 'e', 2) is after
 
     run_against(handler, check)
     wanted = (
@@ -144,7 +156,7 @@
             Prober(session, state, random.Random(1)).run(),
         )
         async with asyncio.timeout(20):
-            while standing_of(state, 'e', 1) is not Standing.LIVE:
+            while get_status(state, 'e', 1) is not EndpointStatus.LIVE:
                 await asyncio.sleep(0.02)
         running.cancel()
 
--- a/packages/verbenahall/tests/membership/test_standings.py
+++ b/packages/verbenahall/tests/membership/test_standings.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from verbenahall.fleet import Endpoint, EndpointKind, Standing
+from verbenahall.fleet import Endpoint, EndpointKind, EndpointStatus
 from verbenahall.membership import (
     ListEntry,
     MembershipState,
@@ -15,7 +15,7 @@
     observe_failure,
     observe_leaving,
     observe_word,
-    standing_of,
+    get_status,
 )
 
 
@@ -53,7 +53,7 @@
     apply_list(state, (*ENTRIES[:5], make_entry('engine-5', leaving=True)), 1)
 
     assert 'engine-5' not in names(state, 1)
-    assert changes[-1].after is Standing.LEAVING
+    assert changes[-1].after is EndpointStatus.LEAVING
 
 
 def test_own_word_outlives_a_lagging_list():
@@ -105,25 +105,25 @@
     apply_list(state, ENTRIES[1:], 1)
 
     assert len(names(state, 1)) == 5
-    assert standing_of(state, 'engine-0', 1) is Standing.LEAVING
-    assert standing_of(state, 'engine-0', 90) is Standing.SILENT
+    assert get_status(state, 'engine-0', 1) is EndpointStatus.LEAVING
+    assert get_status(state, 'engine-0', 90) is EndpointStatus.SILENT
 
 
 @pytest.mark.parametrize(
-    ('failures', 'standing'),
+    ('failures', 'status'),
     [
-        ((1, 1.1), Standing.LIVE),
-        ((1, 1.1, 1.2), Standing.SILENT),
-        ((1, 3), Standing.SILENT),
+        ((1, 1.1), EndpointStatus.LIVE),
+        ((1, 1.1, 1.2), EndpointStatus.SILENT),
+        ((1, 3), EndpointStatus.SILENT),
     ],
 )
-def test_failures_in_a_row(failures, standing):
+def test_failures_in_a_row(failures, status):
     """An engine hangs or is killed, and requests to it fail."""
     state, _ = make_state(*ENTRIES)
     for now in failures:
         observe_failure(state, 'engine-0', now)
 
-    assert standing_of(state, 'engine-0', 3) is standing
+    assert get_status(state, 'engine-0', 3) is status
 
 
 def test_new_incarnation_starts_clean():
@@ -167,7 +167,7 @@
     marked = (make_entry('engine-0', leaving=True), *ENTRIES[1:])
     apply_list(state, marked, 32)
 
-    assert standing_of(state, 'engine-0', 32) is Standing.LEAVING
+    assert get_status(state, 'engine-0', 32) is EndpointStatus.LEAVING
 
 
 def test_reused_address():
@@ -200,7 +200,7 @@
     for now in range(1, 9):
         fail(state, 'engine-0', now)
         answers = 0
-        while standing_of(state, 'engine-0', now) is Standing.SILENT:
+        while get_status(state, 'engine-0', now) is EndpointStatus.SILENT:
             observe_answer(state, 'engine-0', now + 0.5)
             answers += 1
         needed.append(answers)
--- a/packages/verbenahall/tests/rollout/test_controller.py
+++ b/packages/verbenahall/tests/rollout/test_controller.py
@@ -15,7 +15,13 @@
 )
 from verbenahall.authority import apply_record as apply_authority
 from verbenahall.clock import monotonic
-from verbenahall.fleet import Endpoint, EndpointKind, Role, Standing, Target
+from verbenahall.fleet import (
+    Endpoint,
+    EndpointKind,
+    Role,
+    EndpointStatus,
+    Target,
+)
 from verbenahall.orders import (
     Dispatch,
     Order,
@@ -144,7 +150,7 @@
 
     def list_engines(self, now):
         """Return both engines as live."""
-        return [(endpoint, Standing.LIVE) for endpoint in self.endpoints]
+        return [(endpoint, EndpointStatus.LIVE) for endpoint in self.endpoints]
 
     def read_roles(self):
         """Return no roles."""
