--- a/packages/standins/src/verbenahall_standins/capacity/_fleet.py
+++ b/packages/standins/src/verbenahall_standins/capacity/_fleet.py
@@ -18,7 +18,7 @@
     ListEntry,
     MembershipState,
     StatusChange,
-    all_endpoints,
+    list_endpoints,
     apply_list,
     get_status,
 )
@@ -123,7 +123,8 @@
 
 def _read_standings(state: MembershipState) -> list[EndpointStatus]:
     return [
-        get_status(state, endpoint.name, 1) for endpoint in all_endpoints(state)
+        get_status(state, endpoint.name, 1)
+        for endpoint in list_endpoints(state)
     ]
 
 
--- a/packages/verbenahall/src/verbenahall/instance/_core.py
+++ b/packages/verbenahall/src/verbenahall/instance/_core.py
@@ -20,8 +20,8 @@
 from verbenahall.membership import (
     MembershipRules,
     MembershipState,
-    all_endpoints,
-    live,
+    list_endpoints,
+    list_live,
 )
 from verbenahall.snapshots import SnapshotKeeper
 
@@ -85,7 +85,7 @@
     def _list_peers(self) -> list[str]:
         """Return the other instances' addresses, local data centre first."""
         now = clock.monotonic()
-        instances = live(self.members, EndpointKind.INSTANCE, now)
+        instances = list_live(self.members, EndpointKind.INSTANCE, now)
         others = [peer for peer in instances if peer.name != self.config.name]
         others.sort(key=self._is_in_other_data_centre)
         return [peer.address for peer in others]
@@ -95,7 +95,7 @@
         return any(
             endpoint.kind is EndpointKind.INSTANCE
             and endpoint.address.rpartition(':')[0] == host
-            for endpoint in all_endpoints(self.members)
+            for endpoint in list_endpoints(self.members)
         )
 
     def _is_in_other_data_centre(self, peer: Endpoint) -> bool:
--- a/packages/verbenahall/src/verbenahall/instance/_dependencies.py
+++ b/packages/verbenahall/src/verbenahall/instance/_dependencies.py
@@ -8,8 +8,8 @@
 from verbenahall.instance._folds import Folds
 from verbenahall.membership import (
     MembershipState,
-    all_endpoints,
-    find,
+    list_endpoints,
+    find_endpoint,
     get_status,
 )
 from verbenahall.routing import rank_by_rendezvous
@@ -77,7 +77,7 @@
 
     def is_in_other_data_centre(self, name: str) -> bool:
         """Whether an endpoint is in another data centre."""
-        endpoint = find(self._members, name)
+        endpoint = find_endpoint(self._members, name)
         return endpoint is not None and self._is_remote(endpoint)
 
     def find_status(self, name: str) -> EndpointStatus:
@@ -99,7 +99,7 @@
         self._revision = self._members.revision
         engines = [
             endpoint
-            for endpoint in all_endpoints(self._members)
+            for endpoint in list_endpoints(self._members)
             if endpoint.kind is EndpointKind.ENGINE
         ]
         self._local = [
--- a/packages/verbenahall/src/verbenahall/instance/_discovery.py
+++ b/packages/verbenahall/src/verbenahall/instance/_discovery.py
@@ -13,7 +13,7 @@
 from verbenahall.load import EngineStates
 from verbenahall.membership import (
     MembershipState,
-    all_endpoints,
+    list_endpoints,
     get_status,
 )
 from verbenahall.settings import EffectiveSettings
@@ -43,7 +43,7 @@
         return False
     engines = [
         endpoint.name
-        for endpoint in all_endpoints(members)
+        for endpoint in list_endpoints(members)
         if endpoint.kind is EndpointKind.ENGINE
         and endpoint.data_centre == data_centre
     ]
@@ -86,7 +86,7 @@
     services = set(settings.services)
     if not engines and not services:
         return False
-    listed_services = {endpoint.service for endpoint in all_endpoints(members)}
+    listed_services = {endpoint.service for endpoint in list_endpoints(members)}
     return engines <= members.members.keys() and services <= listed_services
 
 
--- a/packages/verbenahall/src/verbenahall/instance/_membership_adapter.py
+++ b/packages/verbenahall/src/verbenahall/instance/_membership_adapter.py
@@ -8,11 +8,11 @@
 from verbenahall.load import EngineState
 from verbenahall.membership import (
     MembershipState,
-    live,
+    list_live,
     observe_answer,
     observe_failure,
     observe_leaving,
-    observe_word,
+    observe_state,
     get_status,
 )
 from verbenahall.orders import OrdersState, is_changing
@@ -40,7 +40,7 @@
         An engine with an outstanding order gets none: its change waits until
         no request is in flight, and new work would delay it for ever.
         """
-        endpoints = live(self._members, kind, now, service)
+        endpoints = list_live(self._members, kind, now, service)
         if kind is not EndpointKind.ENGINE:
             return endpoints
         return [
@@ -72,7 +72,7 @@
         Requests go only to the incarnation in the membership, so without this
         report a new engine would get no requests.
         """
-        observe_word(
+        observe_state(
             self._members,
             state.name,
             state.incarnation,
--- a/packages/verbenahall/src/verbenahall/instance/_pools.py
+++ b/packages/verbenahall/src/verbenahall/instance/_pools.py
@@ -8,7 +8,7 @@
 from verbenahall.fleet import EndpointKind, EndpointStatus
 from verbenahall.instance._dependencies import ControllerDependencies
 from verbenahall.load import EngineStates
-from verbenahall.membership import MembershipState, live
+from verbenahall.membership import MembershipState, list_live
 from verbenahall.roles import EngineStatus
 from verbenahall.settings import PoolSettings
 
@@ -65,7 +65,7 @@
         """
         instances = [
             endpoint
-            for endpoint in live(self._members, EndpointKind.INSTANCE, now)
+            for endpoint in list_live(self._members, EndpointKind.INSTANCE, now)
             if endpoint.data_centre == self._data_centre
         ]
         return _UNIT_WEIGHT / max(1, len(instances))
--- a/packages/verbenahall/src/verbenahall/membership/__init__.py
+++ b/packages/verbenahall/src/verbenahall/membership/__init__.py
@@ -1,14 +1,14 @@
 """Tracks which endpoints and instances are live, leaving or unresponsive."""
 
 from verbenahall.membership._decisions import (
-    all_endpoints,
-    due_probes,
-    find,
-    live,
+    list_endpoints,
+    take_due_probes,
+    find_endpoint,
+    list_live,
     observe_answer,
     observe_failure,
     observe_leaving,
-    observe_word,
+    observe_state,
     get_status,
 )
 from verbenahall.membership._list_updates import apply_list
@@ -40,14 +40,14 @@
     'Prober',
     'StatusReason',
     'StatusChange',
-    'all_endpoints',
+    'list_endpoints',
     'apply_list',
-    'due_probes',
-    'find',
-    'live',
+    'take_due_probes',
+    'find_endpoint',
+    'list_live',
     'observe_answer',
     'observe_failure',
     'observe_leaving',
-    'observe_word',
+    'observe_state',
     'get_status',
 )
--- a/packages/verbenahall/src/verbenahall/membership/_decisions.py
+++ b/packages/verbenahall/src/verbenahall/membership/_decisions.py
@@ -54,7 +54,7 @@
         )
 
 
-def observe_word(
+def observe_state(
     state: MembershipState,
     name: str,
     incarnation: str,
@@ -96,7 +96,7 @@
     update_status(state, member, now)
 
 
-def live(
+def list_live(
     state: MembershipState,
     kind: EndpointKind,
     now: float,
@@ -155,19 +155,19 @@
     return member.status
 
 
-def find(state: MembershipState, name: str) -> Endpoint | None:
+def find_endpoint(state: MembershipState, name: str) -> Endpoint | None:
     """Return the endpoint of a name with any status, None if unknown."""
     member = state.members.get(name)
     return member.endpoint if member else None
 
 
-def all_endpoints(state: MembershipState) -> tuple[Endpoint, ...]:
+def list_endpoints(state: MembershipState) -> tuple[Endpoint, ...]:
     """Return every known endpoint, by name."""
     names = sorted(state.members)
     return tuple(state.members[name].endpoint for name in names)
 
 
-def due_probes(
+def take_due_probes(
     state: MembershipState,
     now: float,
     rng: random.Random,
--- a/packages/verbenahall/src/verbenahall/membership/_peer_shell.py
+++ b/packages/verbenahall/src/verbenahall/membership/_peer_shell.py
@@ -12,7 +12,7 @@
 from verbenahall.errors import ErrorKind, Problem
 from verbenahall.fleet import Endpoint
 from verbenahall.membership._codec import decode_heartbeat, encode_heartbeat
-from verbenahall.membership._decisions import find, observe_failure
+from verbenahall.membership._decisions import find_endpoint, observe_failure
 from verbenahall.membership._messages import Heartbeat, InstanceStatus
 from verbenahall.membership._peers import (
     apply_heartbeat,
@@ -101,7 +101,7 @@
         await asyncio.gather(*(self._send(name, body) for name in names))
 
     async def _send(self, name: str, body: bytes) -> None:
-        peer = find(self._state, name)
+        peer = find_endpoint(self._state, name)
         if peer is None:
             return
         match await self._post(peer, body):
@@ -159,7 +159,7 @@
         Otherwise any process that reaches the port could announce that all
         engines leave, and callers would find none.
         """
-        peer = find(self._state, sender)
+        peer = find_endpoint(self._state, sender)
         if peer is None:
             return False
         return peer.address.rpartition(':')[0] == request.remote
--- a/packages/verbenahall/src/verbenahall/membership/_peers.py
+++ b/packages/verbenahall/src/verbenahall/membership/_peers.py
@@ -9,7 +9,7 @@
 from verbenahall.fleet import EndpointKind
 from verbenahall.membership._decisions import (
     apply_state_report,
-    live,
+    list_live,
     observe_answer,
 )
 from verbenahall.membership._messages import (
@@ -62,7 +62,7 @@
     """Return the live instances of a data centre except ``local``."""
     return [
         endpoint.name
-        for endpoint in live(state, EndpointKind.INSTANCE, now)
+        for endpoint in list_live(state, EndpointKind.INSTANCE, now)
         if endpoint.data_centre == data_centre and endpoint.name != local
     ]
 
--- a/packages/verbenahall/src/verbenahall/membership/_prober.py
+++ b/packages/verbenahall/src/verbenahall/membership/_prober.py
@@ -11,10 +11,10 @@
 from verbenahall.errors import ErrorKind, Problem
 from verbenahall.fleet import Endpoint, EndpointKind
 from verbenahall.membership._decisions import (
-    due_probes,
+    take_due_probes,
     observe_answer,
     observe_failure,
-    observe_word,
+    observe_state,
 )
 from verbenahall.membership._state import MembershipState
 
@@ -56,7 +56,7 @@
     async def run(self) -> None:
         """Probe until cancelled."""
         while True:
-            due = due_probes(self._state, self._now(), self._rng)
+            due = take_due_probes(self._state, self._now(), self._rng)
             await asyncio.gather(*(self.probe(one) for one in due))
             await asyncio.sleep(_CHECK_INTERVAL_S)
 
@@ -94,7 +94,7 @@
         now = self._now()
         incarnation = table.get('incarnation')
         if incarnation is not None:
-            observe_word(
+            observe_state(
                 self._state,
                 endpoint.name,
                 str(incarnation),
--- a/packages/verbenahall/tests/instance/test_dependencies.py
+++ b/packages/verbenahall/tests/instance/test_dependencies.py
@@ -8,7 +8,7 @@
     ListEntry,
     MembershipState,
     apply_list,
-    observe_word,
+    observe_state,
 )
 
 
@@ -31,7 +31,7 @@
 
 def replace_by_state(state):
     """The engine's state shows a new incarnation."""
-    observe_word(state, 'e', '2', leaving=False, now=1)
+    observe_state(state, 'e', '2', leaving=False, now=1)
 
 
 @pytest.mark.parametrize('replace', [replace_by_list, replace_by_state])
--- a/packages/verbenahall/tests/instance/test_engine_state.py
+++ b/packages/verbenahall/tests/instance/test_engine_state.py
@@ -15,7 +15,7 @@
     ListEntry,
     MembershipState,
     apply_list,
-    find,
+    find_endpoint,
     get_status,
 )
 from verbenahall.orders import OrdersState
@@ -78,7 +78,7 @@
     """
     members = asyncio.run(poll_once(listed, {}))
 
-    assert find(members, 'e').incarnation == 'new'
+    assert find_endpoint(members, 'e').incarnation == 'new'
     assert get_status(members, 'e', 1) is EndpointStatus.LIVE
 
 
--- a/packages/verbenahall/tests/membership/test_differential.py
+++ b/packages/verbenahall/tests/membership/test_differential.py
@@ -8,11 +8,11 @@
     ListEntry,
     MembershipState,
     apply_list,
-    live,
+    list_live,
     observe_answer,
     observe_failure,
     observe_leaving,
-    observe_word,
+    observe_state,
     get_status,
 )
 
@@ -59,7 +59,7 @@
         case ('leaving', one):
             observe_leaving(state, one, now)
         case (reported, one, incarnation):
-            observe_word(
+            observe_state(
                 state, one, incarnation, leaving=reported == 'leaves', now=now
             )
 
@@ -187,9 +187,9 @@
         events.append((now, what))
         statuses = {one: compute_status(events, one) for one in NAMES}
         assert {one: get_status(state, one, now) for one in NAMES} == statuses
-        assert [one.name for one in live(state, EndpointKind.ENGINE, now)] == [
-            one for one in NAMES if statuses[one] is EndpointStatus.LIVE
-        ]
+        assert [
+            one.name for one in list_live(state, EndpointKind.ENGINE, now)
+        ] == [one for one in NAMES if statuses[one] is EndpointStatus.LIVE]
 
 
 @given(history)
@@ -207,7 +207,7 @@
         now = min(now + gap, 50)
         rows = [(row[0], '1', False) for row in what[1]]
         apply_list(state, map(make_entry, rows), now)
-        assert len(live(state, EndpointKind.ENGINE, now)) >= 3
+        assert len(list_live(state, EndpointKind.ENGINE, now)) >= 3
 
 
 def test_silent_endpoint_stays_silent_until_it_answers():
--- a/packages/verbenahall/tests/membership/test_peers.py
+++ b/packages/verbenahall/tests/membership/test_peers.py
@@ -15,7 +15,7 @@
     apply_list,
     observe_failure,
     observe_leaving,
-    observe_word,
+    observe_state,
     get_status,
 )
 from verbenahall.membership._peers import (
@@ -62,7 +62,7 @@
     send_heartbeat(second, 'i1', third, 2)
     assert get_status(third, 'e', 2) is EndpointStatus.LEAVING
 
-    observe_word(third, 'e', 'a', leaving=False, now=3)
+    observe_state(third, 'e', 'a', leaving=False, now=3)
     send_heartbeat(second, 'i1', third, 4)
     assert get_status(third, 'e', 4) is EndpointStatus.LIVE
 
--- a/packages/verbenahall/tests/membership/test_shells.py
+++ b/packages/verbenahall/tests/membership/test_shells.py
@@ -14,7 +14,7 @@
     ListPoller,
     MembershipState,
     Prober,
-    all_endpoints,
+    list_endpoints,
     apply_list,
     observe_failure,
     observe_leaving,
@@ -80,7 +80,7 @@
         poller = ListPoller(address, session, state, 1)
         await poller.poll()
         await poller.poll()
-        assert [one.name for one in all_endpoints(state)] == ['e']
+        assert [one.name for one in list_endpoints(state)] == ['e']
         assert get_status(state, 'e', 0) is EndpointStatus.LIVE
 
     run_against(handler, check)
@@ -190,7 +190,7 @@
         await poller.poll()
         await poller.poll()
         await poller.poll()
-        assert [one.name for one in all_endpoints(state)] == ['e']
+        assert [one.name for one in list_endpoints(state)] == ['e']
         assert poller.failed_polls == 0
 
     run_against(handler, check)
--- a/packages/verbenahall/tests/membership/test_standings.py
+++ b/packages/verbenahall/tests/membership/test_standings.py
@@ -9,12 +9,12 @@
     ListEntry,
     MembershipState,
     apply_list,
-    due_probes,
-    live,
+    take_due_probes,
+    list_live,
     observe_answer,
     observe_failure,
     observe_leaving,
-    observe_word,
+    observe_state,
     get_status,
 )
 
@@ -38,7 +38,7 @@
 
 
 def names(state, now):
-    return [one.name for one in live(state, EndpointKind.ENGINE, now)]
+    return [one.name for one in list_live(state, EndpointKind.ENGINE, now)]
 
 
 ENTRIES = tuple(make_entry(f'engine-{number}') for number in range(6))
@@ -67,7 +67,7 @@
 
     assert 'engine-0' not in names(state, 2)
 
-    observe_word(state, 'engine-0', 'a', leaving=False, now=3)
+    observe_state(state, 'engine-0', 'a', leaving=False, now=3)
     assert 'engine-0' in names(state, 3)
 
 
@@ -151,7 +151,7 @@
     """A new incarnation answers before the list shows it."""
     state, _ = make_state(*ENTRIES)
     observe_leaving(state, 'engine-0', 1)
-    observe_word(state, 'engine-0', 'b', leaving=False, now=2)
+    observe_state(state, 'engine-0', 'b', leaving=False, now=2)
     apply_list(state, ENTRIES, 3)
 
     assert 'engine-0' in names(state, 3)
@@ -163,7 +163,7 @@
     If that counted as lag for ever, its leaving mark would be ignored.
     """
     state, _ = make_state(*ENTRIES)
-    observe_word(state, 'engine-0', 'own', leaving=False, now=1)
+    observe_state(state, 'engine-0', 'own', leaving=False, now=1)
     marked = (make_entry('engine-0', leaving=True), *ENTRIES[1:])
     apply_list(state, marked, 32)
 
@@ -221,9 +221,9 @@
         fail(state, entry.endpoint.name, 1)
     rng = random.Random(7)
     counts = [
-        len(due_probes(state, 1.5 + tick / 10, rng)) for tick in range(100)
+        len(take_due_probes(state, 1.5 + tick / 10, rng)) for tick in range(100)
     ]
 
     assert max(counts) <= 4
-    assert due_probes(MembershipState(), 1, rng) == ()
+    assert take_due_probes(MembershipState(), 1, rng) == ()
     assert sum(counts) < 40 * 6
