--- a/packages/standins/src/verbenahall_standins/explorer/_moves.py
+++ b/packages/standins/src/verbenahall_standins/explorer/_moves.py
@@ -94,15 +94,15 @@
             orders.apply_record(moved.orders, record)
         yield f'{index} reads to {moved.position}', put(world, index, moved)
     moved = copy_instance(instance)
-    step = choose_step(moved.authority, moved.candidacy, LEASE, world.now)
+    step = choose_step(moved.authority, moved.candidate, LEASE, world.now)
     if isinstance(step, Claim | Renew):
-        record_sent(moved.candidacy, step.after, world.now)
-        holder = moved.candidacy.holder
+        record_sent(moved.candidate, step.after, world.now)
+        holder = moved.candidate.holder
         body = encode_step(step, SCOPE, holder, LEASE.lease_s)
         append = Append(index, AUTHORITY_STREAM, body, f'{step}')
         # The pause between tries is no guard, and a second copy on its way
         # changes nothing.
-        moved.candidacy.tried_at = -float('inf')
+        moved.candidate.last_append_at = -float('inf')
         if append not in world.appends and counts(world.log, append, rules):
             sent = post(world, bounds, moved, append)
             yield f'{index} sends {step}', sent
@@ -117,7 +117,7 @@
     instance = world.instances[index]
     for in_hand in instance.in_hand:
         yield _write(world, index, in_hand)
-    token = rules.hold(instance.authority, instance.candidacy, world.now)
+    token = rules.hold(instance.authority, instance.candidate, world.now)
     if token is None:
         return
     leading = copy_instance(instance)
--- a/packages/standins/src/verbenahall_standins/explorer/_rules.py
+++ b/packages/standins/src/verbenahall_standins/explorer/_rules.py
@@ -10,7 +10,7 @@
 
 from verbenahall.authority import (
     AuthorityState,
-    Candidacy,
+    LeaseCandidate,
     apply_record,
     find_token,
 )
@@ -18,26 +18,26 @@
 from verbenahall.records import AUTHORITY_STREAM, Record
 from verbenahall_standins.explorer._timing import LEASE, SCOPE
 
-Hold = Callable[[AuthorityState, Candidacy, int], int | None]
+Hold = Callable[[AuthorityState, LeaseCandidate, int], int | None]
 Fold = Callable[[AuthorityState, Record, int], bool]
 
 
 def _hold(
     state: AuthorityState,
-    candidacy: Candidacy,
+    candidate: LeaseCandidate,
     now: int,
 ) -> int | None:
-    return find_token(state, candidacy, LEASE, now)
+    return find_token(state, candidate, LEASE, now)
 
 
 def _hold_blindly(
     state: AuthorityState,
-    candidacy: Candidacy,
+    candidate: LeaseCandidate,
     now: int,
 ) -> int | None:
     """Hold for as long as the log as read names this process."""
     grant = state.find_grant(SCOPE)
-    if grant.holder != candidacy.holder:
+    if grant.holder != candidate.holder:
         return None
     return grant.token or None
 
--- a/packages/standins/src/verbenahall_standins/explorer/_search.py
+++ b/packages/standins/src/verbenahall_standins/explorer/_search.py
@@ -30,7 +30,7 @@
 def find_double_holding(world: World) -> str | None:
     """Return what is wrong if two instances hold the lease, else None."""
     tokens = [
-        find_token(instance.authority, instance.candidacy, LEASE, world.now)
+        find_token(instance.authority, instance.candidate, LEASE, world.now)
         for instance in world.instances
     ]
     if all(token is not None for token in tokens):
--- a/packages/standins/src/verbenahall_standins/explorer/_world.py
+++ b/packages/standins/src/verbenahall_standins/explorer/_world.py
@@ -3,7 +3,7 @@
 import dataclasses
 from typing import Any, Final
 
-from verbenahall.authority import AuthorityState, Candidacy
+from verbenahall.authority import AuthorityState, LeaseCandidate
 from verbenahall.fleet import Endpoint, EndpointKind, Role, Target
 from verbenahall.orders import (
     Dispatch,
@@ -83,7 +83,7 @@
 
     __slots__ = (
         'authority',
-        'candidacy',
+        'candidate',
         'dispatch',
         'in_hand',
         'orders',
@@ -93,7 +93,7 @@
     def __init__(self, name: str) -> None:
         """Start with nothing read and nothing sent."""
         self.authority = AuthorityState()
-        self.candidacy = Candidacy(SCOPE, name, 0)
+        self.candidate = LeaseCandidate(SCOPE, name, 0)
         self.orders = OrdersState(self.authority)
         self.dispatch = Dispatch(ORDERS)
         self.in_hand: tuple[InHand, ...] = ()
@@ -157,14 +157,14 @@
 
 def copy_instance(instance: Instance) -> Instance:
     """Copy an instance so that the copy can move on."""
-    twin = Instance(instance.candidacy.holder)
+    twin = Instance(instance.candidate.holder)
     twin.in_hand = instance.in_hand
     twin.recorded = instance.recorded
     twin.authority.grants = dict(instance.authority.grants)
     twin.authority.heard = dict(instance.authority.heard)
     twin.authority.position = instance.authority.position
-    twin.candidacy.sent = dict(instance.candidacy.sent)
-    twin.candidacy.tried_at = instance.candidacy.tried_at
+    twin.candidate.sent = dict(instance.candidate.sent)
+    twin.candidate.last_append_at = instance.candidate.last_append_at
     twin.orders.orders = dict(instance.orders.orders)
     unsettled = instance.orders.unsettled
     twin.orders.unsettled = {SCOPE: dict(unsettled.get(SCOPE, {}))}
@@ -203,7 +203,7 @@
 
 def _key_instance(instance: Instance, now: int) -> tuple[Any, ...]:
     grant = instance.authority.find_grant(SCOPE)
-    sent = instance.candidacy.sent
+    sent = instance.candidate.sent
     tracks = instance.dispatch.tracks
     known = (instance.position, grant.last, instance.recorded)
     ages = (
--- a/packages/verbenahall/src/verbenahall/authority/__init__.py
+++ b/packages/verbenahall/src/verbenahall/authority/__init__.py
@@ -1,7 +1,7 @@
 """Leases on scopes and their fencing tokens, folded from the log."""
 
 from verbenahall.authority._decisions import (
-    Candidacy,
+    LeaseCandidate,
     choose_step,
     find_claim_time,
     find_deadline,
@@ -28,7 +28,7 @@
 
 __all__ = (
     'AuthorityState',
-    'Candidacy',
+    'LeaseCandidate',
     'Claim',
     'Grant',
     'Idle',
--- a/packages/verbenahall/src/verbenahall/authority/_decisions.py
+++ b/packages/verbenahall/src/verbenahall/authority/_decisions.py
@@ -19,16 +19,16 @@
 _RETRY_AT_SHARE: Final = 1 / 6
 
 
-class Candidacy:
+class LeaseCandidate:
     """State of one process as a candidate for the lease on one scope.
 
     ``sent`` maps the ``after`` offset of an append to the time just before
-    the first such append was sent. ``tried_at`` is the time of the latest
+    the first such append was sent. ``last_append_at`` is the time of the latest
     append. ``delay_share`` (0 to 1) spreads the claims of the instances of a
     data centre in time.
     """
 
-    __slots__ = ('delay_share', 'holder', 'scope', 'sent', 'tried_at')
+    __slots__ = ('delay_share', 'holder', 'scope', 'sent', 'last_append_at')
 
     def __init__(self, scope: str, holder: str, delay_share: float) -> None:
         """Start without any append sent.
@@ -41,22 +41,22 @@
         self.holder = holder
         self.delay_share = delay_share
         self.sent: dict[int, float] = {}
-        self.tried_at = -float('inf')
+        self.last_append_at = -float('inf')
 
 
-def record_sent(candidacy: Candidacy, after: int, now: float) -> None:
+def record_sent(candidate: LeaseCandidate, after: int, now: float) -> None:
     """Record the time just before an append is sent.
 
     The earliest time for an offset is kept: the log may have accepted the
     first copy even though its response was lost.
     """
-    candidacy.sent.setdefault(after, now)
-    candidacy.tried_at = now
+    candidate.sent.setdefault(after, now)
+    candidate.last_append_at = now
 
 
 def find_deadline(
     state: AuthorityState,
-    candidacy: Candidacy,
+    candidate: LeaseCandidate,
     timing: LeaseTiming,
 ) -> float:
     """Return when this process's lease ends; minus infinity without one.
@@ -65,52 +65,54 @@
     log. The lease is counted from the time before that record was sent, and
     no other process can have read the record before that time.
     """
-    grant = state.find_grant(candidacy.scope)
-    if grant.token == 0 or grant.holder != candidacy.holder:
+    grant = state.find_grant(candidate.scope)
+    if grant.token == 0 or grant.holder != candidate.holder:
         return -float('inf')
-    sent_at = candidacy.sent.get(grant.after, -float('inf'))
+    sent_at = candidate.sent.get(grant.after, -float('inf'))
     return sent_at + grant.lease_s * (1 - timing.clock_rate)
 
 
 def find_token(
     state: AuthorityState,
-    candidacy: Candidacy,
+    candidate: LeaseCandidate,
     timing: LeaseTiming,
     now: float,
 ) -> int | None:
     """Return the fencing token while the lease is held, else None."""
-    if now >= find_deadline(state, candidacy, timing):
+    if now >= find_deadline(state, candidate, timing):
         return None
-    return state.find_grant(candidacy.scope).token
+    return state.find_grant(candidate.scope).token
 
 
 def choose_step(
     state: AuthorityState,
-    candidacy: Candidacy,
+    candidate: LeaseCandidate,
     timing: LeaseTiming,
     now: float,
 ) -> Step:
     """Return the next append of this process, or how long to wait."""
-    grant = state.find_grant(candidacy.scope)
-    _discard_superseded(candidacy, grant)
-    retry_at = candidacy.tried_at + timing.lease_s * _RETRY_AT_SHARE
+    grant = state.find_grant(candidate.scope)
+    _discard_superseded(candidate, grant)
+    retry_at = candidate.last_append_at + timing.lease_s * _RETRY_AT_SHARE
     if now < retry_at:
         return Idle(retry_at)
-    if grant.token and grant.holder == candidacy.holder:
-        return _choose_renewal(candidacy, grant, now)
-    due = find_claim_time(state, candidacy, timing)
+    if grant.token and grant.holder == candidate.holder:
+        return _choose_renewal(candidate, grant, now)
+    due = find_claim_time(state, candidate, timing)
     return Claim(grant.last) if now >= due else Idle(due)
 
 
-def _choose_renewal(candidacy: Candidacy, grant: Grant, now: float) -> Step:
-    sent_at = candidacy.sent.get(grant.after, -float('inf'))
+def _choose_renewal(
+    candidate: LeaseCandidate, grant: Grant, now: float
+) -> Step:
+    sent_at = candidate.sent.get(grant.after, -float('inf'))
     due = sent_at + grant.lease_s * _RENEW_AT_SHARE
     return Renew(grant.last) if now >= due else Idle(due)
 
 
 def find_claim_time(
     state: AuthorityState,
-    candidacy: Candidacy,
+    candidate: LeaseCandidate,
     timing: LeaseTiming,
 ) -> float:
     """Return when this process may claim a scope that another one holds.
@@ -120,16 +122,16 @@
     once a full lease, plus the clock difference and the margin, has passed
     since the record was read here.
     """
-    grant = state.find_grant(candidacy.scope)
-    read_at = state.heard.get(candidacy.scope, -float('inf'))
-    delay = candidacy.delay_share * timing.lease_s * _RETRY_AT_SHARE
+    grant = state.find_grant(candidate.scope)
+    read_at = state.heard.get(candidate.scope, -float('inf'))
+    delay = candidate.delay_share * timing.lease_s * _RETRY_AT_SHARE
     if grant.token == 0:
         return read_at + delay
     wait = grant.lease_s * (1 + timing.clock_rate) + timing.margin_s
     return read_at + wait + delay
 
 
-def _discard_superseded(candidacy: Candidacy, grant: Grant) -> None:
-    for after in tuple(candidacy.sent):
+def _discard_superseded(candidate: LeaseCandidate, grant: Grant) -> None:
+    for after in tuple(candidate.sent):
         if after < grant.after:
-            candidacy.sent.pop(after)
+            candidate.sent.pop(after)
--- a/packages/verbenahall/src/verbenahall/authority/_shell.py
+++ b/packages/verbenahall/src/verbenahall/authority/_shell.py
@@ -8,7 +8,7 @@
 from returns.result import Result
 
 from verbenahall.authority._decisions import (
-    Candidacy,
+    LeaseCandidate,
     choose_step,
     find_deadline,
     find_token,
@@ -68,7 +68,7 @@
         """Create the keeper; nothing is sent before ``run``."""
         source = randomness or random.Random()
         self.state = state
-        self.candidacy = Candidacy(scope, holder, source.random())
+        self.candidate = LeaseCandidate(scope, holder, source.random())
         self.appends = 0
         self._client = client
         self._timing = timing
@@ -78,13 +78,13 @@
 
     def held(self, scope: str, now: float) -> int | None:
         """Return the fencing token while this process holds ``scope``."""
-        if scope != self.candidacy.scope:
+        if scope != self.candidate.scope:
             return None
-        return find_token(self.state, self.candidacy, self._timing, now)
+        return find_token(self.state, self.candidate, self._timing, now)
 
     def remaining_s(self, now: float) -> float:
         """Return how many seconds of the lease are left, at least 0."""
-        deadline = find_deadline(self.state, self.candidacy, self._timing)
+        deadline = find_deadline(self.state, self.candidate, self._timing)
         return max(0, deadline - now)
 
     async def run(self) -> None:
@@ -99,13 +99,13 @@
         The caller must have stopped sending orders, because the next holder
         waits for a shorter time after a release.
         """
-        grant = self.state.find_grant(self.candidacy.scope)
-        if grant.token and grant.holder == self.candidacy.holder:
+        grant = self.state.find_grant(self.candidate.scope)
+        if grant.token and grant.holder == self.candidate.holder:
             await self._append(Release(grant.last))
 
     async def _run_step(self) -> None:
         now = self._clock()
-        step = choose_step(self.state, self.candidacy, self._timing, now)
+        step = choose_step(self.state, self.candidate, self._timing, now)
         match step:
             case Idle(until):
                 await asyncio.sleep(min(_CHECK_INTERVAL_S, max(0, until - now)))
@@ -115,12 +115,12 @@
                 await self._append(step)
 
     async def _append(self, step: Claim | Renew | Release) -> None:
-        record_sent(self.candidacy, step.after, self._clock())
+        record_sent(self.candidate, step.after, self._clock())
         self.appends += 1
         body = encode_step(
             step,
-            self.candidacy.scope,
-            self.candidacy.holder,
+            self.candidate.scope,
+            self.candidate.holder,
             self._timing.lease_s,
         )
         # The result is ignored: the lease depends on the record that is read
@@ -135,18 +135,18 @@
         except TimeoutError:
             write_decision(
                 'lease_append_late',
-                scope=self.candidacy.scope,
+                scope=self.candidate.scope,
                 after=step.after,
             )
 
     def _log_changes(self) -> None:
-        token = self.held(self.candidacy.scope, self._clock())
+        token = self.held(self.candidate.scope, self._clock())
         if token == self._token:
             return
         self._token = token
         write_decision(
             'lease',
-            scope=self.candidacy.scope,
-            holder=self.candidacy.holder,
+            scope=self.candidate.scope,
+            holder=self.candidate.holder,
             token=token,
         )
--- a/packages/verbenahall/src/verbenahall/duties/_lease.py
+++ b/packages/verbenahall/src/verbenahall/duties/_lease.py
@@ -16,7 +16,7 @@
 from verbenahall import journal, wire
 from verbenahall.authority import (
     AuthorityState,
-    Candidacy,
+    LeaseCandidate,
     Claim,
     Grant,
     LeaseTiming,
@@ -63,7 +63,7 @@
         '_store',
         '_instance',
         '_state',
-        '_candidacy',
+        '_candidate',
         '_timing',
         '_now',
         '_end',
@@ -83,7 +83,9 @@
         self._store = store
         self._instance = instance
         self._state = AuthorityState()
-        self._candidacy = Candidacy(duty, _make_holder(instance), delay_share)
+        self._candidate = LeaseCandidate(
+            duty, _make_holder(instance), delay_share
+        )
         self._timing = timing
         self._now = now
         self._end = 0
@@ -91,13 +93,13 @@
     @property
     def holder(self) -> str:
         """This candidate's name, which no other candidate ever has."""
-        return self._candidacy.holder
+        return self._candidate.holder
 
     def token(self) -> int | None:
         """Return the fencing token while the lease is held."""
         return find_token(
             self._state,
-            self._candidacy,
+            self._candidate,
             self._timing,
             self._now(),
         )
@@ -109,7 +111,7 @@
 
     def find_wait_s(self) -> float:
         """Return the time until the lease may be claimed, in seconds."""
-        due = find_claim_time(self._state, self._candidacy, self._timing)
+        due = find_claim_time(self._state, self._candidate, self._timing)
         return max(0, due - self._now())
 
     def forget(self) -> None:
@@ -119,10 +121,10 @@
         another holder's, whose lease has to expire first. Under the old name
         the next read of the store would restore the token.
         """
-        self._candidacy = Candidacy(
+        self._candidate = LeaseCandidate(
             self.duty,
             _make_holder(self._instance),
-            self._candidacy.delay_share,
+            self._candidate.delay_share,
         )
 
     async def read(self) -> Grant:
@@ -137,7 +139,7 @@
         await self._refresh()
         step = choose_step(
             self._state,
-            self._candidacy,
+            self._candidate,
             self._timing,
             self._now(),
         )
@@ -220,7 +222,7 @@
         # If the store accepted the record but its response was lost, the next
         # read finds the record. Its lease is counted from ``sent_at``, which
         # is before the store accepted it.
-        record_sent(self._candidacy, self._end + 1, sent_at)
+        record_sent(self._candidate, self._end + 1, sent_at)
         match outcome:
             case Appended(offset):
                 self._end = offset + 1
--- a/packages/verbenahall/src/verbenahall/rollout/_shell.py
+++ b/packages/verbenahall/src/verbenahall/rollout/_shell.py
@@ -94,7 +94,7 @@
         self._dispatch = dispatch
         self._limits = limits
         self._clock = clock
-        self._scope = keeper.candidacy.scope
+        self._scope = keeper.candidate.scope
         self._tasks = Tasks()
         self._engine_client = EngineClient(
             order_state,
--- a/packages/verbenahall/tests/authority/test_clocks.py
+++ b/packages/verbenahall/tests/authority/test_clocks.py
@@ -5,7 +5,7 @@
 
 from verbenahall.authority import (
     AuthorityState,
-    Candidacy,
+    LeaseCandidate,
     Idle,
     LeaseTiming,
     apply_record,
@@ -49,7 +49,7 @@
     seconds of a long lease, and each would order engines by its own plan.
     """
     state = AuthorityState()
-    holder = Candidacy('fes', 'a', 0)
+    holder = LeaseCandidate('fes', 'a', 0)
     record_sent(holder, 0, offset)
     apply_record(state, CLAIM, offset + rate * sending)
     ends_at = (find_deadline(state, holder, TIMING) - offset) / rate
@@ -57,7 +57,7 @@
     other = AuthorityState()
     read_at = other_offset + other_rate * (sending + reading)
     apply_record(other, CLAIM, read_at)
-    step = choose_step(other, Candidacy('fes', 'b', 0), TIMING, read_at)
+    step = choose_step(other, LeaseCandidate('fes', 'b', 0), TIMING, read_at)
 
     assert isinstance(step, Idle)
     assert ends_at <= (step.until - other_offset) / other_rate
--- a/packages/verbenahall/tests/authority/test_fold.py
+++ b/packages/verbenahall/tests/authority/test_fold.py
@@ -4,7 +4,7 @@
 
 from verbenahall.authority import (
     AuthorityState,
-    Candidacy,
+    LeaseCandidate,
     Claim,
     Idle,
     LeaseTiming,
@@ -93,12 +93,12 @@
     If the lease were counted from the reading, it would end after the wait of
     the other instances, and two would hold the scope at once.
     """
-    candidacy = Candidacy(SCOPE, 'a', 0)
-    record_sent(candidacy, 0, now=100)
+    candidate = LeaseCandidate(SCOPE, 'a', 0)
+    record_sent(candidate, 0, now=100)
     state = fold(write(1, 'claim', 'a', 0), now=104)
 
-    assert find_token(state, candidacy, TIMING, 105.9) == 1
-    assert find_token(state, candidacy, TIMING, 106) is None
+    assert find_token(state, candidate, TIMING, 105.9) == 1
+    assert find_token(state, candidate, TIMING, 106) is None
 
 
 def test_second_copy_does_not_lengthen_the_lease():
@@ -106,18 +106,18 @@
 
     The log may have accepted the first copy, so the lease starts with it.
     """
-    candidacy = Candidacy(SCOPE, 'a', 0)
-    record_sent(candidacy, 0, now=100)
-    record_sent(candidacy, 0, now=105)
+    candidate = LeaseCandidate(SCOPE, 'a', 0)
+    record_sent(candidate, 0, now=100)
+    record_sent(candidate, 0, now=105)
     state = fold(write(1, 'claim', 'a', 0), now=105)
 
-    assert find_token(state, candidacy, TIMING, 106.5) is None
+    assert find_token(state, candidate, TIMING, 106.5) is None
 
 
 def test_others_wait_out_the_lease():
     """The holder is killed; another instance waits for lease and margin."""
     state = fold(write(1, 'claim', 'a', 0), now=100)
-    other = Candidacy(SCOPE, 'b', 0)
+    other = LeaseCandidate(SCOPE, 'b', 0)
 
     assert choose_step(state, other, TIMING, 100) == Idle(106.5)
     assert choose_step(state, other, TIMING, 106.5) == Claim(1)
@@ -125,12 +125,12 @@
 
 def test_holder_renews_in_time():
     """A holder renews when a third of its lease has passed."""
-    candidacy = Candidacy(SCOPE, 'a', 0)
-    record_sent(candidacy, 0, now=100)
+    candidate = LeaseCandidate(SCOPE, 'a', 0)
+    record_sent(candidate, 0, now=100)
     state = fold(write(1, 'claim', 'a', 0), now=100)
 
-    assert choose_step(state, candidacy, TIMING, 101) == Idle(102)
-    assert choose_step(state, candidacy, TIMING, 102) == Renew(1)
+    assert choose_step(state, candidate, TIMING, 101) == Idle(102)
+    assert choose_step(state, candidate, TIMING, 102) == Renew(1)
 
 
 def test_snapshot_keeps_the_last_record():
@@ -145,6 +145,8 @@
     apply_record(after, write(12, 'claim', 'b', 0), 60)
 
     assert current_token(after, SCOPE) == 1
-    assert choose_step(after, Candidacy(SCOPE, 'b', 0), TIMING, 51) == Idle(
+    assert choose_step(
+        after, LeaseCandidate(SCOPE, 'b', 0), TIMING, 51
+    ) == Idle(
         56.5,
     )
