--- a/packages/standins/src/verbenahall_standins/explorer/_world.py
+++ b/packages/standins/src/verbenahall_standins/explorer/_world.py
@@ -161,7 +161,7 @@
     twin.in_hand = instance.in_hand
     twin.recorded = instance.recorded
     twin.authority.grants = dict(instance.authority.grants)
-    twin.authority.heard = dict(instance.authority.heard)
+    twin.authority.read_at = dict(instance.authority.read_at)
     twin.authority.position = instance.authority.position
     twin.candidate.sent = dict(instance.candidate.sent)
     twin.candidate.last_append_at = instance.candidate.last_append_at
@@ -207,7 +207,7 @@
     tracks = instance.dispatch.tracks
     known = (instance.position, grant.last, instance.recorded)
     ages = (
-        _age(instance.authority.heard.get(SCOPE), now, _LEASE_TICKS),
+        _age(instance.authority.read_at.get(SCOPE), now, _LEASE_TICKS),
         _age(sent.get(grant.after), now, _LEASE_TICKS),
         _age(sent.get(grant.last), now, _LEASE_TICKS),
         _age(instance.dispatch.granted_at, now, _GATE_TICKS),
--- a/packages/verbenahall/src/verbenahall/authority/_decisions.py
+++ b/packages/verbenahall/src/verbenahall/authority/_decisions.py
@@ -123,7 +123,7 @@
     since the record was read here.
     """
     grant = state.find_grant(candidate.scope)
-    read_at = state.heard.get(candidate.scope, -float('inf'))
+    read_at = state.read_at.get(candidate.scope, -float('inf'))
     delay = candidate.delay_share * timing.lease_s * _RETRY_AT_SHARE
     if grant.token == 0:
         return read_at + delay
--- a/packages/verbenahall/src/verbenahall/authority/_state.py
+++ b/packages/verbenahall/src/verbenahall/authority/_state.py
@@ -27,17 +27,17 @@
 class AuthorityState:
     """Grants by scope, and when this process read each scope's last record.
 
-    ``heard`` maps a scope to the time, in monotonic seconds, at which this
+    ``read_at`` maps a scope to the time, in monotonic seconds, at which this
     process read its last accepted record; it is local and not part of the
     fold. ``position`` is the offset of the last folded record.
     """
 
-    __slots__ = ('grants', 'heard', 'position')
+    __slots__ = ('grants', 'read_at', 'position')
 
     def __init__(self) -> None:
         """Start without any grant."""
         self.grants: dict[str, Grant] = {}
-        self.heard: dict[str, float] = {}
+        self.read_at: dict[str, float] = {}
         self.position = 0
 
     def find_grant(self, scope: str) -> Grant:
@@ -78,7 +78,7 @@
     if updated is None:
         return False
     state.grants[lease.scope] = updated
-    state.heard[lease.scope] = now
+    state.read_at[lease.scope] = now
     return True
 
 
@@ -158,5 +158,5 @@
         scope: Grant(**exported_grant)
         for scope, exported_grant in exported.items()
     }
-    state.heard = dict.fromkeys(state.grants, now)
+    state.read_at = dict.fromkeys(state.grants, now)
     state.position = position
--- a/packages/verbenahall/src/verbenahall/duties/_lease.py
+++ b/packages/verbenahall/src/verbenahall/duties/_lease.py
@@ -198,7 +198,7 @@
             lease_s=record.lease_s,
             clean=not record.holder,
         )
-        self._state.heard[self.duty] = self._now()
+        self._state.read_at[self.duty] = self._now()
         journal.write_decision(
             'lease',
             duty=self.duty,
