--- a/packages/standins/src/verbenahall_standins/holder.py
+++ b/packages/standins/src/verbenahall_standins/holder.py
@@ -18,7 +18,7 @@
 import uvloop
 
 from verbenahall import clock
-from verbenahall.authority import AuthorityState, LeaseKeeper, LeaseTiming
+from verbenahall.authority import AuthorityState, LeaseManager, LeaseTiming
 from verbenahall.authority import apply_record as apply_authority
 from verbenahall.fleet import Endpoint, EndpointKind, Role, EndpointStatus
 from verbenahall.log import LogClient, LogFollower
@@ -120,7 +120,7 @@
         self._authority = AuthorityState()
         self._orders = OrdersState(self._authority)
         self._follower = LogFollower(client, (self._apply_record,))
-        self._keeper = LeaseKeeper(
+        self._lease_manager = LeaseManager(
             self._authority,
             client,
             _SCOPE,
@@ -131,7 +131,7 @@
         self._controller = Controller(
             Surroundings(options),
             self._orders,
-            self._keeper,
+            self._lease_manager,
             client,
             OrderSender(self._hold, timing, StoppingClock(options.stop)),
             Dispatch(timing),
@@ -143,7 +143,7 @@
         sys.stdout.flush()
         await asyncio.gather(
             self._follower.run(),
-            self._keeper.run(),
+            self._lease_manager.run(),
             self._controller.run(),
         )
 
@@ -156,7 +156,7 @@
         return 0 <= head <= self._follower.position
 
     def _hold(self, now: float) -> int | None:
-        return self._keeper.held(_SCOPE, now)
+        return self._lease_manager.find_token(_SCOPE, now)
 
 
 async def run(options: argparse.Namespace) -> None:
--- a/packages/verbenahall/src/verbenahall/authority/__init__.py
+++ b/packages/verbenahall/src/verbenahall/authority/__init__.py
@@ -17,7 +17,7 @@
     Renew,
     encode_step,
 )
-from verbenahall.authority._shell import LeaseKeeper
+from verbenahall.authority._shell import LeaseManager
 from verbenahall.authority._state import (
     AuthorityState,
     apply_record,
@@ -32,7 +32,7 @@
     'Claim',
     'Grant',
     'Idle',
-    'LeaseKeeper',
+    'LeaseManager',
     'LeaseTiming',
     'Release',
     'Renew',
--- a/packages/verbenahall/src/verbenahall/authority/_shell.py
+++ b/packages/verbenahall/src/verbenahall/authority/_shell.py
@@ -45,7 +45,7 @@
         """Append one record; return its offset, or why it is unknown."""
 
 
-class LeaseKeeper:
+class LeaseManager:
     """Acquires and renews the lease on one scope while it runs.
 
     ``caught_up`` returns whether the log's follower has read to the end of
@@ -65,7 +65,7 @@
         clock: Clock = monotonic,
         randomness: random.Random | None = None,
     ) -> None:
-        """Create the keeper; nothing is sent before ``run``."""
+        """Create the manager; nothing is sent before ``run``."""
         source = randomness or random.Random()
         self.state = state
         self.candidate = LeaseCandidate(scope, holder, source.random())
@@ -76,7 +76,7 @@
         self._clock = clock
         self._token: int | None = None
 
-    def held(self, scope: str, now: float) -> int | None:
+    def find_token(self, scope: str, now: float) -> int | None:
         """Return the fencing token while this process holds ``scope``."""
         if scope != self.candidate.scope:
             return None
@@ -140,7 +140,7 @@
             )
 
     def _log_changes(self) -> None:
-        token = self.held(self.candidate.scope, self._clock())
+        token = self.find_token(self.candidate.scope, self._clock())
         if token == self._token:
             return
         self._token = token
--- a/packages/verbenahall/src/verbenahall/instance/_control.py
+++ b/packages/verbenahall/src/verbenahall/instance/_control.py
@@ -5,7 +5,7 @@
 from returns.result import Success
 
 from verbenahall.admin import Readiness
-from verbenahall.authority import LeaseKeeper, LeaseTiming
+from verbenahall.authority import LeaseManager, LeaseTiming
 from verbenahall.fleet import Endpoint, EndpointKind
 from verbenahall.instance._core import Core
 from verbenahall.instance._dependencies import ControllerDependencies
@@ -88,9 +88,9 @@
             )
         return readiness
 
-    def _build_lease_manager(self) -> LeaseKeeper:
+    def _build_lease_manager(self) -> LeaseManager:
         timing = self._core.config.timing
-        return LeaseKeeper(
+        return LeaseManager(
             self._core.folds.authority,
             self._core.client,
             self.scope,
@@ -116,7 +116,7 @@
             timing.longest_pause_s,
         )
         sender = OrderSender(
-            lambda now: self.lease_manager.held(self.scope, now),
+            lambda now: self.lease_manager.find_token(self.scope, now),
             order_timing,
             on_state=self._record_state,
         )
--- a/packages/verbenahall/src/verbenahall/instance/_gauges.py
+++ b/packages/verbenahall/src/verbenahall/instance/_gauges.py
@@ -4,7 +4,7 @@
 from typing import Final, final
 
 from verbenahall import clock, metrics
-from verbenahall.authority import LeaseKeeper
+from verbenahall.authority import LeaseManager
 from verbenahall.instance._folds import Folds
 from verbenahall.log import LogFollower
 
@@ -21,7 +21,7 @@
         self,
         folds: Folds,
         follower: LogFollower,
-        lease_manager: LeaseKeeper,
+        lease_manager: LeaseManager,
         scope: str,
     ) -> None:
         """Store the sources; ``scope`` is the scope of the lease."""
@@ -39,7 +39,7 @@
     def set_all(self) -> None:
         """Set every gauge once."""
         now = clock.monotonic()
-        token = self._lease_manager.held(self._scope, now)
+        token = self._lease_manager.find_token(self._scope, now)
         metrics.SETTINGS_POSITION.set({}, self._folds.settings.position)
         metrics.SETTINGS_LAG_SECONDS.set({}, now - self._follower.last_contact)
         metrics.LEASE_HELD.set({'scope': self._scope}, int(token is not None))
--- a/packages/verbenahall/src/verbenahall/instance/_pools.py
+++ b/packages/verbenahall/src/verbenahall/instance/_pools.py
@@ -4,7 +4,7 @@
 from collections.abc import Iterator
 from typing import Final, final
 
-from verbenahall.authority import LeaseKeeper
+from verbenahall.authority import LeaseManager
 from verbenahall.fleet import EndpointKind, EndpointStatus
 from verbenahall.instance._dependencies import ControllerDependencies
 from verbenahall.load import EngineStates
@@ -45,7 +45,7 @@
         dependencies: ControllerDependencies,
         members: MembershipState,
         states: EngineStates,
-        lease_manager: LeaseKeeper,
+        lease_manager: LeaseManager,
     ) -> None:
         """Store the sources."""
         self._data_centre = data_centre
@@ -56,7 +56,9 @@
 
     def is_leader(self, now: float) -> bool:
         """Whether this process holds the data centre's lease."""
-        return self._lease_manager.held(self._data_centre, now) is not None
+        return (
+            self._lease_manager.find_token(self._data_centre, now) is not None
+        )
 
     def get_traffic_share(self, now: float) -> float:
         """Return this instance's share of the data centre's requests.
--- a/packages/verbenahall/src/verbenahall/orders/_shell.py
+++ b/packages/verbenahall/src/verbenahall/orders/_shell.py
@@ -30,14 +30,14 @@
 class OrderSender:
     """Client for the order protocol of engines.
 
-    ``held(now)`` returns the fencing token while the lease is held, and None
-    otherwise. Each order is sent on a new connection, so that it does not
+    ``get_token(now)`` returns the fencing token while the lease is held, and
+    None otherwise. Each order is sent on a new connection, so that it does not
     wait behind other data.
     """
 
     def __init__(
         self,
-        held: Callable[[float], int | None],
+        get_token: Callable[[float], int | None],
         timing: OrderTiming,
         clock: Clock = monotonic,
         on_state: Callable[[dict[str, Any]], object] = bool,
@@ -48,7 +48,7 @@
         from an engine.
         """
         self._on_state = on_state
-        self._get_token = held
+        self._get_token = get_token
         self._timing = timing
         self._clock = clock
         self._session: aiohttp.ClientSession | None = None
--- a/packages/verbenahall/src/verbenahall/rollout/_shell.py
+++ b/packages/verbenahall/src/verbenahall/rollout/_shell.py
@@ -7,7 +7,7 @@
 
 from returns.result import Result, Success
 
-from verbenahall.authority import LeaseKeeper
+from verbenahall.authority import LeaseManager
 from verbenahall.clock import Clock, monotonic
 from verbenahall.errors import Problem
 from verbenahall.fleet import Role
@@ -78,7 +78,7 @@
         self,
         dependencies: Dependencies,
         order_state: OrdersState,
-        keeper: LeaseKeeper,
+        lease_manager: LeaseManager,
         client: Appender,
         sender: OrderSender,
         dispatch: Dispatch,
@@ -88,13 +88,13 @@
         """Create the controller; nothing is sent before ``run``."""
         self._dependencies = dependencies
         self._orders = order_state
-        self._keeper = keeper
+        self._lease_manager = lease_manager
         self._client = client
         self._sender = sender
         self._dispatch = dispatch
         self._limits = limits
         self._clock = clock
-        self._scope = keeper.candidate.scope
+        self._scope = lease_manager.candidate.scope
         self._tasks = Tasks()
         self._engine_client = EngineClient(
             order_state,
@@ -121,7 +121,7 @@
     def _run_step(self) -> None:
         now = self._clock()
         members = self._dependencies.list_engines(now)
-        token = self._keeper.held(self._scope, now)
+        token = self._lease_manager.find_token(self._scope, now)
         due = outstanding(self._orders, self._scope)
         busy = {order.engine for order in due}
         self._engine_client.poll_states(
--- a/packages/verbenahall/src/verbenahall/shutdown/_shell.py
+++ b/packages/verbenahall/src/verbenahall/shutdown/_shell.py
@@ -57,7 +57,7 @@
         stop = GracefulStop(StopTiming(grace_s=30))
         stop.add_to(app)
         stop.hooks.close.append(site.stop)
-        stop.hooks.hand_over.append(keeper.release)
+        stop.hooks.hand_over.append(lease_manager.release)
         await stop.run()
         await runner.cleanup()
     """
--- a/packages/verbenahall/tests/rollout/test_controller.py
+++ b/packages/verbenahall/tests/rollout/test_controller.py
@@ -10,7 +10,7 @@
 from verbenahall import metrics
 from verbenahall.authority import (
     AuthorityState,
-    LeaseKeeper,
+    LeaseManager,
     LeaseTiming,
 )
 from verbenahall.authority import apply_record as apply_authority
@@ -181,12 +181,12 @@
 
 
 async def roll_out(dependencies=FakeDependencies):
-    """Run keeper and controller until both engines have got an order."""
+    """Run the controller until both engines have got an order."""
     engines = [FakeEngine('e1'), FakeEngine('e2', checks_fencing=False)]
     starts = (engine.start() for engine in engines)
     endpoints = await asyncio.gather(*starts)
     log = MemoryLog()
-    keeper = LeaseKeeper(
+    lease_manager = LeaseManager(
         log.authority,
         log,
         DATA_CENTRE,
@@ -194,21 +194,25 @@
         LEASE,
         caught_up=lambda: True,
     )
-    sender = OrderSender(lambda now: keeper.held(DATA_CENTRE, now), ORDER)
+    sender = OrderSender(
+        lambda now: lease_manager.find_token(DATA_CENTRE, now), ORDER
+    )
     controller = Controller(
         dependencies(endpoints),
         log.orders,
-        keeper,
+        lease_manager,
         log,
         sender,
         Dispatch(ORDER),
     )
-    tasks = [asyncio.create_task(part.run()) for part in (keeper, controller)]
+    tasks = [
+        asyncio.create_task(part.run()) for part in (lease_manager, controller)
+    ]
     await wait_until(lambda: all(engine.started for engine in engines))
     for task in tasks:
         task.cancel()
     await asyncio.gather(*tasks, return_exceptions=True)
-    await keeper.release()
+    await lease_manager.release()
     stops = (engine.runner.cleanup() for engine in engines)
     await asyncio.gather(*stops)
     return engines, log
