--- a/packages/standins/src/verbenahall_standins/explorer/_moves.py
+++ b/packages/standins/src/verbenahall_standins/explorer/_moves.py
@@ -122,9 +122,9 @@
         return
     leading = copy_instance(instance)
     grant = leading.authority.find_grant(SCOPE)
-    orders.take_over(leading.dispatch, grant, world.now)
+    orders.update_grant(leading.dispatch, grant, world.now)
     for engine in world.engines:
-        leading.dispatch.find_track(engine.endpoint.name)
+        leading.dispatch.find_sends(engine.endpoint.name)
     rules.adjust_gates(leading.dispatch)
     if not leading.recorded:
         yield _record(world, bounds, index, leading, token)
@@ -143,11 +143,11 @@
     asked = copy_instance(leading)
     orders.record_report(asked.orders, tell_state(engine), world.now)
     orders.is_cleared(asked.dispatch, asked.orders, engine.endpoint)
-    if leading.dispatch.find_track(name).cleared:
+    if leading.dispatch.find_sends(name).cleared:
         asked = leading
     else:
         yield f'{index} asks {name}', put(world, index, asked)
-    for order in orders.outstanding(asked.orders, SCOPE):
+    for order in orders.list_outstanding(asked.orders, SCOPE):
         moved = copy_instance(asked)
         orders.record_report(moved.orders, tell_state(engine), world.now)
         if order.engine == name and orders.may_send(
@@ -157,7 +157,7 @@
             engine.endpoint,
             world.now,
         ):
-            orders.note_sending(moved.dispatch, order)
+            orders.record_sending(moved.dispatch, order)
             moved.in_hand = (
                 *moved.in_hand,
                 InHand(order, token, world.now),
--- a/packages/standins/src/verbenahall_standins/explorer/_rules.py
+++ b/packages/standins/src/verbenahall_standins/explorer/_rules.py
@@ -56,8 +56,8 @@
 
 
 def _force_gates(dispatch: Dispatch) -> None:
-    for track in dispatch.tracks.values():
-        track.cleared = True
+    for engine_sends in dispatch.sends.values():
+        engine_sends.cleared = True
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
--- a/packages/standins/src/verbenahall_standins/explorer/_search.py
+++ b/packages/standins/src/verbenahall_standins/explorer/_search.py
@@ -69,8 +69,8 @@
 
 
 def _relies(instance: Instance) -> bool:
-    track = instance.dispatch.tracks.get('engine')
-    return track is not None and track.cleared
+    engine_sends = instance.dispatch.sends.get('engine')
+    return engine_sends is not None and engine_sends.cleared
 
 
 def explore(world: World, bounds: Bounds, rules: Rules) -> Report:
--- a/packages/standins/src/verbenahall_standins/explorer/_steps.py
+++ b/packages/standins/src/verbenahall_standins/explorer/_steps.py
@@ -61,10 +61,10 @@
     left = tuple(other for other in world.messages if other is not message)
     settled = dataclasses.replace(world, messages=left)
     moved = copy_instance(settled.instances[message.sender])
-    orders.note_outcome(moved.dispatch, message.order, outcome, world.now)
+    orders.record_outcome(moved.dispatch, message.order, outcome, world.now)
     # Pauses between tries grow beyond a tick and would hide schedules.
-    track = moved.dispatch.find_track(message.order.engine)
-    track.retry_at = -float('inf')
+    engine_sends = moved.dispatch.find_sends(message.order.engine)
+    engine_sends.retry_at = -float('inf')
     return put(settled, message.sender, moved)
 
 
--- a/packages/standins/src/verbenahall_standins/explorer/_world.py
+++ b/packages/standins/src/verbenahall_standins/explorer/_world.py
@@ -9,7 +9,7 @@
     Dispatch,
     Order,
     OrdersState,
-    Track,
+    EngineSends,
 )
 from verbenahall.records import Record
 from verbenahall_standins.explorer._timing import ORDERS, SCOPE
@@ -166,17 +166,19 @@
     twin.candidate.sent = dict(instance.candidate.sent)
     twin.candidate.last_append_at = instance.candidate.last_append_at
     twin.orders.orders = dict(instance.orders.orders)
-    unsettled = instance.orders.unsettled
-    twin.orders.unsettled = {SCOPE: dict(unsettled.get(SCOPE, {}))}
+    outstanding_orders = instance.orders.outstanding_orders
+    twin.orders.outstanding_orders = {
+        SCOPE: dict(outstanding_orders.get(SCOPE, {}))
+    }
     twin.orders.reports = dict(instance.orders.reports)
     twin.orders.reported_at = dict(instance.orders.reported_at)
     twin.orders.position = instance.orders.position
     twin.dispatch.grant = instance.dispatch.grant
     twin.dispatch.granted_at = instance.dispatch.granted_at
-    for name, track in instance.dispatch.tracks.items():
-        copied = twin.dispatch.find_track(name)
-        for field in track.__slots__:
-            setattr(copied, field, getattr(track, field))
+    for name, engine_sends in instance.dispatch.sends.items():
+        copied = twin.dispatch.find_sends(name)
+        for field in engine_sends.__slots__:
+            setattr(copied, field, getattr(engine_sends, field))
     return twin
 
 
@@ -204,7 +206,7 @@
 def _key_instance(instance: Instance, now: int) -> tuple[Any, ...]:
     grant = instance.authority.find_grant(SCOPE)
     sent = instance.candidate.sent
-    tracks = instance.dispatch.tracks
+    sends = instance.dispatch.sends
     known = (instance.position, grant.last, instance.recorded)
     ages = (
         _age(instance.authority.read_at.get(SCOPE), now, _LEASE_TICKS),
@@ -217,17 +219,19 @@
         for held in instance.in_hand
     )
     token = instance.dispatch.grant and instance.dispatch.grant.token
-    sending = tuple(_key_track(track, now) for track in tracks.values())
+    sending = tuple(
+        _key_sends(engine_sends, now) for engine_sends in sends.values()
+    )
     return known, ages, in_hand, token, sending
 
 
-def _key_track(track: Track, now: int) -> tuple[Any, ...]:
+def _key_sends(engine_sends: EngineSends, now: int) -> tuple[Any, ...]:
     return (
-        track.sending,
-        track.cleared,
-        _age(track.read_back, now, 1),
-        track.doubt,
-        _age(track.doubt_at, now, 2),
+        engine_sends.sending,
+        engine_sends.cleared,
+        _age(engine_sends.read_back, now, 1),
+        engine_sends.unanswered,
+        _age(engine_sends.unanswered_at, now, 2),
     )
 
 
--- a/packages/verbenahall/src/verbenahall/orders/__init__.py
+++ b/packages/verbenahall/src/verbenahall/orders/__init__.py
@@ -4,20 +4,20 @@
     SendGate,
     is_changing,
     find_send_gate,
-    outstanding,
+    list_outstanding,
 )
 from verbenahall.orders._dispatch import (
     Dispatch,
-    Track,
+    EngineSends,
     is_cleared,
     may_send,
-    take_over,
+    update_grant,
 )
 from verbenahall.orders._failures import (
     list_withdrawals,
     record_failed_change,
-    note_outcome,
-    note_sending,
+    record_outcome,
+    record_sending,
 )
 from verbenahall.orders._export import export_state, restore_state
 from verbenahall.orders._messages import (
@@ -45,7 +45,7 @@
     'Outcome',
     'PlannedOrder',
     'Progress',
-    'Track',
+    'EngineSends',
     'apply_record',
     'decode_report',
     'encode_batch',
@@ -57,12 +57,12 @@
     'list_withdrawals',
     'may_send',
     'record_failed_change',
-    'note_outcome',
-    'note_sending',
+    'record_outcome',
+    'record_sending',
     'record_report',
     'find_send_gate',
-    'outstanding',
+    'list_outstanding',
     'restore_state',
     'send_and_record',
-    'take_over',
+    'update_grant',
 )
--- a/packages/verbenahall/src/verbenahall/orders/_decisions.py
+++ b/packages/verbenahall/src/verbenahall/orders/_decisions.py
@@ -8,9 +8,9 @@
 from verbenahall.orders._state import OrdersState
 
 
-def outstanding(state: OrdersState, scope: str) -> tuple[Order, ...]:
+def list_outstanding(state: OrdersState, scope: str) -> tuple[Order, ...]:
     """Return a scope's orders that are neither done, failed nor void."""
-    return tuple(state.unsettled.get(scope, {}).values())
+    return tuple(state.outstanding_orders.get(scope, {}).values())
 
 
 def is_changing(state: OrdersState, engine: str) -> bool:
--- a/packages/verbenahall/src/verbenahall/orders/_dispatch.py
+++ b/packages/verbenahall/src/verbenahall/orders/_dispatch.py
@@ -18,21 +18,21 @@
 _MAX_REPORT_AGE_S: Final = 1.0
 
 
-class Track:
+class EngineSends:
     """State of a holder's sends to one engine.
 
     ``sending`` is set while a send is in progress, and ``cleared`` once the
     send gate has been passed. ``read_back`` is when the engine's state was
-    first read after the gate opened. ``doubt`` is the number of an order that
-    was written at ``doubt_at`` and not answered. ``refusals`` counts
+    first read after the gate opened. ``unanswered`` is the number of an order
+    that was written at ``unanswered_at`` and not answered. ``refusals`` counts
     consecutive sends without effect, and ``failed`` is the number of the last
     order that the engine accepted and did not complete.
     """
 
     __slots__ = (
         'cleared',
-        'doubt',
-        'doubt_at',
+        'unanswered',
+        'unanswered_at',
         'failed',
         'failures',
         'read_back',
@@ -50,8 +50,8 @@
         self.failures = 0
         self.refusals = 0
         self.failed = ''
-        self.doubt = ''
-        self.doubt_at = -float('inf')
+        self.unanswered = ''
+        self.unanswered_at = -float('inf')
 
 
 class Dispatch:
@@ -60,29 +60,29 @@
     ``granted_at`` is when this process read ``grant``, its own, from the log.
     """
 
-    __slots__ = ('grant', 'granted_at', 'timing', 'tracks')
+    __slots__ = ('grant', 'granted_at', 'timing', 'sends')
 
     def __init__(self, timing: OrderTiming) -> None:
         """Start without a token."""
         self.timing = timing
         self.grant: Grant | None = None
         self.granted_at = -float('inf')
-        self.tracks: dict[str, Track] = {}
+        self.sends: dict[str, EngineSends] = {}
 
-    def find_track(self, engine: str) -> Track:
+    def find_sends(self, engine: str) -> EngineSends:
         """Return the state of the sends to an engine; create it if needed."""
-        return self.tracks.setdefault(engine, Track())
+        return self.sends.setdefault(engine, EngineSends())
 
 
-def take_over(dispatch: Dispatch, grant: Grant, now: float) -> None:
+def update_grant(dispatch: Dispatch, grant: Grant, now: float) -> None:
     """Reset the state if the grant has another fencing token than before."""
     if dispatch.grant is not None and dispatch.grant.token == grant.token:
         return
     dispatch.grant = grant
     dispatch.granted_at = now
-    for track in dispatch.tracks.values():
-        track.cleared = False
-        track.read_back = None
+    for engine_sends in dispatch.sends.values():
+        engine_sends.cleared = False
+        engine_sends.read_back = None
 
 
 def is_cleared(
@@ -96,17 +96,19 @@
     lease ended could reach an engine that ignores tokens after an order of
     this holder, and override it.
     """
-    track = dispatch.find_track(endpoint.name)
-    if not track.cleared:
-        track.cleared = _passes_gate(dispatch, state, endpoint, track)
-    return track.cleared
+    engine_sends = dispatch.find_sends(endpoint.name)
+    if not engine_sends.cleared:
+        engine_sends.cleared = _passes_gate(
+            dispatch, state, endpoint, engine_sends
+        )
+    return engine_sends.cleared
 
 
 def _passes_gate(
     dispatch: Dispatch,
     state: OrdersState,
     endpoint: Endpoint,
-    track: Track,
+    engine_sends: EngineSends,
 ) -> bool:
     if dispatch.grant is None:
         return False
@@ -124,9 +126,9 @@
     # The first response only shows that the engine is running again. A later
     # one shows that it has also processed the data that was waiting in its
     # connections.
-    if track.read_back is None:
-        track.read_back = reported_at
-    return reported_at >= track.read_back + _RESPONSIVE_S
+    if engine_sends.read_back is None:
+        engine_sends.read_back = reported_at
+    return reported_at >= engine_sends.read_back + _RESPONSIVE_S
 
 
 def may_send(
@@ -137,8 +139,8 @@
     now: float,
 ) -> bool:
     """Return whether ``order`` may be sent to its engine at ``now``."""
-    track = dispatch.find_track(order.engine)
-    if track.sending or now < track.retry_at:
+    engine_sends = dispatch.find_sends(order.engine)
+    if engine_sends.sending or now < engine_sends.retry_at:
         return False
     report = state.reports.get(order.engine)
     reported_at = state.reported_at.get(order.engine, -float('inf'))
@@ -150,7 +152,7 @@
         return False
     return endpoint.checks_fencing or _has_no_rival_order(
         dispatch.timing,
-        track,
+        engine_sends,
         order,
         reported_at,
     )
@@ -158,7 +160,7 @@
 
 def _has_no_rival_order(
     timing: OrderTiming,
-    track: Track,
+    engine_sends: EngineSends,
     order: Order,
     reported_at: float,
 ) -> bool:
@@ -169,8 +171,9 @@
     in a connection. The newer order waits until that connection has timed
     out and the engine has responded since.
     """
-    if track.doubt in {'', order.number}:
+    if engine_sends.unanswered in {'', order.number}:
         return True
     return (
-        reported_at >= track.doubt_at + timing.order_timeout_s + _RESPONSIVE_S
+        reported_at
+        >= engine_sends.unanswered_at + timing.order_timeout_s + _RESPONSIVE_S
     )
--- a/packages/verbenahall/src/verbenahall/orders/_export.py
+++ b/packages/verbenahall/src/verbenahall/orders/_export.py
@@ -27,7 +27,7 @@
     state.orders = {
         engine: _restore_order(row) for engine, row in exported.items()
     }
-    state.unsettled = {}
+    state.outstanding_orders = {}
     for order in state.orders.values():
         update_outstanding(state, order)
     state.position = position
--- a/packages/verbenahall/src/verbenahall/orders/_failures.py
+++ b/packages/verbenahall/src/verbenahall/orders/_failures.py
@@ -2,8 +2,8 @@
 
 from typing import Final
 
-from verbenahall.orders._decisions import outstanding
-from verbenahall.orders._dispatch import Dispatch, Track
+from verbenahall.orders._decisions import list_outstanding
+from verbenahall.orders._dispatch import Dispatch, EngineSends
 from verbenahall.orders._messages import Order, PlannedOrder
 from verbenahall.orders._outcomes import Outcome
 from verbenahall.orders._progress import Progress, find_progress
@@ -21,35 +21,35 @@
 )
 
 
-def note_sending(dispatch: Dispatch, order: Order) -> None:
+def record_sending(dispatch: Dispatch, order: Order) -> None:
     """Record that a send to the engine is in progress."""
-    dispatch.find_track(order.engine).sending = True
+    dispatch.find_sends(order.engine).sending = True
 
 
-def note_outcome(
+def record_outcome(
     dispatch: Dispatch,
     order: Order,
     outcome: Outcome,
     now: float,
 ) -> None:
     """Record the outcome of a send and when the next one may start."""
-    track = dispatch.find_track(order.engine)
-    track.sending = False
+    engine_sends = dispatch.find_sends(order.engine)
+    engine_sends.sending = False
     if outcome is Outcome.UNKNOWN:
-        track.doubt = order.number
-        track.doubt_at = now
+        engine_sends.unanswered = order.number
+        engine_sends.unanswered_at = now
     if outcome in _NO_BACKOFF:
-        track.failures = 0
-        track.refusals = 0
+        engine_sends.failures = 0
+        engine_sends.refusals = 0
     else:
-        track.failures += 1
-        track.refusals += outcome in _NO_EFFECT
-    _back_off(track, now)
+        engine_sends.failures += 1
+        engine_sends.refusals += outcome in _NO_EFFECT
+    _back_off(engine_sends, now)
 
 
-def _back_off(track: Track, now: float) -> None:
-    pause = _FIRST_PAUSE_S * 2 ** min(track.failures, _MAX_DOUBLINGS)
-    track.retry_at = now + min(_MAX_PAUSE_S, pause)
+def _back_off(engine_sends: EngineSends, now: float) -> None:
+    pause = _FIRST_PAUSE_S * 2 ** min(engine_sends.failures, _MAX_DOUBLINGS)
+    engine_sends.retry_at = now + min(_MAX_PAUSE_S, pause)
 
 
 def record_failed_change(
@@ -68,11 +68,11 @@
     if order is None:
         return
     progress = find_progress(order, state.reports.get(engine))
-    track = dispatch.find_track(engine)
-    if progress is Progress.FAILED and track.failed != order.number:
-        track.failed = order.number
-        track.failures += 1
-        _back_off(track, now)
+    engine_sends = dispatch.find_sends(engine)
+    if progress is Progress.FAILED and engine_sends.failed != order.number:
+        engine_sends.failed = order.number
+        engine_sends.failures += 1
+        _back_off(engine_sends, now)
 
 
 def list_withdrawals(
@@ -91,7 +91,7 @@
     """
     withdrawn = [
         order
-        for order in outstanding(state, scope)
+        for order in list_outstanding(state, scope)
         if _should_withdraw(dispatch, state, order)
     ]
     return tuple(
@@ -105,9 +105,9 @@
     order: Order,
     now: float,
 ) -> PlannedOrder:
-    track = dispatch.find_track(order.engine)
-    track.refusals = 0
-    track.retry_at = now + _MAX_PAUSE_S
+    engine_sends = dispatch.find_sends(order.engine)
+    engine_sends.refusals = 0
+    engine_sends.retry_at = now + _MAX_PAUSE_S
     report = state.reports[order.engine]
     return PlannedOrder(report.name, report.incarnation, report.holding)
 
@@ -120,4 +120,4 @@
     report = state.reports.get(order.engine)
     if report is None or report.changing or report.holding == order.target:
         return False
-    return dispatch.find_track(order.engine).refusals >= _MAX_REFUSALS
+    return dispatch.find_sends(order.engine).refusals >= _MAX_REFUSALS
--- a/packages/verbenahall/src/verbenahall/orders/_shell.py
+++ b/packages/verbenahall/src/verbenahall/orders/_shell.py
@@ -12,7 +12,7 @@
 from verbenahall.clock import Clock, monotonic
 from verbenahall.fleet import Endpoint
 from verbenahall.orders._dispatch import Dispatch
-from verbenahall.orders._failures import note_outcome
+from verbenahall.orders._failures import record_outcome
 from verbenahall.orders._lease_body import LeaseBody
 from verbenahall.orders._messages import (
     EngineReport,
@@ -138,7 +138,7 @@
     try:
         outcome = await sender.send(order, endpoint)
     finally:
-        note_outcome(dispatch, order, outcome, clock())
+        record_outcome(dispatch, order, outcome, clock())
     return outcome
 
 
--- a/packages/verbenahall/src/verbenahall/orders/_state.py
+++ b/packages/verbenahall/src/verbenahall/orders/_state.py
@@ -11,8 +11,8 @@
 
     ``authority`` is folded from the same records and must be given each
     record before this state. ``reported_at`` holds monotonic seconds.
-    ``unsettled`` holds the outstanding orders of each scope, so that the cost
-    of a step depends on their number and not on the number of engines.
+    ``outstanding_orders`` holds them by scope and engine, so that the cost of
+    a step depends on their number and not on the number of engines.
     ``finished_at`` is when a report showed that an engine's order is no
     longer outstanding.
     """
@@ -24,7 +24,7 @@
         'reported_at',
         'reports',
         'finished_at',
-        'unsettled',
+        'outstanding_orders',
     )
 
     def __init__(self, authority: AuthorityState) -> None:
@@ -34,7 +34,7 @@
         self.reports: dict[str, EngineReport] = {}
         self.reported_at: dict[str, float] = {}
         self.finished_at: dict[str, float] = {}
-        self.unsettled: dict[str, dict[str, Order]] = {}
+        self.outstanding_orders: dict[str, dict[str, Order]] = {}
         self.position = 0
 
 
@@ -54,7 +54,7 @@
     valid = tuple(order for order in orders if _is_valid(state, order))
     for order in valid:
         former = state.orders.get(order.engine, order)
-        state.unsettled.get(former.scope, {}).pop(order.engine, None)
+        state.outstanding_orders.get(former.scope, {}).pop(order.engine, None)
         state.orders[order.engine] = order
         update_outstanding(state, order)
     return valid
@@ -76,17 +76,22 @@
     order = state.orders.get(report.name)
     if order is None:
         return
-    was_outstanding = report.name in state.unsettled.get(order.scope, {})
+    was_outstanding = report.name in state.outstanding_orders.get(
+        order.scope, {}
+    )
     update_outstanding(state, order)
-    if was_outstanding and report.name not in state.unsettled[order.scope]:
+    if (
+        was_outstanding
+        and report.name not in state.outstanding_orders[order.scope]
+    ):
         state.finished_at[report.name] = now
 
 
 def update_outstanding(state: OrdersState, order: Order) -> None:
     """Add an order to its scope's outstanding ones, or remove it."""
-    unsettled = state.unsettled.setdefault(order.scope, {})
+    outstanding_orders = state.outstanding_orders.setdefault(order.scope, {})
     progress = find_progress(order, state.reports.get(order.engine))
     if progress in OUTSTANDING:
-        unsettled[order.engine] = order
+        outstanding_orders[order.engine] = order
     else:
-        unsettled.pop(order.engine, None)
+        outstanding_orders.pop(order.engine, None)
--- a/packages/verbenahall/src/verbenahall/rollout/_engines.py
+++ b/packages/verbenahall/src/verbenahall/rollout/_engines.py
@@ -13,7 +13,7 @@
     OrderSender,
     OrdersState,
     may_send,
-    note_sending,
+    record_sending,
     record_report,
     send_and_record,
 )
@@ -97,12 +97,12 @@
             if endpoint is None:
                 continue
             if may_send(self._dispatch, self._orders, order, endpoint, now):
-                note_sending(self._dispatch, order)
+                record_sending(self._dispatch, order)
                 work = self._send(order, endpoint)
                 self._tasks.start(f'send {order.engine}', work)
 
     def _is_polled_fast(self, endpoint: Endpoint, busy: set[str]) -> bool:
-        cleared = self._dispatch.find_track(endpoint.name).cleared
+        cleared = self._dispatch.find_sends(endpoint.name).cleared
         return endpoint.name in busy or not cleared
 
     def _list_due(
--- a/packages/verbenahall/src/verbenahall/rollout/_shell.py
+++ b/packages/verbenahall/src/verbenahall/rollout/_shell.py
@@ -18,8 +18,8 @@
     PlannedOrder,
     encode_batch,
     list_withdrawals,
-    outstanding,
-    take_over,
+    list_outstanding,
+    update_grant,
 )
 from verbenahall.records import ORDERS_STREAM
 from verbenahall.rollout._engines import EngineClient
@@ -122,7 +122,7 @@
         now = self._clock()
         members = self._dependencies.list_engines(now)
         token = self._lease_manager.find_token(self._scope, now)
-        due = outstanding(self._orders, self._scope)
+        due = list_outstanding(self._orders, self._scope)
         busy = {order.engine for order in due}
         self._engine_client.poll_states(
             members, now, busy, holds_lease=token is not None
@@ -130,7 +130,7 @@
         if token is None:
             return
         grant = self._orders.authority.find_grant(self._scope)
-        take_over(self._dispatch, grant, now)
+        update_grant(self._dispatch, grant, now)
         is_planned = self._may_plan(now)
         if is_planned:
             self._plan_and_pause(members, token, now)
--- a/packages/verbenahall/src/verbenahall/rollout/_views.py
+++ b/packages/verbenahall/src/verbenahall/rollout/_views.py
@@ -46,7 +46,7 @@
         record_failed_change(dispatch, state, endpoint.name, now)
         live = status is EndpointStatus.LIVE and not report.leaving
         cleared = is_cleared(dispatch, state, endpoint)
-        resting = now < dispatch.find_track(endpoint.name).retry_at
+        resting = now < dispatch.find_sends(endpoint.name).retry_at
         progress = _find_progress(state, report)
         finished_at = state.finished_at.get(endpoint.name, -float('inf'))
         yield EngineView(
--- a/packages/verbenahall/tests/orders/test_lease_body.py
+++ b/packages/verbenahall/tests/orders/test_lease_body.py
@@ -17,7 +17,7 @@
     OrderSender,
     OrderTiming,
     Outcome,
-    note_sending,
+    record_sending,
     send_and_record,
 )
 from verbenahall.orders._lease_body import LeaseBody
@@ -114,11 +114,11 @@
     """
     endpoint = Endpoint('e1', EndpointKind.ENGINE, '127.0.0.1:1', 'ain', 'i1')
     dispatch = Dispatch(TIMING)
-    note_sending(dispatch, ORDER)
+    record_sending(dispatch, ORDER)
     sender = OrderSender(lambda _: 1, TIMING)
     sender.send = None
     sending = send_and_record(sender, dispatch, ORDER, endpoint, lambda: 7)
 
     with pytest.raises(TypeError):
         asyncio.run(sending)
-    assert not dispatch.find_track('e1').sending
+    assert not dispatch.find_sends('e1').sending
--- a/packages/verbenahall/tests/orders/test_orders.py
+++ b/packages/verbenahall/tests/orders/test_orders.py
@@ -21,12 +21,12 @@
     list_withdrawals,
     may_send,
     record_failed_change,
-    note_outcome,
-    note_sending,
+    record_outcome,
+    record_sending,
     record_report,
-    outstanding,
+    list_outstanding,
     restore_state,
-    take_over,
+    update_grant,
 )
 from verbenahall.records import AUTHORITY_STREAM, ORDERS_STREAM, Record
 
@@ -70,7 +70,7 @@
 def lead(state, now=0):
     """Return a dispatch with the scope's grant, held since ``now``."""
     dispatch = Dispatch(TIMING)
-    take_over(dispatch, state.authority.find_grant(SCOPE), now)
+    update_grant(dispatch, state.authority.find_grant(SCOPE), now)
     return dispatch
 
 
@@ -125,7 +125,7 @@
     """
     state = fold(claim(1, 'a', 0), order(2, 1))
     dispatch = Dispatch(TIMING)
-    take_over(dispatch, Grant('b', 1, 1, 0, 5, clean), 100)
+    update_grant(dispatch, Grant('b', 1, 1, 0, 5, clean), 100)
     sent = []
     for now in reads:
         record_report(state, REPORT, now)
@@ -149,10 +149,10 @@
     """
     state = fold(claim(1, 'a', 0), order(2, 1))
     dispatch = lead(state)
-    dispatch.find_track('e1').cleared = True
+    dispatch.find_sends('e1').cleared = True
     first = state.orders['e1']
-    note_sending(dispatch, first)
-    note_outcome(dispatch, first, Outcome.UNKNOWN, 10)
+    record_sending(dispatch, first)
+    record_outcome(dispatch, first, Outcome.UNKNOWN, 10)
     apply_record(state, order(3, 1, OTHER))
     sent = []
     for now in (11, 12, 12.5, 13):
@@ -192,7 +192,9 @@
         {'order': '2.0', 'holding': TARGET},
     ):
         record_report(state, dataclasses.replace(REPORT, **change), 1)
-        seen.append((is_changing(state, 'e1'), len(outstanding(state, SCOPE))))
+        seen.append(
+            (is_changing(state, 'e1'), len(list_outstanding(state, SCOPE)))
+        )
 
     assert seen == [(True, 1), (True, 1), (False, 0)]
 
@@ -208,9 +210,9 @@
     dispatch = lead(state)
     record_report(state, REPORT, 1)
     for now in (1, 2):
-        note_outcome(dispatch, state.orders['e1'], outcome, now)
+        record_outcome(dispatch, state.orders['e1'], outcome, now)
     early = list_withdrawals(dispatch, state, SCOPE, 3)
-    note_outcome(dispatch, state.orders['e1'], outcome, 3)
+    record_outcome(dispatch, state.orders['e1'], outcome, 3)
     stay = list_withdrawals(dispatch, state, SCOPE, 3)
     apply_record(state, order(4, 1, stay[0].target))
 
@@ -230,11 +232,11 @@
         record_report(state, failed, 100)
         record_failed_change(dispatch, state, 'e1', 100)
         record_failed_change(dispatch, state, 'e1', 100.1)
-        pauses.append(dispatch.find_track('e1').retry_at - 100)
+        pauses.append(dispatch.find_sends('e1').retry_at - 100)
 
     assert pauses[:3] == [0.5, 1, 2]
     assert pauses[-1] == 20
-    assert not outstanding(state, SCOPE)
+    assert not list_outstanding(state, SCOPE)
 
 
 def test_restored_order_is_still_seen_to():
@@ -243,4 +245,4 @@
     after = OrdersState(before.authority)
     restore_state(after, export_state(before), 2)
 
-    assert outstanding(after, SCOPE) == outstanding(before, SCOPE)
+    assert list_outstanding(after, SCOPE) == list_outstanding(before, SCOPE)
