--- a/packages/verbenactl/src/verbenactl/_publisher.py
+++ b/packages/verbenactl/src/verbenactl/_publisher.py
@@ -49,7 +49,7 @@
     async def start(self) -> Result[None, Problem]:
         """Load the newest snapshot, then apply the log up to its end."""
         store = SnapshotStore(self._client)
-        loaded = await store.take_newest(0, self._load_snapshot)
+        loaded = await store.apply_newest(0, self._load_snapshot)
         if isinstance(loaded, Failure):
             return loaded
         return await self.catch_up()
--- a/packages/verbenahall/src/verbenahall/instance/_core.py
+++ b/packages/verbenahall/src/verbenahall/instance/_core.py
@@ -23,7 +23,7 @@
     list_endpoints,
     list_live,
 )
-from verbenahall.snapshots import SnapshotKeeper
+from verbenahall.snapshots import SnapshotManager
 
 _INCARNATION_BYTES: Final = 4
 #: Maximum age of the log's last answer, in seconds, at which the instance can
@@ -53,7 +53,7 @@
             MembershipRules(silent_after_s=config.timing.silent_after_s),
         )
         self.membership = MembershipAdapter(self.members, self.folds.orders)
-        self.snapshots = SnapshotKeeper(
+        self.snapshots = SnapshotManager(
             self.client,
             self.folds.list_foldables(),
             self.sessions.pooled,
--- a/packages/verbenahall/src/verbenahall/snapshots/_shell.py
+++ b/packages/verbenahall/src/verbenahall/snapshots/_shell.py
@@ -34,7 +34,7 @@
     return True
 
 
-class SnapshotKeeper:
+class SnapshotManager:
     """Keeps the folds up to date and writes snapshots of them.
 
     ``ready`` becomes true once, when the folds have reached the end that the
@@ -147,7 +147,7 @@
         self.follower.last_contact = clock.monotonic()
         self.follower.head = max(self.follower.head, page.last)
         min_offset = max(page.first - 1, self.follower.position)
-        applied = await self._store.take_newest(min_offset, self._apply)
+        applied = await self._store.apply_newest(min_offset, self._apply)
         if isinstance(applied, Failure):
             self.reason = applied.failure().message
             return False
--- a/packages/verbenahall/src/verbenahall/snapshots/_store.py
+++ b/packages/verbenahall/src/verbenahall/snapshots/_store.py
@@ -75,7 +75,7 @@
             after = records[-1].offset
         return unpack(join_parts(mark.upto, mark.sha256, parts))
 
-    async def take_newest(
+    async def apply_newest(
         self,
         min_offset: int,
         apply: ApplySnapshot,
--- a/packages/verbenahall/tests/failures/test_settings.py
+++ b/packages/verbenahall/tests/failures/test_settings.py
@@ -64,7 +64,7 @@
     while joined.value_or(0) == 0:
         await asyncio.sleep(0.05)
         first = (await client.read(0, 1)).unwrap().first
-        joined = await store.take_newest(first - 1, accept)
+        joined = await store.apply_newest(first - 1, accept)
 
 
 def test_all_instances_killed_after_retention(run):
--- a/packages/verbenahall/tests/instance/test_engine_state.py
+++ b/packages/verbenahall/tests/instance/test_engine_state.py
@@ -19,7 +19,7 @@
     get_status,
 )
 from verbenahall.orders import OrdersState
-from verbenahall.snapshots import SnapshotKeeper
+from verbenahall.snapshots import SnapshotManager
 from verbenahall_standins.memory import MemoryLog
 
 STATE = MappingProxyType(
@@ -95,8 +95,8 @@
     If the log counted as contacted only after the first long poll, the
     instance would claim no lease, and engines would wait for their orders.
     """
-    keeper = SnapshotKeeper(MemoryLog(), [], None, list)
+    manager = SnapshotManager(MemoryLog(), [], None, list)
 
-    asyncio.run(keeper.start())
+    asyncio.run(manager.start())
 
-    assert keeper.follower.last_contact > 0
+    assert manager.follower.last_contact > 0
--- a/packages/verbenahall/tests/snapshots/conftest.py
+++ b/packages/verbenahall/tests/snapshots/conftest.py
@@ -3,7 +3,7 @@
 import asyncio
 
 from verbenahall.settings import SettingsFold, SettingsState, effective
-from verbenahall.snapshots import SnapshotKeeper
+from verbenahall.snapshots import SnapshotManager
 from verbenahall_standins.memory import MemoryLog
 
 
@@ -29,13 +29,13 @@
 
 
 class Instance:
-    """The folds and the snapshot keeper of one instance."""
+    """The folds and the snapshot manager of one instance."""
 
     def __init__(self, log, session=None, peers=(), schedule=None):
         self.settings = SettingsState()
         self.fold = SettingsFold(self.settings)
         self.other = OtherFold()
-        self.keeper = SnapshotKeeper(
+        self.manager = SnapshotManager(
             log,
             [self.other, self.fold],
             session,
@@ -55,7 +55,7 @@
         """Start within 0.2 s; return whether it is ready."""
         try:
             async with asyncio.timeout(0.2):
-                await self.keeper.start()
+                await self.manager.start()
         except TimeoutError:
             return False
         return True
@@ -77,6 +77,6 @@
     log = MemoryLog()
     writer = Instance(log)
     await publish(log, 'club', 0, 1)
-    await writer.keeper.start()
-    await writer.keeper.writer.write()
+    await writer.manager.start()
+    await writer.manager.writer.write()
     return log, writer
--- a/packages/verbenahall/tests/snapshots/test_damage.py
+++ b/packages/verbenahall/tests/snapshots/test_damage.py
@@ -66,8 +66,8 @@
     # Offsets: 1 change, 2 part, 3 mark, 4 change, 5 part, 6 mark.
     log, writer = await prepare()
     await publish(log, 'club', 1, 2)
-    await writer.keeper.start()
-    await writer.keeper.writer.write()
+    await writer.manager.start()
+    await writer.manager.writer.write()
     damage(log)
     log.expire(1)
     fresh = Instance(log)
@@ -88,9 +88,9 @@
     log = MemoryLog()
     writer = Instance(log)
     await publish(log, 'club', 0, 1)
-    await writer.keeper.start()
+    await writer.manager.start()
     writer.settings.entries['x', 'y'] = Entry('no path', '', '', {}, 1)
-    await writer.keeper.writer.write()
+    await writer.manager.writer.write()
     fresh = Instance(log)
 
     assert await fresh.try_start()
--- a/packages/verbenahall/tests/snapshots/test_processes.py
+++ b/packages/verbenahall/tests/snapshots/test_processes.py
@@ -1,4 +1,4 @@
-"""Snapshot keepers on a log process: outages, lost answers, delays."""
+"""Snapshot managers on a log process: outages, lost answers, delays."""
 
 import asyncio
 import contextlib
@@ -12,7 +12,7 @@
 
 from verbenahall.log import LogClient
 from verbenahall.settings import SettingsFold, SettingsState, effective
-from verbenahall.snapshots import Schedule, SnapshotKeeper, SnapshotStore
+from verbenahall.snapshots import Schedule, SnapshotManager, SnapshotStore
 from verbenahall_standins import process
 
 pytestmark = pytest.mark.process
@@ -22,22 +22,22 @@
 
 
 class Fleet:
-    """Instances' keepers on one log process, each with its own client."""
+    """Instances' managers on one log process, each with its own client."""
 
     def __init__(self, address, session):
         self.address = address
         self.session = session
         self.states = []
-        self.keepers = []
+        self.managers = []
         self.tasks = []
         self.author = LogClient(address, session, 'author')
         self.bases = {}
 
     def start(self, schedule=None):
-        """Start one more instance; return its keeper."""
+        """Start one more instance; return its manager."""
         state = SettingsState()
         client = LogClient(self.address, self.session, f'e{len(self.states)}')
-        keeper = SnapshotKeeper(
+        manager = SnapshotManager(
             client,
             [SettingsFold(state)],
             self.session,
@@ -45,9 +45,9 @@
             schedule,
         )
         self.states.append(state)
-        self.keepers.append(keeper)
-        self.tasks.append(asyncio.create_task(keeper.run()))
-        return keeper
+        self.managers.append(manager)
+        self.tasks.append(asyncio.create_task(manager.run()))
+        return manager
 
     async def stop_all(self):
         """Stop all instances."""
@@ -55,7 +55,7 @@
             task.cancel()
         await asyncio.gather(*self.tasks, return_exceptions=True)
         self.states.clear()
-        self.keepers.clear()
+        self.managers.clear()
         self.tasks.clear()
 
     async def publish(self, name, queue, team='desk'):
@@ -86,7 +86,7 @@
 
     async def wait_ready(self):
         """Wait until every instance is ready."""
-        await wait_for(lambda: all(keeper.ready for keeper in self.keepers))
+        await wait_for(lambda: all(manager.ready for manager in self.managers))
 
     async def wait_snapshot(self, offset):
         """Wait until a snapshot in the log holds an offset."""
--- a/packages/verbenahall/tests/snapshots/test_snapshots.py
+++ b/packages/verbenahall/tests/snapshots/test_snapshots.py
@@ -28,7 +28,7 @@
 
     assert await fresh.try_start()
     assert fresh.workspaces == {'club': 1, 'late': 7}
-    assert fresh.keeper.follower.position >= offset
+    assert fresh.manager.follower.position >= offset
     assert fresh.other.seen[0] == 1
 
 
@@ -40,9 +40,9 @@
 async def _fail_before_mark():
     log, writer = await prepare()
     await publish(log, 'club', 1, 2)
-    await writer.keeper.start()
+    await writer.manager.start()
     log.fail_after = 1
-    written = await writer.keeper.writer.write()
+    written = await writer.manager.writer.write()
     log.fail_after = 100
     log.expire(1)
     fresh = Instance(log)
@@ -64,8 +64,8 @@
     await asyncio.gather(
         *(publish(log, f'{random.random()}', 0, 1) for _ in range(3000)),
     )
-    await asyncio.gather(*(writer.keeper.start() for writer in writers))
-    await asyncio.gather(*(one.keeper.writer.write() for one in writers))
+    await asyncio.gather(*(writer.manager.start() for writer in writers))
+    await asyncio.gather(*(one.manager.writer.write() for one in writers))
     parts = [row for row in log.records if row.stream == 'snapshots']
     log.expire(3000)
     fresh = Instance(log)
@@ -92,8 +92,8 @@
     async with ClientSession() as session:
         fresh = Instance(log, session)
         assert not await fresh.try_start()
-    assert not fresh.keeper.ready
-    assert 'no valid snapshot' in fresh.keeper.reason
+    assert not fresh.manager.ready
+    assert 'no valid snapshot' in fresh.manager.reason
 
 
 def test_new_instance_starts_from_a_peer_while_the_log_is_down():
@@ -104,7 +104,7 @@
 async def _start_from_peer():
     log, old = await prepare()
     app = web.Application()
-    old.keeper.add_routes(app)
+    old.manager.add_routes(app)
     runner = web.AppRunner(app)
     await runner.setup()
     await web.TCPSite(runner, '127.0.0.1', 0).start()
@@ -115,7 +115,7 @@
         fresh = Instance(log, session, peers)
 
         assert not await alone.try_start()
-        assert 'no peer' in alone.keeper.reason
+        assert 'no peer' in alone.manager.reason
         assert await fresh.try_start()
         assert fresh.workspaces == {'club': 1}
         await _refuse_older_peer(log, session, peers)
@@ -127,9 +127,9 @@
     log.down = False
     ahead = Instance(log, session, peers)
     await publish(log, 'club', 1, 2)
-    await ahead.keeper.start()
+    await ahead.manager.start()
     log.down = True
-    await ahead.keeper.recover()
+    await ahead.manager.recover()
 
     assert ahead.workspaces == {'club': 2}
 
@@ -150,21 +150,21 @@
 
 
 async def _load_after_gap(log, writer, paused):
-    await paused.keeper.start()
-    before = paused.keeper.follower.position
+    await paused.manager.start()
+    before = paused.manager.follower.position
     offset = await publish(log, 'club', 1, 2)
     await publish(log, 'late', 0, 3)
-    await writer.keeper.start()
+    await writer.manager.start()
     log.expire(offset)
 
-    await paused.keeper.follower.poll(0)
-    assert paused.keeper.follower.position == before
-    assert paused.keeper.follower.gap
+    await paused.manager.follower.poll(0)
+    assert paused.manager.follower.position == before
+    assert paused.manager.follower.gap
 
-    await writer.keeper.writer.write()
-    await paused.keeper.follower.poll(0)
-    await paused.keeper.follower.poll(0)
-    assert not paused.keeper.follower.gap
+    await writer.manager.writer.write()
+    await paused.manager.follower.poll(0)
+    await paused.manager.follower.poll(0)
+    assert not paused.manager.follower.gap
     assert paused.workspaces == {'club': 2, 'late': 3}
 
 
@@ -184,7 +184,7 @@
     await publish(log, 'club', 0, 1)
     schedule = Schedule(refresh_s=0.5, spread_s=2)
     instances = [Instance(log, schedule=schedule) for _ in range(9)]
-    tasks = [asyncio.create_task(one.keeper.run()) for one in instances]
+    tasks = [asyncio.create_task(one.manager.run()) for one in instances]
     async with asyncio.timeout(30):
         while _count_marks(log) == 0:
             await asyncio.sleep(0.05)
--- a/packages/verbenahall/tests/snapshots/test_strangers.py
+++ b/packages/verbenahall/tests/snapshots/test_strangers.py
@@ -7,7 +7,7 @@
 
 from verbenahall.errors import ProblemError
 from verbenahall.settings import SettingsFold, SettingsState
-from verbenahall.snapshots import SNAPSHOT_PATH, SnapshotKeeper
+from verbenahall.snapshots import SNAPSHOT_PATH, SnapshotManager
 from verbenahall_standins.memory import MemoryLog
 
 
@@ -20,16 +20,16 @@
 
 
 async def fetch_status(is_peer):
-    keeper = SnapshotKeeper(
+    manager = SnapshotManager(
         MemoryLog(),
         [SettingsFold(SettingsState())],
         None,
         list,
         is_peer=is_peer,
     )
-    await keeper.start()
+    await manager.start()
     app = web.Application(middlewares=(convert_problem,))
-    keeper.add_routes(app)
+    manager.add_routes(app)
     runner = web.AppRunner(app)
     await runner.setup()
     await web.TCPSite(runner, '127.0.0.1', 0).start()
