--- a/packages/verbenahall/src/verbenahall/front/__init__.py
+++ b/packages/verbenahall/src/verbenahall/front/__init__.py
@@ -1,7 +1,7 @@
 """HTTP interface for callers."""
 
-from verbenahall.front._answers import answer_problem
-from verbenahall.front._connections import Patience, Runner
+from verbenahall.front._answers import build_error_response
+from verbenahall.front._connections import ReadTimeouts, Runner
 from verbenahall.front._dependencies import Adapters, FrontDependencies
 from verbenahall.front._endpoints import Sessions
 from verbenahall.front._engines import EngineAdapter
@@ -14,11 +14,11 @@
     'EngineAdapter',
     'Front',
     'FrontDependencies',
-    'Patience',
+    'ReadTimeouts',
     'Runner',
     'ServiceAdapter',
     'Sessions',
-    'answer_problem',
+    'build_error_response',
     'make_application',
     'make_session',
 )
--- a/packages/verbenahall/src/verbenahall/front/_answers.py
+++ b/packages/verbenahall/src/verbenahall/front/_answers.py
@@ -46,7 +46,7 @@
     }
 
 
-def answer_problem(problem: Problem, request: str = '') -> web.Response:
+def build_error_response(problem: Problem, request: str = '') -> web.Response:
     """Build the HTTP response for a problem."""
     answer = problem.answer
     headers = {REQUEST_ID_HEADER: request} if request else {}
@@ -74,21 +74,21 @@
     try:
         return await handler(request)
     except ProblemError as error:
-        return answer_problem(error.problem)
+        return build_error_response(error.problem)
     except web.HTTPException as error:
         return _build_library_error(error)
     except Exception as error:
         if isinstance(error, ConnectionError):
             raise
         logging.exception('unhandled exception in a request handler')
-        return answer_problem(
+        return build_error_response(
             Problem(ErrorKind.INTERNAL, 'the instance failed'),
         )
 
 
 def _build_library_error(error: web.HTTPException) -> web.Response:
     kind = _KIND_BY_STATUS.get(error.status, ErrorKind.BAD_REQUEST)
-    response = answer_problem(Problem(kind, error.reason))
+    response = build_error_response(Problem(kind, error.reason))
     if isinstance(error, web.HTTPMethodNotAllowed):
         response.headers['Allow'] = ', '.join(sorted(error.allowed_methods))
     return response
--- a/packages/verbenahall/src/verbenahall/front/_connections.py
+++ b/packages/verbenahall/src/verbenahall/front/_connections.py
@@ -15,7 +15,7 @@
 from verbenahall.errors import ErrorKind, Problem
 from verbenahall.front._answers import (
     Handler,
-    answer_problem,
+    build_error_response,
     build_error_body,
     handle_errors,
 )
@@ -34,7 +34,7 @@
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
-class Patience:
+class ReadTimeouts:
     """Read timeouts of caller connections, in seconds.
 
     ``first_request_s`` runs from the start of a connection to its first
@@ -62,7 +62,7 @@
     def __init__(
         self,
         manager: web.Server,
-        read_timeouts: Callable[[], Patience],
+        read_timeouts: Callable[[], ReadTimeouts],
         options: _Options,
     ) -> None:
         """Create a connection; ``options`` are passed to aiohttp."""
@@ -104,7 +104,7 @@
             # Part of a response was sent, and further bytes would be read as
             # its body. Only closing the connection signals the error.
             raise ConnectionError('the response has already started')
-        response = answer_problem(_build_problem(status, exc))
+        response = build_error_response(_build_problem(status, exc))
         response.force_close()
         return response
 
@@ -156,7 +156,7 @@
         self,
         app: web.Application,
         limits: LimitsConfig,
-        read_timeouts: Callable[[], Patience] | None = None,
+        read_timeouts: Callable[[], ReadTimeouts] | None = None,
         **options: Any,
     ) -> None:
         """Store the limits; ``options`` are passed to aiohttp's runner.
@@ -168,7 +168,7 @@
         self._manager: web.Server | None = None
         self._limits = limits
         timeout_s = limits.body_timeout_s
-        fixed = Patience(timeout_s, head_s=timeout_s, idle_s=_KEEPALIVE_S)
+        fixed = ReadTimeouts(timeout_s, head_s=timeout_s, idle_s=_KEEPALIVE_S)
         self._read_timeouts = read_timeouts or (lambda: fixed)
         self._options: _Options = MappingProxyType(
             {
@@ -218,7 +218,7 @@
     expected = request.headers.get('Expect', _CONTINUE)
     if expected.lower() != _CONTINUE:
         message = 'only "Expect: 100-continue" is supported'
-        return answer_problem(Problem(ErrorKind.BAD_REQUEST, message))
+        return build_error_response(Problem(ErrorKind.BAD_REQUEST, message))
     return await handler(request)
 
 
--- a/packages/verbenahall/src/verbenahall/front/_pipeline.py
+++ b/packages/verbenahall/src/verbenahall/front/_pipeline.py
@@ -8,7 +8,7 @@
 from verbenahall import metrics
 from verbenahall.admission import AdmissionController
 from verbenahall.errors import Problem
-from verbenahall.front._answers import REQUEST_ID_HEADER, answer_problem
+from verbenahall.front._answers import REQUEST_ID_HEADER, build_error_response
 from verbenahall.front._attempts import AttemptRunner
 from verbenahall.front._dependencies import FrontDependencies
 from verbenahall.front._fleet import FleetView
@@ -163,4 +163,4 @@
             ran=problem.answer.ran.value,
             message=problem.message,
         )
-        return answer_problem(problem, head.request)
+        return build_error_response(problem, head.request)
--- a/packages/verbenahall/src/verbenahall/front/_shell.py
+++ b/packages/verbenahall/src/verbenahall/front/_shell.py
@@ -10,7 +10,7 @@
 from verbenahall import wire
 from verbenahall.admission import AdmissionController, WorkspaceBounds
 from verbenahall.config import InstanceConfig
-from verbenahall.front._answers import answer_problem
+from verbenahall.front._answers import build_error_response
 from verbenahall.front._attempts import AttemptRunner
 from verbenahall.front._dependencies import FrontDependencies
 from verbenahall.front._fleet import FleetView
@@ -125,7 +125,7 @@
             self._limits.json_depth,
         )
         if isinstance(read, Failure):
-            return answer_problem(read.failure(), head.request)
+            return build_error_response(read.failure(), head.request)
         call = read.unwrap()
         return await self._pipeline.handle(f'model:{call.model}', call, request)
 
@@ -147,5 +147,5 @@
     async def _show_ready(self, request: web.Request) -> web.Response:
         problem = self._dependencies.check_ready()
         if problem:
-            return answer_problem(problem)
+            return build_error_response(problem)
         return web.Response(body=wire.encode({'ready': True}))
--- a/packages/verbenahall/src/verbenahall/gateway/_answers.py
+++ b/packages/verbenahall/src/verbenahall/gateway/_answers.py
@@ -8,7 +8,7 @@
 
 from verbenahall import metrics
 from verbenahall.errors import ErrorKind, Problem, Ran
-from verbenahall.front import answer_problem
+from verbenahall.front import build_error_response
 from verbenahall.gateway._messages import Answered
 from verbenahall.platform import REQUEST_ID
 
@@ -23,7 +23,7 @@
     have run, the status never says that it was refused.
     """
     public = _choose_public_kind(problem)
-    response = answer_problem(public)
+    response = build_error_response(public)
     if request:
         response.headers[REQUEST_ID] = request
     retry_after = public.answer.retry_after_s
--- a/packages/verbenahall/src/verbenahall/gateway/_serve.py
+++ b/packages/verbenahall/src/verbenahall/gateway/_serve.py
@@ -12,7 +12,7 @@
 from verbenahall import journal, metrics
 from verbenahall.authentication import KeyLookups
 from verbenahall.config import LimitsConfig
-from verbenahall.front import Patience, Runner
+from verbenahall.front import ReadTimeouts, Runner
 from verbenahall.gateway._admission import Admissions
 from verbenahall.gateway._beliefs import Beliefs
 from verbenahall.gateway._core import Core
@@ -221,13 +221,15 @@
     return runner
 
 
-def _find_read_timeouts(core: Core) -> Patience:
+def _find_read_timeouts(core: Core) -> ReadTimeouts:
     """Return the read timeouts of the manifest in force."""
     catalog = core.catalog.catalog
     if catalog is None:
-        return Patience(_FIRST_REQUEST_S, _FIRST_REQUEST_S, _FIRST_REQUEST_S)
+        return ReadTimeouts(
+            _FIRST_REQUEST_S, _FIRST_REQUEST_S, _FIRST_REQUEST_S
+        )
     limits = catalog.limits
-    return Patience(
+    return ReadTimeouts(
         first_request_s=max(_FIRST_REQUEST_S, limits.idle_timeout_s),
         head_s=limits.header_timeout_s,
         idle_s=limits.idle_timeout_s,
