--- a/packages/verbenahall/src/verbenahall/claims/_decisions.py
+++ b/packages/verbenahall/src/verbenahall/claims/_decisions.py
@@ -13,7 +13,7 @@
 _ENCODING: Final = ('utf-8', 'surrogatepass')
 
 
-def name_key(workspace: str, key: str) -> str:
+def hash_key(workspace: str, key: str) -> str:
     """Return the name of a caller's key in the log.
 
     It is a digest of the workspace and the key. All names have the same
--- a/packages/verbenahall/src/verbenahall/claims/_shell.py
+++ b/packages/verbenahall/src/verbenahall/claims/_shell.py
@@ -74,7 +74,7 @@
         with ``DUPLICATE``. If the log cannot decide in time, the claim fails
         with ``LOG_UNAVAILABLE``, and nothing has run.
         """
-        name = decisions.name_key(workspace, key)
+        name = decisions.hash_key(workspace, key)
         result = await self._decide(name)
         journal.write_decision(
             'claim',
@@ -93,7 +93,7 @@
         """
         decisions.release(
             self.state,
-            decisions.name_key(workspace, key),
+            decisions.hash_key(workspace, key),
             offset,
         )
         self.batcher.wake()
--- a/packages/verbenahall/tests/claims/test_claims.py
+++ b/packages/verbenahall/tests/claims/test_claims.py
@@ -219,10 +219,10 @@
 def test_names_of_keys():
     """Other pairs of workspace and key must not lead to an equal name."""
     pairs = [('a', 'bc'), ('ab', 'c'), ('a:b', 'c'), ('a', 'b:c'), ('', 'abc')]
-    named = {decisions.name_key(*pair) for pair in pairs}
+    named = {decisions.hash_key(*pair) for pair in pairs}
 
     assert len(named) == len(pairs)
-    assert len(decisions.name_key('w' * 256, 'k' * 9999)) == 32
+    assert len(decisions.hash_key('w' * 256, 'k' * 9999)) == 32
 
 
 def test_snapshot_carries_claims():
