--- a/packages/verbenahall/src/verbenahall/gateway/__main__.py
+++ b/packages/verbenahall/src/verbenahall/gateway/__main__.py
@@ -13,7 +13,7 @@
     """Serve, or print the faults of the settings and return 1."""
     match read_settings(find_settings_path(os.environ)):
         case Success(settings):
-            journal.start_stdout()
+            journal.log_to_stdout()
             gateway.serve(settings)
             return 0
         case Failure(faults):
--- a/packages/verbenahall/src/verbenahall/gateway/_assignments.py
+++ b/packages/verbenahall/src/verbenahall/gateway/_assignments.py
@@ -224,7 +224,7 @@
             scheduler=scheduler,
             group=group_request.group,
             outcome=type(answer).__name__ if answer else 'silent',
-            waited_s=journal.round_seconds(waited_s),
+            waited_s=journal.round_to_ms(waited_s),
         )
 
     def _find_address(self, scheduler: str) -> str:
--- a/packages/verbenahall/src/verbenahall/gateway/_attempts.py
+++ b/packages/verbenahall/src/verbenahall/gateway/_attempts.py
@@ -115,7 +115,7 @@
             attempts=self.begun,
             runs=self.runs,
             begun=delivered,
-            took_s=journal.round_seconds(self._core.now() - call.received),
+            took_s=journal.round_to_ms(self._core.now() - call.received),
         )
         return build_problem_response(problem, call.ask.identity)
 
--- a/packages/verbenahall/src/verbenahall/gateway/_crash_reports.py
+++ b/packages/verbenahall/src/verbenahall/gateway/_crash_reports.py
@@ -120,7 +120,7 @@
             crashes=suspect.crash_count,
             endpoints=sorted(suspect.crashes),
             source=source,
-            for_s=journal.round_seconds(left_s),
+            for_s=journal.round_to_ms(left_s),
         )
 
     def _broadcast(self, report: quarantine.CrashReport) -> None:
--- a/packages/verbenahall/src/verbenahall/gateway/_following.py
+++ b/packages/verbenahall/src/verbenahall/gateway/_following.py
@@ -79,7 +79,7 @@
                     routes=sum(map(len, catalog.routes.values())),
                     in_force=adopted,
                     source=received.source,
-                    age_s=journal.round_seconds(received.age_s),
+                    age_s=journal.round_to_ms(received.age_s),
                 )
             case Failure(problem):
                 journal.write_decision(
@@ -113,7 +113,7 @@
                     change=entry.change,
                     taken=taken,
                     source=received.source,
-                    age_s=journal.round_seconds(received.age_s),
+                    age_s=journal.round_to_ms(received.age_s),
                 )
             case _:
                 _log_unreadable(record.key)
@@ -128,8 +128,8 @@
             'endpoint_gone' if gone else 'endpoint_lapsed',
             endpoint=name,
             source=received.source,
-            age_s=journal.round_seconds(received.age_s),
-            used_for_s=journal.round_seconds(seat.until - now) if seat else 0,
+            age_s=journal.round_to_ms(received.age_s),
+            used_for_s=journal.round_to_ms(seat.until - now) if seat else 0,
         )
 
     def _apply_entries(
--- a/packages/verbenahall/src/verbenahall/gateway/_generation.py
+++ b/packages/verbenahall/src/verbenahall/gateway/_generation.py
@@ -192,11 +192,11 @@
             request=call.ask.identity,
             engine=plan.generator.name,
             events=timing.events,
-            first_s=journal.round_seconds(
+            first_s=journal.round_to_ms(
                 (timing.first_at or now) - self._sent_at
             ),
-            since_s=journal.round_seconds(
+            since_s=journal.round_to_ms(
                 (timing.first_at or now) - call.received,
             ),
-            took_s=journal.round_seconds(now - self._sent_at),
+            took_s=journal.round_to_ms(now - self._sent_at),
         )
--- a/packages/verbenahall/src/verbenahall/gateway/_ingress.py
+++ b/packages/verbenahall/src/verbenahall/gateway/_ingress.py
@@ -100,9 +100,9 @@
             workspace=call.workspace.name if call.workspace else None,
             service=call.service.name,
             version=call.version,
-            belief_s=journal.round_seconds(belief_s),
-            left_s=journal.round_seconds(call.left_s(call.received)),
-            waited_s=journal.round_seconds(call.waited_s),
+            belief_s=journal.round_to_ms(belief_s),
+            left_s=journal.round_to_ms(call.left_s(call.received)),
+            waited_s=journal.round_to_ms(call.waited_s),
             objective_s=call.route.objective_s,
             prompt=call.ask.work.prompt_tokens,
             output=call.ask.work.output_tokens,
@@ -113,7 +113,7 @@
             'answered',
             request=call.ask.identity,
             outcome=outcome,
-            took_s=journal.round_seconds(self._core.now() - call.received),
+            took_s=journal.round_to_ms(self._core.now() - call.received),
         )
         metrics.REQUESTS.add(str(call.priority), outcome)
 
--- a/packages/verbenahall/src/verbenahall/gateway/_prefill_queues.py
+++ b/packages/verbenahall/src/verbenahall/gateway/_prefill_queues.py
@@ -173,6 +173,6 @@
             waiting=len(queue.waiting),
             late=pending.is_late(now),
             returning=pending.returning,
-            lead_s=journal.round_seconds(pending.lead_s),
-            due_s=journal.round_seconds(pending.due_at - now),
+            lead_s=journal.round_to_ms(pending.lead_s),
+            due_s=journal.round_to_ms(pending.due_at - now),
         )
--- a/packages/verbenahall/src/verbenahall/gateway/_reads.py
+++ b/packages/verbenahall/src/verbenahall/gateway/_reads.py
@@ -117,7 +117,7 @@
             missing=plan.missing,
             kept=cached_tokens,
             ahead=tokens_ahead,
-            took_s=journal.round_seconds(seconds),
+            took_s=journal.round_to_ms(seconds),
         )
         metrics.READ_SECONDS.observe(seconds)
         metrics.READ_TOKENS.add('missing', count=plan.missing)
--- a/packages/verbenahall/src/verbenahall/gateway/_sender.py
+++ b/packages/verbenahall/src/verbenahall/gateway/_sender.py
@@ -262,9 +262,9 @@
             request=call.ask.identity,
             endpoint=endpoint.name,
             prefill=order.read_only,
-            age_s=journal.round_seconds(age_s),
+            age_s=journal.round_to_ms(age_s),
             listed=seat is not None and seat.until == float('inf'),
-            left_s=journal.round_seconds(call.left_s(now)),
+            left_s=journal.round_to_ms(call.left_s(now)),
         )
 
     async def _wait_until(
--- a/packages/verbenahall/src/verbenahall/gateway/_streams.py
+++ b/packages/verbenahall/src/verbenahall/gateway/_streams.py
@@ -277,7 +277,7 @@
             reader=plan.reader.name if plan.reader else None,
             generator=plan.generator.name,
             missing=plan.missing,
-            wait_s=journal.round_seconds(plan.wait_s),
+            wait_s=journal.round_to_ms(plan.wait_s),
             reason=plan.reason,
             attempt=self._attempts.begun + 1,
         )
--- a/packages/verbenahall/src/verbenahall/journal.py
+++ b/packages/verbenahall/src/verbenahall/journal.py
@@ -42,7 +42,7 @@
 _sinks: Final[list[lines.LineSink]] = []
 
 
-def start_stdout() -> None:
+def log_to_stdout() -> None:
     """Write decisions to standard output without blocking."""
     _sinks.append(lines.open_stdout())
 
@@ -71,7 +71,7 @@
     logger.handle(record)
 
 
-def round_seconds(seconds: float) -> float:
+def round_to_ms(seconds: float) -> float:
     """Round seconds to thousandths, as log lines show them."""
     return round(seconds, _TIME_DIGITS)
 
--- a/packages/verbenahall/src/verbenahall/peers/_arrivals.py
+++ b/packages/verbenahall/src/verbenahall/peers/_arrivals.py
@@ -32,7 +32,7 @@
         """Record a tick, and log a stall if it is late."""
         late_s = now - self._ticked_at - self._interval_s
         if _STALL_S < late_s < float('inf'):
-            late_s = journal.round_seconds(late_s)
+            late_s = journal.round_to_ms(late_s)
             journal.write_decision('stalled', late_s=late_s)
         self._received_after = self._ticked_at
         self._ticked_at = now
