--- a/packages/verbenahall/src/verbenahall/gateway/_answers.py
+++ b/packages/verbenahall/src/verbenahall/gateway/_answers.py
@@ -35,7 +35,7 @@
         )
     else:
         response.headers.popall('Retry-After', None)
-    metrics.GIVEN_UP.add(public.kind.value, public.answer.ran.value)
+    metrics.FAILED_REQUESTS.add(public.kind.value, public.answer.ran.value)
     return response
 
 
--- a/packages/verbenahall/src/verbenahall/gateway/_ingress.py
+++ b/packages/verbenahall/src/verbenahall/gateway/_ingress.py
@@ -91,7 +91,7 @@
 
     def _log_accepted(self, call: Call) -> None:
         belief_s = self._core.find_age(call.received)
-        metrics.BELIEF_AGE_SECONDS.observe(belief_s)
+        metrics.FLEET_STATE_AGE_SECONDS.observe(belief_s)
         journal.write_decision(
             'accepted',
             request=call.ask.identity,
--- a/packages/verbenahall/src/verbenahall/gateway/_reads.py
+++ b/packages/verbenahall/src/verbenahall/gateway/_reads.py
@@ -119,9 +119,9 @@
             ahead=tokens_ahead,
             took_s=journal.round_to_ms(seconds),
         )
-        metrics.READ_SECONDS.observe(seconds)
-        metrics.READ_TOKENS.add('missing', count=plan.missing)
-        metrics.READ_TOKENS.add('kept', count=cached_tokens)
+        metrics.PREFILL_SECONDS.observe(seconds)
+        metrics.PREFILL_TOKENS.add('missing', count=plan.missing)
+        metrics.PREFILL_TOKENS.add('kept', count=cached_tokens)
         self._core.placement.note_kept(
             prefill_engine, call.ask.work, call.service
         )
--- a/packages/verbenahall/src/verbenahall/gateway/_sender.py
+++ b/packages/verbenahall/src/verbenahall/gateway/_sender.py
@@ -255,7 +255,7 @@
         now = core.now()
         age_s = core.freshness[ENDPOINTS_TOPIC].find_age(now)
         seat = core.roster.seats.get(endpoint.name)
-        metrics.LEFT_SECONDS.observe(call.left_s(now))
+        metrics.REMAINING_SECONDS.observe(call.left_s(now))
         metrics.LIST_AGE_SECONDS.observe(age_s)
         journal.write_decision(
             'sent',
--- a/packages/verbenahall/src/verbenahall/metrics.py
+++ b/packages/verbenahall/src/verbenahall/metrics.py
@@ -137,18 +137,18 @@
     'verbenahall_token_gap_seconds',
     'Time between two reads of a stream that brought tokens.',
 )
-GIVEN_UP: Final = BufferedCounter(
+FAILED_REQUESTS: Final = BufferedCounter(
     'verbenahall_given_up_total',
     'Requests that got no answer of an endpoint, by kind and what ran.',
     'kind',
     'ran',
 )
-READ_TOKENS: Final = BufferedCounter(
+PREFILL_TOKENS: Final = BufferedCounter(
     'verbenahall_read_tokens_total',
     'Prompt tokens of reads, by what was expected: missing or kept.',
     'expected',
 )
-READ_SECONDS: Final = BufferedHistogram(
+PREFILL_SECONDS: Final = BufferedHistogram(
     'verbenahall_read_seconds',
     'Time from the send of a read to its handle.',
 )
@@ -157,7 +157,7 @@
     'Sends of requests, by what the request had of them when it ended.',
     'sends',
 )
-LEFT_SECONDS: Final = BufferedHistogram(
+REMAINING_SECONDS: Final = BufferedHistogram(
     'verbenahall_send_left_seconds',
     'Time that is left of a request at each send of it.',
 )
@@ -165,7 +165,7 @@
     'verbenahall_send_list_age_seconds',
     'Time at a send since the store held nothing newer of the endpoints.',
 )
-BELIEF_AGE_SECONDS: Final = BufferedHistogram(
+FLEET_STATE_AGE_SECONDS: Final = BufferedHistogram(
     'verbenahall_belief_age_seconds',
     'Time since the store confirmed what a request is routed by.',
 )
