--- a/packages/verbenahall/tests/requests/test_decisions.py
+++ b/packages/verbenahall/tests/requests/test_decisions.py
@@ -149,7 +149,9 @@
     attempt of the old process must not match that of the new one.
     """
     first, second = AttemptIds('i1.aa'), AttemptIds('i1.bb')
-    ids = [names.next_id() for names in (first, second) for _ in range(99)]
+    ids = [
+        generator.next_id() for generator in (first, second) for _ in range(99)
+    ]
     assert len(set(ids)) == len(ids)
 
 
