--- a/packages/standins/src/verbenahall_standins/capacity/_fleet.py
+++ b/packages/standins/src/verbenahall_standins/capacity/_fleet.py
@@ -10,20 +10,25 @@
     Endpoint,
     EndpointKind,
     Role,
-    Standing,
+    EndpointStatus,
     Target,
 )
-from verbenahall.load import LoadState, Report, observe_report
+from verbenahall.load import LoadState, Report, record_report
 from verbenahall.membership import (
     ListEntry,
     MembershipState,
-    StandingChange,
-    all_endpoints,
+    StatusChange,
+    list_endpoints,
     apply_list,
-    standing_of,
+    get_status,
 )
 from verbenahall.rollout import EngineView, plan
-from verbenahall.routing import Candidate, Question, RoutingState, choose
+from verbenahall.routing import (
+    Candidate,
+    RoutingRequest,
+    RoutingState,
+    choose_endpoint,
+)
 from verbenahall.settings import (
     EffectiveSettings,
     ModelSettings,
@@ -85,9 +90,11 @@
         functools.partial(_record_reports, load, candidates)
     )
     state = RoutingState('entry', 'aber', random.Random(1))
-    question = Question('r', _PROMPT_TOKENS, _OUTPUT_TOKENS)
+    routing_request = RoutingRequest('r', _PROMPT_TOKENS, _OUTPUT_TOKENS)
     spent_us = time_us(
-        functools.partial(choose, state, question, candidates, load, 1),
+        functools.partial(
+            choose_endpoint, state, routing_request, candidates, load, 1
+        ),
     )
     return size, (used_bytes, spent_us)
 
@@ -116,10 +123,10 @@
     return Series('standings of a step (us)', 'endpoints', points)
 
 
-def _list_statuses(state: MembershipState) -> list[Standing]:
+def _list_statuses(state: MembershipState) -> list[EndpointStatus]:
     return [
-        standing_of(state, endpoint.name, 1)
-        for endpoint in all_endpoints(state)
+        get_status(state, endpoint.name, 1)
+        for endpoint in list_endpoints(state)
     ]
 
 
@@ -154,8 +161,8 @@
 def _record_reports(load: LoadState, candidates: list[Candidate]) -> None:
     for candidate in candidates:
         report = Report(running=3, queued=0, kv_free_share=1)
-        observe_report(load, candidate.endpoint.name, report, 0)
+        record_report(load, candidate.endpoint.name, report, 0)
 
 
-def _ignore(change: StandingChange) -> None:
+def _ignore(change: StatusChange) -> None:
     """Write no decision line, so that only the state change is measured."""
--- a/packages/standins/src/verbenahall_standins/control_bytes.py
+++ b/packages/standins/src/verbenahall_standins/control_bytes.py
@@ -19,7 +19,7 @@
 from verbenahall.membership import (
     ListEntry,
     MembershipState,
-    OwnReport,
+    InstanceStatus,
     PeerExchange,
     apply_list,
 )
@@ -124,8 +124,8 @@
     """Write no decision lines while measuring."""
 
 
-def _get_status() -> OwnReport:
-    return OwnReport(ready=True, position=_POSITION)
+def _get_status() -> InstanceStatus:
+    return InstanceStatus(ready=True, position=_POSITION)
 
 
 async def measure(count: int, period_s: float, seconds: float) -> None:
--- a/packages/standins/src/verbenahall_standins/explorer/_rules.py
+++ b/packages/standins/src/verbenahall_standins/explorer/_rules.py
@@ -10,7 +10,7 @@
 
 from verbenahall.authority import (
     AuthorityState,
-    Candidacy,
+    LeaseCandidate,
     apply_record,
     find_token,
 )
@@ -18,21 +18,21 @@
 from verbenahall.records import AUTHORITY_STREAM, Record
 from verbenahall_standins.explorer._timing import LEASE, SCOPE
 
-FindToken = Callable[[AuthorityState, Candidacy, int], int | None]
+FindToken = Callable[[AuthorityState, LeaseCandidate, int], int | None]
 ApplyRecord = Callable[[AuthorityState, Record, int], bool]
 
 
 def _find_token(
     state: AuthorityState,
-    candidacy: Candidacy,
+    candidate: LeaseCandidate,
     now: int,
 ) -> int | None:
-    return find_token(state, candidacy, LEASE, now)
+    return find_token(state, candidate, LEASE, now)
 
 
 def _find_token_unchecked(
     state: AuthorityState,
-    candidacy: Candidacy,
+    candidate: LeaseCandidate,
     now: int,
 ) -> int | None:
     """Return the token if the log as read names this process as the holder.
@@ -40,7 +40,7 @@
     The end of the lease is not checked.
     """
     grant = state.find_grant(SCOPE)
-    if grant.holder != candidacy.holder:
+    if grant.holder != candidate.holder:
         return None
     return grant.token or None
 
@@ -62,8 +62,8 @@
 
 def _open_gates(dispatch: Dispatch) -> None:
     """Mark each engine as read back, without a wait."""
-    for track in dispatch.tracks.values():
-        track.cleared = True
+    for engine_sends in dispatch.sends.values():
+        engine_sends.cleared = True
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
--- a/packages/standins/src/verbenahall_standins/explorer/_search.py
+++ b/packages/standins/src/verbenahall_standins/explorer/_search.py
@@ -30,7 +30,7 @@
 def find_duplicate_lease(state: SystemState) -> str | None:
     """Return a message if both instances hold the lease, else None."""
     tokens = [
-        find_token(instance.authority, instance.candidacy, LEASE, state.now)
+        find_token(instance.authority, instance.candidate, LEASE, state.now)
         for instance in state.instances
     ]
     if all(token is not None for token in tokens):
@@ -69,8 +69,8 @@
 
 
 def _has_read_back(instance: Instance) -> bool:
-    track = instance.dispatch.tracks.get('engine')
-    return track is not None and track.cleared
+    engine_sends = instance.dispatch.sends.get('engine')
+    return engine_sends is not None and engine_sends.cleared
 
 
 def explore(state: SystemState, bounds: Bounds, rules: Rules) -> Report:
--- a/packages/standins/src/verbenahall_standins/explorer/_state.py
+++ b/packages/standins/src/verbenahall_standins/explorer/_state.py
@@ -3,13 +3,13 @@
 import dataclasses
 from typing import Any, Final
 
-from verbenahall.authority import AuthorityState, Candidacy
+from verbenahall.authority import AuthorityState, LeaseCandidate
 from verbenahall.fleet import Endpoint, EndpointKind, Role, Target
 from verbenahall.orders import (
     Dispatch,
     Order,
     OrdersState,
-    Track,
+    EngineSends,
 )
 from verbenahall.records import Record
 from verbenahall_standins.explorer._timing import ORDERS, SCOPE
@@ -85,7 +85,7 @@
 
     __slots__ = (
         'authority',
-        'candidacy',
+        'candidate',
         'dispatch',
         'checked_orders',
         'orders',
@@ -95,7 +95,7 @@
     def __init__(self, name: str) -> None:
         """Start with nothing read and nothing sent."""
         self.authority = AuthorityState()
-        self.candidacy = Candidacy(SCOPE, name, 0)
+        self.candidate = LeaseCandidate(SCOPE, name, 0)
         self.orders = OrdersState(self.authority)
         self.dispatch = Dispatch(ORDERS)
         self.checked_orders: tuple[CheckedOrder, ...] = ()
@@ -160,26 +160,28 @@
 
 def copy_instance(instance: Instance) -> Instance:
     """Return a copy that can change independently."""
-    clone = Instance(instance.candidacy.holder)
+    clone = Instance(instance.candidate.holder)
     clone.checked_orders = instance.checked_orders
     clone.batch_count = instance.batch_count
     clone.authority.grants = dict(instance.authority.grants)
-    clone.authority.heard = dict(instance.authority.heard)
+    clone.authority.read_at = dict(instance.authority.read_at)
     clone.authority.position = instance.authority.position
-    clone.candidacy.sent = dict(instance.candidacy.sent)
-    clone.candidacy.tried_at = instance.candidacy.tried_at
+    clone.candidate.sent = dict(instance.candidate.sent)
+    clone.candidate.last_append_at = instance.candidate.last_append_at
     clone.orders.orders = dict(instance.orders.orders)
-    unsettled = instance.orders.unsettled
-    clone.orders.unsettled = {SCOPE: dict(unsettled.get(SCOPE, {}))}
+    outstanding_orders = instance.orders.outstanding_orders
+    clone.orders.outstanding_orders = {
+        SCOPE: dict(outstanding_orders.get(SCOPE, {}))
+    }
     clone.orders.reports = dict(instance.orders.reports)
     clone.orders.reported_at = dict(instance.orders.reported_at)
     clone.orders.position = instance.orders.position
     clone.dispatch.grant = instance.dispatch.grant
     clone.dispatch.granted_at = instance.dispatch.granted_at
-    for name, track in instance.dispatch.tracks.items():
-        copied = clone.dispatch.find_track(name)
-        for field in track.__slots__:
-            setattr(copied, field, getattr(track, field))
+    for name, engine_sends in instance.dispatch.sends.items():
+        copied = clone.dispatch.find_sends(name)
+        for field in engine_sends.__slots__:
+            setattr(copied, field, getattr(engine_sends, field))
     return clone
 
 
@@ -209,11 +211,11 @@
 
 def _key_instance(instance: Instance, now: int) -> tuple[Any, ...]:
     grant = instance.authority.find_grant(SCOPE)
-    sent = instance.candidacy.sent
-    tracks = instance.dispatch.tracks
+    sent = instance.candidate.sent
+    sends = instance.dispatch.sends
     progress = (instance.position, grant.last, instance.batch_count)
     ages = (
-        _age(instance.authority.heard.get(SCOPE), now, _MAX_LEASE_AGE),
+        _age(instance.authority.read_at.get(SCOPE), now, _MAX_LEASE_AGE),
         _age(sent.get(grant.after), now, _MAX_LEASE_AGE),
         _age(sent.get(grant.last), now, _MAX_LEASE_AGE),
         _age(instance.dispatch.granted_at, now, _MAX_GATE_AGE),
@@ -223,17 +225,19 @@
         for checked in instance.checked_orders
     )
     token = instance.dispatch.grant and instance.dispatch.grant.token
-    sending = tuple(_key_track(track, now) for track in tracks.values())
+    sending = tuple(
+        _key_sends(engine_sends, now) for engine_sends in sends.values()
+    )
     return progress, ages, checked_orders, token, sending
 
 
-def _key_track(track: Track, now: int) -> tuple[Any, ...]:
+def _key_sends(engine_sends: EngineSends, now: int) -> tuple[Any, ...]:
     return (
-        track.sending,
-        track.cleared,
-        _age(track.read_back, now, 1),
-        track.doubt,
-        _age(track.doubt_at, now, 2),
+        engine_sends.sending,
+        engine_sends.cleared,
+        _age(engine_sends.read_back, now, 1),
+        engine_sends.unanswered,
+        _age(engine_sends.unanswered_at, now, 2),
     )
 
 
--- a/packages/standins/src/verbenahall_standins/explorer/_steps.py
+++ b/packages/standins/src/verbenahall_standins/explorer/_steps.py
@@ -66,11 +66,11 @@
     remaining = tuple(other for other in state.messages if other is not message)
     resolved = dataclasses.replace(state, messages=remaining)
     updated = copy_instance(resolved.instances[message.sender])
-    orders.note_outcome(updated.dispatch, message.order, outcome, state.now)
+    orders.record_outcome(updated.dispatch, message.order, outcome, state.now)
     # The pauses between tries grow beyond one tick and would exclude
     # schedules from the exploration.
-    track = updated.dispatch.find_track(message.order.engine)
-    track.retry_at = -float('inf')
+    engine_sends = updated.dispatch.find_sends(message.order.engine)
+    engine_sends.retry_at = -float('inf')
     return replace_instance(resolved, message.sender, updated)
 
 
--- a/packages/standins/src/verbenahall_standins/explorer/_transitions.py
+++ b/packages/standins/src/verbenahall_standins/explorer/_transitions.py
@@ -10,7 +10,7 @@
     Renew,
     choose_step,
     encode_step,
-    note_sent,
+    record_sent,
 )
 from verbenahall.fleet import Role, Target
 from verbenahall.records import AUTHORITY_STREAM, ORDERS_STREAM, Record
@@ -105,15 +105,15 @@
             replace_instance(state, index, updated),
         )
     updated = copy_instance(instance)
-    step = choose_step(updated.authority, updated.candidacy, LEASE, state.now)
+    step = choose_step(updated.authority, updated.candidate, LEASE, state.now)
     if isinstance(step, Claim | Renew):
-        note_sent(updated.candidacy, step.after, state.now)
-        holder = updated.candidacy.holder
+        record_sent(updated.candidate, step.after, state.now)
+        holder = updated.candidate.holder
         body = encode_step(step, SCOPE, holder, LEASE.lease_s)
         append = Append(index, AUTHORITY_STREAM, body, f'{step}')
         # Safety does not depend on the pause between tries, and a second
         # copy of a pending append would change nothing.
-        updated.candidacy.tried_at = -float('inf')
+        updated.candidate.last_append_at = -float('inf')
         if append not in state.appends and is_effective(
             state.log, append, rules
         ):
@@ -131,15 +131,15 @@
     for checked in instance.checked_orders:
         yield _send_order(state, index, checked)
     token = rules.find_held_token(
-        instance.authority, instance.candidacy, state.now
+        instance.authority, instance.candidate, state.now
     )
     if token is None:
         return
     leader = copy_instance(instance)
     grant = leader.authority.find_grant(SCOPE)
-    orders.take_over(leader.dispatch, grant, state.now)
+    orders.update_grant(leader.dispatch, grant, state.now)
     for engine in state.engines:
-        leader.dispatch.find_track(engine.endpoint.name)
+        leader.dispatch.find_sends(engine.endpoint.name)
     rules.adjust_gates(leader.dispatch)
     if not leader.batch_count:
         yield _append_orders(state, bounds, index, leader, token)
@@ -156,15 +156,15 @@
 ) -> Iterator[Transition]:
     name = engine.endpoint.name
     polled = copy_instance(leader)
-    orders.observe_report(polled.orders, build_report(engine), state.now)
+    orders.record_report(polled.orders, build_report(engine), state.now)
     orders.is_cleared(polled.dispatch, polled.orders, engine.endpoint)
-    if leader.dispatch.find_track(name).cleared:
+    if leader.dispatch.find_sends(name).cleared:
         polled = leader
     else:
         yield f'{index} polls {name}', replace_instance(state, index, polled)
-    for order in orders.outstanding(polled.orders, SCOPE):
+    for order in orders.list_outstanding(polled.orders, SCOPE):
         updated = copy_instance(polled)
-        orders.observe_report(updated.orders, build_report(engine), state.now)
+        orders.record_report(updated.orders, build_report(engine), state.now)
         if order.engine == name and orders.may_send(
             updated.dispatch,
             updated.orders,
@@ -172,7 +172,7 @@
             engine.endpoint,
             state.now,
         ):
-            orders.note_sending(updated.dispatch, order)
+            orders.record_sending(updated.dispatch, order)
             updated.checked_orders = (
                 *updated.checked_orders,
                 CheckedOrder(order, token, state.now),
--- a/packages/standins/src/verbenahall_standins/holder.py
+++ b/packages/standins/src/verbenahall_standins/holder.py
@@ -19,9 +19,9 @@
 import uvloop
 
 from verbenahall import clock
-from verbenahall.authority import AuthorityState, LeaseKeeper, LeaseTiming
+from verbenahall.authority import AuthorityState, LeaseManager, LeaseTiming
 from verbenahall.authority import apply_record as apply_authority
-from verbenahall.fleet import Endpoint, EndpointKind, Role, Standing
+from verbenahall.fleet import Endpoint, EndpointKind, Role, EndpointStatus
 from verbenahall.log import LogClient, LogFollower
 from verbenahall.orders import Dispatch, OrderSender, OrdersState, OrderTiming
 from verbenahall.orders import apply_record as apply_orders
@@ -97,9 +97,11 @@
         """Return the effective settings."""
         return self._settings
 
-    def list_engines(self, now: float) -> Sequence[tuple[Endpoint, Standing]]:
+    def list_engines(
+        self, now: float
+    ) -> Sequence[tuple[Endpoint, EndpointStatus]]:
         """Return the engine, always as live."""
-        return ((self._endpoint, Standing.LIVE),)
+        return ((self._endpoint, EndpointStatus.LIVE),)
 
     def read_roles(self) -> Mapping[str, Role]:
         """Return no role assignments."""
@@ -120,7 +122,7 @@
         self._authority = AuthorityState()
         self._orders = OrdersState(self._authority)
         self._follower = LogFollower(client, (self._apply_record,))
-        self._keeper = LeaseKeeper(
+        self._lease_manager = LeaseManager(
             self._authority,
             client,
             _SCOPE,
@@ -131,7 +133,7 @@
         self._controller = Controller(
             SingleEngineDependencies(options),
             self._orders,
-            self._keeper,
+            self._lease_manager,
             client,
             OrderSender(
                 self._get_held_token, timing, SelfStoppingClock(options.stop)
@@ -145,7 +147,7 @@
         sys.stdout.flush()
         await asyncio.gather(
             self._follower.run(),
-            self._keeper.run(),
+            self._lease_manager.run(),
             self._controller.run(),
         )
 
@@ -158,7 +160,7 @@
         return 0 <= head <= self._follower.position
 
     def _get_held_token(self, now: float) -> int | None:
-        return self._keeper.held(_SCOPE, now)
+        return self._lease_manager.find_token(_SCOPE, now)
 
 
 async def run(options: argparse.Namespace) -> None:
--- a/packages/standins/src/verbenahall_standins/product_policy.py
+++ b/packages/standins/src/verbenahall_standins/product_policy.py
@@ -14,9 +14,9 @@
 from verbenahall.load import (
     LoadState,
     Report,
-    note_finished,
-    note_sent,
-    observe_report,
+    record_finished,
+    record_sent,
+    record_report,
 )
 from verbenahall_standins.simulation import (
     INSTANCES_PER_DATA_CENTRE,
@@ -68,16 +68,16 @@
         now: float,
     ) -> str:
         """Choose an engine as the instance does for a request."""
-        question = routing.Question(
+        routing_request = routing.RoutingRequest(
             str(arrival.number),
             arrival.prompt,
             arrival.output,
         )
         state = self._loads[instance]
         router = self._routers[instance]
-        choice = routing.choose(
+        choice = routing.choose_endpoint(
             router,
-            question,
+            routing_request,
             [_describe(engine) for engine in engines],
             state,
             now,
@@ -85,9 +85,9 @@
         name = choice.endpoint.name
         work = arrival.prompt / _TYPICAL_PROMPT
         work += arrival.output / _TYPICAL_OUTPUT
-        note_sent(state, name, question.request, work, now)
+        record_sent(state, name, routing_request.request, work, now)
         demand = self._demands[router.data_centre]
-        roles.note_arrival(demand, arrival.prompt, arrival.output, now)
+        roles.record_arrival(demand, arrival.prompt, arrival.output, now)
         return name
 
     def handle_finished(
@@ -96,14 +96,14 @@
         """Record the end of the request in the load of its engine."""
         identity = str(outcome.arrival.number)
         state = self._loads[instance]
-        note_finished(state, outcome.engine, identity, now)
+        record_finished(state, outcome.engine, identity, now)
 
     def handle_reports(self, loads: Loads, now: float) -> None:
         """Record the reports at every instance."""
         for name, (running, queued) in loads.items():
             found = Report(running, queued)
             for state in self._loads:
-                observe_report(state, name, found, now)
+                record_report(state, name, found, now)
 
     def plan(
         self,
@@ -129,7 +129,7 @@
     ) -> Mapping[str, Role]:
         seen = roles.Observation(
             pool=data_centre,
-            demand=roles.read_demand(self._demands[data_centre], now),
+            demand=roles.estimate_demand(self._demands[data_centre], now),
             engines=tuple(map(_observe, engines)),
             goodput_weight=self._workload.goodput_weight,
             change_weight=self._workload.change_weight,
@@ -143,9 +143,9 @@
         return plan.roles
 
 
-def _observe(engine: Engine) -> roles.EngineNow:
+def _observe(engine: Engine) -> roles.EngineStatus:
     role = engine.next_role or engine.batch.role
-    return roles.EngineNow(engine.name, role, engine.batch.running)
+    return roles.EngineStatus(engine.name, role, engine.batch.running)
 
 
 def _describe(engine: Engine) -> routing.Candidate:
--- a/packages/verbenahall/src/verbenahall/authority/__init__.py
+++ b/packages/verbenahall/src/verbenahall/authority/__init__.py
@@ -1,12 +1,12 @@
 """Leases on scopes and their fencing tokens, folded from the log."""
 
 from verbenahall.authority._decisions import (
-    Candidacy,
+    LeaseCandidate,
     choose_step,
     find_claim_time,
     find_deadline,
     find_token,
-    note_sent,
+    record_sent,
 )
 from verbenahall.authority._messages import (
     Claim,
@@ -17,7 +17,7 @@
     Renew,
     encode_step,
 )
-from verbenahall.authority._shell import LeaseKeeper
+from verbenahall.authority._shell import LeaseManager
 from verbenahall.authority._state import (
     AuthorityState,
     apply_record,
@@ -28,11 +28,11 @@
 
 __all__ = (
     'AuthorityState',
-    'Candidacy',
+    'LeaseCandidate',
     'Claim',
     'Grant',
     'Idle',
-    'LeaseKeeper',
+    'LeaseManager',
     'LeaseTiming',
     'Release',
     'Renew',
@@ -44,6 +44,6 @@
     'find_claim_time',
     'find_deadline',
     'find_token',
-    'note_sent',
+    'record_sent',
     'restore_state',
 )
--- a/packages/verbenahall/src/verbenahall/front/_attempts.py
+++ b/packages/verbenahall/src/verbenahall/front/_attempts.py
@@ -8,7 +8,7 @@
 from verbenahall import metrics
 from verbenahall.admission import FLAG_PRIORITY
 from verbenahall.errors import Problem, Ran
-from verbenahall.fleet import Endpoint, Standing
+from verbenahall.fleet import Endpoint, EndpointStatus
 from verbenahall.front._dependencies import FrontDependencies
 from verbenahall.front._feedback import may_still_run, record_outcome
 from verbenahall.front._messages import Call
@@ -20,16 +20,16 @@
     Sent,
     estimate_work,
 )
-from verbenahall.load import note_finished, note_sent
+from verbenahall.load import record_finished, record_sent
 from verbenahall.requests import (
     Broken,
-    Facts,
+    RetryContext,
     GiveUp,
     Outcome,
     Retry,
     RetryBudget,
     TimedOut,
-    decide_next,
+    decide_retry,
 )
 
 
@@ -54,7 +54,7 @@
         sender: Sender[Sent],
     ) -> Result[Sent, Problem]:
         """Run attempts until one succeeds or no further attempt is allowed."""
-        self._budget.earn()
+        self._budget.record_request()
         result = await self._run(progress, sender)
         if isinstance(result, Failure):
             self._release_claim(progress, result.failure())
@@ -72,7 +72,7 @@
         for endpoint, limit in tuple(self._open.values()):
             if (
                 self._dependencies.find_status(endpoint.name, now)
-                is Standing.SILENT
+                is EndpointStatus.SILENT
             ):
                 limit.reschedule(loop.time())
 
@@ -149,7 +149,7 @@
         timeout: asyncio.Timeout,
     ) -> None:
         self._open[placed.attempt] = (placed.endpoint, timeout)
-        note_sent(
+        record_sent(
             self._dependencies.load,
             placed.endpoint.name,
             placed.attempt,
@@ -159,7 +159,7 @@
 
     def _record_closed(self, placed: PlacedAttempt) -> None:
         self._open.pop(placed.attempt)
-        note_finished(
+        record_finished(
             self._dependencies.load,
             placed.endpoint.name,
             placed.attempt,
@@ -174,16 +174,16 @@
     def _decide_retry(
         self, progress: Progress, outcome: Outcome
     ) -> Retry | GiveUp:
-        retry_context = Facts(
+        retry_context = RetryContext(
             repeatable=progress.call.repeatable,
             deadline=progress.call.head.deadline,
             attempts=progress.attempts,
             delivered=progress.delivered_tokens > 0,
             resumable=bool(self._placer.list_candidates(progress)),
-            unknown=progress.may_have_run,
+            may_have_run_before=progress.may_have_run,
             urgent=progress.call.head.ticket.priority == FLAG_PRIORITY,
         )
-        step = decide_next(
+        step = decide_retry(
             outcome,
             retry_context,
             self._budget,
--- a/packages/verbenahall/src/verbenahall/front/_fleet.py
+++ b/packages/verbenahall/src/verbenahall/front/_fleet.py
@@ -13,7 +13,7 @@
 from verbenahall.fleet import Endpoint, EndpointKind, Role
 from verbenahall.front._dependencies import FrontDependencies
 from verbenahall.front._messages import Call, ModelCall
-from verbenahall.routing import Candidate, take_subset
+from verbenahall.routing import Candidate, select_subset
 
 #: How long a list of candidates is cached, in seconds.
 _CACHE_S: Final = 0.02
@@ -99,7 +99,7 @@
         if service:
             return self._build_missing_service(service, settings.services)
         known = model in settings.models
-        if not known and not self._dependencies.states.knows_model(model):
+        if not known and not self._dependencies.states.has_model(model):
             return _fail(ErrorKind.UNKNOWN_MODEL, f'no model {model!r}')
         if adapter and adapter not in settings.adapters:
             return _fail(ErrorKind.UNKNOWN_MODEL, f'no adapter {adapter!r}')
@@ -140,7 +140,10 @@
             )
             (local if is_local else remote).append(candidate)
         instance = self._config.name
-        return [*take_subset(instance, local), *take_subset(instance, remote)]
+        return [
+            *select_subset(instance, local),
+            *select_subset(instance, remote),
+        ]
 
     def _list_undrained(
         self,
@@ -170,7 +173,7 @@
             # the state of its predecessor must not be used for it.
             if state is None or state.incarnation != endpoint.incarnation:
                 continue
-            if state.holds(model, adapter):
+            if state.can_serve(model, adapter):
                 candidates.append(Candidate(endpoint, state.role))
         return candidates
 
--- a/packages/verbenahall/src/verbenahall/front/_pipeline.py
+++ b/packages/verbenahall/src/verbenahall/front/_pipeline.py
@@ -6,9 +6,9 @@
 from returns.result import Failure, Result, Success
 
 from verbenahall import metrics
-from verbenahall.admission import RateLimiter
+from verbenahall.admission import AdmissionController
 from verbenahall.errors import Problem
-from verbenahall.front._answers import REQUEST_ID_HEADER, answer_problem
+from verbenahall.front._answers import REQUEST_ID_HEADER, build_error_response
 from verbenahall.front._attempts import AttemptRunner
 from verbenahall.front._dependencies import FrontDependencies
 from verbenahall.front._fleet import FleetView
@@ -31,7 +31,7 @@
         self,
         dependencies: FrontDependencies,
         fleet: FleetView,
-        admission: RateLimiter,
+        admission: AdmissionController,
         attempts: AttemptRunner,
     ) -> None:
         """Store the stages of the pipeline."""
@@ -53,7 +53,7 @@
         checked = self._fleet.check(progress.requirement)
         if isinstance(checked, Success):
             self._record_demand(call)
-            checked = await self._admission.enter(lane, ticket)
+            checked = await self._admission.acquire(lane, ticket)
         if isinstance(checked, Failure):
             return self._build_failure(call.head, checked.failure())
         waited = self._dependencies.clock() - call.head.received_at
@@ -61,7 +61,7 @@
         try:
             return await self._serve(progress, call, request)
         finally:
-            self._admission.leave(lane, ticket)
+            self._admission.release(lane, ticket)
 
     def abort_stalled(self, max_stall_s: float) -> None:
         """Disconnect callers that have read nothing for ``max_stall_s``."""
@@ -163,4 +163,4 @@
             ran=problem.answer.ran.value,
             message=problem.message,
         )
-        return answer_problem(problem, head.request)
+        return build_error_response(problem, head.request)
--- a/packages/verbenahall/src/verbenahall/front/_shell.py
+++ b/packages/verbenahall/src/verbenahall/front/_shell.py
@@ -8,9 +8,9 @@
 from returns.result import Failure
 
 from verbenahall import wire
-from verbenahall.admission import RateLimiter, WorkspaceBounds
+from verbenahall.admission import AdmissionController, WorkspaceBounds
 from verbenahall.config import InstanceConfig
-from verbenahall.front._answers import answer_problem
+from verbenahall.front._answers import build_error_response
 from verbenahall.front._attempts import AttemptRunner
 from verbenahall.front._dependencies import FrontDependencies
 from verbenahall.front._fleet import FleetView
@@ -18,7 +18,7 @@
 from verbenahall.front._pipeline import RequestPipeline
 from verbenahall.front._placement import Placer
 from verbenahall.front._reader import RequestReader
-from verbenahall.requests import AttemptNames
+from verbenahall.requests import AttemptIds
 from verbenahall.routing import RoutingState
 
 _REFRESH_S: Final = 0.1
@@ -50,8 +50,8 @@
         routing = RoutingState(
             config.name, config.data_centre, dependencies.rng
         )
-        attempts = AttemptNames(f'{config.name}.{incarnation}')
-        requests = AttemptNames(f'r-{incarnation}')
+        attempts = AttemptIds(f'{config.name}.{incarnation}')
+        requests = AttemptIds(f'r-{incarnation}')
         fleet = FleetView(dependencies, config)
         self._fleet = fleet
         self._limits = config.limits
@@ -59,7 +59,9 @@
         self._reader = RequestReader(
             config.limits, requests, dependencies.clock
         )
-        self._admission = RateLimiter(fleet.get_limits, dependencies.clock)
+        self._admission = AdmissionController(
+            fleet.get_limits, dependencies.clock
+        )
         placer = Placer(dependencies, fleet, routing, attempts)
         self._attempts = AttemptRunner(dependencies, placer)
         self._pipeline = RequestPipeline(
@@ -93,7 +95,7 @@
             if position != self._dependencies.read_position():
                 position = self._dependencies.read_position()
                 self._admission.apply_workspaces(self._read_workspaces())
-            self._admission.refresh()
+            self._admission.refresh_limits()
             self._attempts.abandon_unresponsive()
             self._pipeline.abort_stalled(self._limits.body_timeout_s)
             await asyncio.sleep(_REFRESH_S)
@@ -101,7 +103,7 @@
     async def _remove_stale_endpoints(self) -> None:
         while True:
             await asyncio.sleep(_CLEANUP_S)
-            self._dependencies.load.keep(self._fleet.list_names())
+            self._dependencies.load.retain(self._fleet.list_names())
 
     def _read_workspaces(self) -> dict[str, WorkspaceBounds]:
         workspaces = self._dependencies.read_settings().workspaces
@@ -123,7 +125,7 @@
             self._limits.json_depth,
         )
         if isinstance(read, Failure):
-            return answer_problem(read.failure(), head.request)
+            return build_error_response(read.failure(), head.request)
         call = read.unwrap()
         return await self._pipeline.handle(f'model:{call.model}', call, request)
 
@@ -145,5 +147,5 @@
     async def _show_ready(self, request: web.Request) -> web.Response:
         problem = self._dependencies.check_ready()
         if problem:
-            return answer_problem(problem)
+            return build_error_response(problem)
         return web.Response(body=wire.encode({'ready': True}))
--- a/packages/verbenahall/src/verbenahall/gateway/_ingress.py
+++ b/packages/verbenahall/src/verbenahall/gateway/_ingress.py
@@ -24,7 +24,7 @@
 from verbenahall.gateway._stream_flow import StreamFlow
 from verbenahall.platform import OPERATOR_TOPIC, RequestHead, read_request_head
 from verbenahall.quarantine import find_quarantine_s, make_fingerprint
-from verbenahall.requests import describe_quarantine
+from verbenahall.requests import build_quarantine_problem
 from verbenahall.shutdown import GracefulStop
 
 #: Retry-After of a stopping instance, in seconds: callers may retry at once,
@@ -70,7 +70,7 @@
         call: Call,
     ) -> web.StreamResponse:
         self._log_accepted(call)
-        self._core.get_retry_budget(call.service.name).earn()
+        self._core.get_retry_budget(call.service.name).record_request()
         try:
             response = await self._start_flow(request, call)
         except (ConnectionError, asyncio.CancelledError):
@@ -91,7 +91,7 @@
 
     def _log_accepted(self, call: Call) -> None:
         belief_s = self._core.find_age(call.received)
-        metrics.BELIEF_AGE_SECONDS.observe(belief_s)
+        metrics.FLEET_STATE_AGE_SECONDS.observe(belief_s)
         journal.write_decision(
             'accepted',
             request=call.head.identity,
@@ -100,9 +100,9 @@
             workspace=call.workspace.name if call.workspace else None,
             service=call.service.name,
             version=call.version,
-            belief_s=journal.round_seconds(belief_s),
-            left_s=journal.round_seconds(call.left_s(call.received)),
-            waited_s=journal.round_seconds(call.waited_s),
+            belief_s=journal.round_to_ms(belief_s),
+            left_s=journal.round_to_ms(call.left_s(call.received)),
+            waited_s=journal.round_to_ms(call.waited_s),
             objective_s=call.route.objective_s,
             prompt=call.head.work.prompt_tokens,
             output=call.head.work.output_tokens,
@@ -113,7 +113,7 @@
             'answered',
             request=call.head.identity,
             outcome=outcome,
-            took_s=journal.round_seconds(self._core.now() - call.received),
+            took_s=journal.round_to_ms(self._core.now() - call.received),
         )
         metrics.REQUESTS.add(str(call.priority), outcome)
 
@@ -194,7 +194,7 @@
             call.received,
         )
         if left_s:
-            return Failure(describe_quarantine(left_s))
+            return Failure(build_quarantine_problem(left_s))
         return Success(call)
 
     def _log_refused(
--- a/packages/verbenahall/src/verbenahall/gateway/_prefill_calls.py
+++ b/packages/verbenahall/src/verbenahall/gateway/_prefill_calls.py
@@ -119,11 +119,11 @@
             missing=plan.missing,
             kept=cached_tokens,
             ahead=tokens_ahead,
-            took_s=journal.round_seconds(seconds),
+            took_s=journal.round_to_ms(seconds),
         )
-        metrics.READ_SECONDS.observe(seconds)
-        metrics.READ_TOKENS.add('missing', count=plan.missing)
-        metrics.READ_TOKENS.add('kept', count=cached_tokens)
+        metrics.PREFILL_SECONDS.observe(seconds)
+        metrics.PREFILL_TOKENS.add('missing', count=plan.missing)
+        metrics.PREFILL_TOKENS.add('kept', count=cached_tokens)
         self._core.placement.record_cached(
             prefill_engine, call.head.work, call.service
         )
--- a/packages/verbenahall/src/verbenahall/gateway/_sender.py
+++ b/packages/verbenahall/src/verbenahall/gateway/_sender.py
@@ -259,16 +259,16 @@
         now = core.now()
         age_s = core.freshness[ENDPOINTS_TOPIC].find_age(now)
         listing = core.roster.listings.get(endpoint.name)
-        metrics.LEFT_SECONDS.observe(call.left_s(now))
+        metrics.REMAINING_SECONDS.observe(call.left_s(now))
         metrics.LIST_AGE_SECONDS.observe(age_s)
         journal.write_decision(
             'sent',
             request=call.head.identity,
             endpoint=endpoint.name,
             prefill=options.prefill_only,
-            age_s=journal.round_seconds(age_s),
+            age_s=journal.round_to_ms(age_s),
             listed=listing is not None and listing.usable_until == float('inf'),
-            left_s=journal.round_seconds(call.left_s(now)),
+            left_s=journal.round_to_ms(call.left_s(now)),
         )
 
     async def _wait_until(
--- a/packages/verbenahall/src/verbenahall/gateway/_stream_flow.py
+++ b/packages/verbenahall/src/verbenahall/gateway/_stream_flow.py
@@ -243,7 +243,7 @@
         problem = self._attempts.handle_failure(
             outcome,
             delivered=self._relay.begun,
-            resends=1 if self._kv_handle or prefill_failed else 2,
+            send_count=1 if self._kv_handle or prefill_failed else 2,
             reader=plan.prefill_engine.name if plan.prefill_engine else None,
             generator=plan.decode_engine.name,
             last_event=self._relay.state.last,
@@ -279,7 +279,7 @@
             reader=plan.prefill_engine.name if plan.prefill_engine else None,
             generator=plan.decode_engine.name,
             missing=plan.missing,
-            wait_s=journal.round_seconds(plan.wait_s),
+            wait_s=journal.round_to_ms(plan.wait_s),
             reason=plan.reason,
             attempt=self._attempts.started + 1,
         )
--- a/packages/verbenahall/src/verbenahall/instance/_control.py
+++ b/packages/verbenahall/src/verbenahall/instance/_control.py
@@ -5,7 +5,7 @@
 from returns.result import Success
 
 from verbenahall.admin import Readiness
-from verbenahall.authority import LeaseKeeper, LeaseTiming
+from verbenahall.authority import LeaseManager, LeaseTiming
 from verbenahall.fleet import Endpoint, EndpointKind
 from verbenahall.instance._core import Core
 from verbenahall.instance._dependencies import ControllerDependencies
@@ -15,7 +15,7 @@
 from verbenahall.load import EngineStates, read_engine_state
 from verbenahall.membership import (
     ListPoller,
-    OwnReport,
+    InstanceStatus,
     PeerExchange,
     Prober,
 )
@@ -88,9 +88,9 @@
             )
         return readiness
 
-    def _build_lease_manager(self) -> LeaseKeeper:
+    def _build_lease_manager(self) -> LeaseManager:
         timing = self._core.config.timing
-        return LeaseKeeper(
+        return LeaseManager(
             self._core.folds.authority,
             self._core.client,
             self.scope,
@@ -116,9 +116,9 @@
             timing.longest_pause_s,
         )
         sender = OrderSender(
-            lambda now: self.lease_manager.held(self.scope, now),
+            lambda now: self.lease_manager.find_token(self.scope, now),
             order_timing,
-            heard=self._record_state,
+            on_state=self._record_state,
         )
         return Controller(
             self.dependencies,
@@ -146,8 +146,8 @@
             core.config.timing.heartbeat_s,
         )
 
-    def _build_peer_report(self) -> OwnReport:
-        return OwnReport(
+    def _build_peer_report(self) -> InstanceStatus:
+        return InstanceStatus(
             ready=self.read_readiness().ready,
             position=self._core.folds.settings.position,
         )
--- a/packages/verbenahall/src/verbenahall/instance/_core.py
+++ b/packages/verbenahall/src/verbenahall/instance/_core.py
@@ -20,10 +20,10 @@
 from verbenahall.membership import (
     MembershipRules,
     MembershipState,
-    all_endpoints,
-    live,
+    list_endpoints,
+    list_live,
 )
-from verbenahall.snapshots import SnapshotKeeper
+from verbenahall.snapshots import SnapshotManager
 
 _INCARNATION_BYTES: Final = 4
 #: Maximum age of the log's last answer, in seconds, at which the instance can
@@ -53,7 +53,7 @@
             MembershipRules(silent_after_s=config.timing.silent_after_s),
         )
         self.membership = MembershipAdapter(self.members, self.folds.orders)
-        self.snapshots = SnapshotKeeper(
+        self.snapshots = SnapshotManager(
             self.client,
             self.folds.list_foldables(),
             self.sessions.pooled,
@@ -85,7 +85,7 @@
     def _list_peers(self) -> list[str]:
         """Return the other instances' addresses, local data centre first."""
         now = clock.monotonic()
-        instances = live(self.members, EndpointKind.INSTANCE, now)
+        instances = list_live(self.members, EndpointKind.INSTANCE, now)
         others = [peer for peer in instances if peer.name != self.config.name]
         others.sort(key=self._is_in_other_data_centre)
         return [peer.address for peer in others]
@@ -95,7 +95,7 @@
         return any(
             endpoint.kind is EndpointKind.INSTANCE
             and endpoint.address.rpartition(':')[0] == host
-            for endpoint in all_endpoints(self.members)
+            for endpoint in list_endpoints(self.members)
         )
 
     def _is_in_other_data_centre(self, peer: Endpoint) -> bool:
--- a/packages/verbenahall/src/verbenahall/instance/_discovery.py
+++ b/packages/verbenahall/src/verbenahall/instance/_discovery.py
@@ -8,13 +8,13 @@
 from typing import Final, final
 
 from verbenahall import clock
-from verbenahall.fleet import EndpointKind, Standing
+from verbenahall.fleet import EndpointKind, EndpointStatus
 from verbenahall.instance._dependencies import ControllerDependencies
 from verbenahall.load import EngineStates
 from verbenahall.membership import (
     MembershipState,
-    all_endpoints,
-    standing_of,
+    list_endpoints,
+    get_status,
 )
 from verbenahall.settings import EffectiveSettings
 
@@ -43,7 +43,7 @@
         return False
     engines = [
         endpoint.name
-        for endpoint in all_endpoints(members)
+        for endpoint in list_endpoints(members)
         if endpoint.kind is EndpointKind.ENGINE
         and endpoint.data_centre == data_centre
     ]
@@ -67,7 +67,7 @@
     return [
         name
         for name in names
-        if standing_of(members, name, now) is Standing.LIVE
+        if get_status(members, name, now) is EndpointStatus.LIVE
     ]
 
 
@@ -86,7 +86,7 @@
     services = set(settings.services)
     if not engines and not services:
         return False
-    listed_services = {endpoint.service for endpoint in all_endpoints(members)}
+    listed_services = {endpoint.service for endpoint in list_endpoints(members)}
     return engines <= members.members.keys() and services <= listed_services
 
 
--- a/packages/verbenahall/src/verbenahall/instance/_membership_adapter.py
+++ b/packages/verbenahall/src/verbenahall/instance/_membership_adapter.py
@@ -4,16 +4,16 @@
 from typing import final
 
 from verbenahall import clock
-from verbenahall.fleet import Endpoint, EndpointKind, Standing
+from verbenahall.fleet import Endpoint, EndpointKind, EndpointStatus
 from verbenahall.load import EngineState
 from verbenahall.membership import (
     MembershipState,
-    live,
+    list_live,
     observe_answer,
     observe_failure,
     observe_leaving,
-    observe_word,
-    standing_of,
+    observe_state,
+    get_status,
 )
 from verbenahall.orders import OrdersState, is_changing
 
@@ -40,7 +40,7 @@
         An engine with an outstanding order gets none: its change waits until
         no request is in flight, and new work would delay it for ever.
         """
-        endpoints = live(self._members, kind, now, service)
+        endpoints = list_live(self._members, kind, now, service)
         if kind is not EndpointKind.ENGINE:
             return endpoints
         return [
@@ -49,9 +49,9 @@
             if not is_changing(self._orders, endpoint.name)
         ]
 
-    def find_status(self, name: str, now: float) -> Standing:
+    def find_status(self, name: str, now: float) -> EndpointStatus:
         """Return an endpoint's status."""
-        return standing_of(self._members, name, now)
+        return get_status(self._members, name, now)
 
     def report_answer(self, name: str) -> None:
         """Report that an endpoint answered."""
@@ -72,7 +72,7 @@
         Requests go only to the incarnation in the membership, so without this
         report a new engine would get no requests.
         """
-        observe_word(
+        observe_state(
             self._members,
             state.name,
             state.incarnation,
--- a/packages/verbenahall/src/verbenahall/instance/_pools.py
+++ b/packages/verbenahall/src/verbenahall/instance/_pools.py
@@ -4,12 +4,12 @@
 from collections.abc import Iterator
 from typing import Final, final
 
-from verbenahall.authority import LeaseKeeper
-from verbenahall.fleet import EndpointKind, Standing
+from verbenahall.authority import LeaseManager
+from verbenahall.fleet import EndpointKind, EndpointStatus
 from verbenahall.instance._dependencies import ControllerDependencies
 from verbenahall.load import EngineStates
-from verbenahall.membership import MembershipState, live
-from verbenahall.roles import EngineNow
+from verbenahall.membership import MembershipState, list_live
+from verbenahall.roles import EngineStatus
 from verbenahall.settings import PoolSettings
 
 _UNIT_WEIGHT: Final = 1.0
@@ -21,7 +21,7 @@
 
     name: str
     models: tuple[str, ...]
-    engines: tuple[EngineNow, ...]
+    engines: tuple[EngineStatus, ...]
     goodput_weight: float
     change_weight: float
     floor: int
@@ -45,7 +45,7 @@
         dependencies: ControllerDependencies,
         members: MembershipState,
         states: EngineStates,
-        lease_manager: LeaseKeeper,
+        lease_manager: LeaseManager,
     ) -> None:
         """Store the sources."""
         self._data_centre = data_centre
@@ -54,18 +54,20 @@
         self._states = states
         self._lease_manager = lease_manager
 
-    def is_leading(self, now: float) -> bool:
+    def is_leader(self, now: float) -> bool:
         """Whether this process holds the data centre's lease."""
-        return self._lease_manager.held(self._data_centre, now) is not None
+        return (
+            self._lease_manager.find_token(self._data_centre, now) is not None
+        )
 
-    def find_share(self, now: float) -> float:
+    def get_traffic_share(self, now: float) -> float:
         """Return this instance's share of the data centre's requests.
 
         The balancer distributes callers evenly over live instances.
         """
         instances = [
             endpoint
-            for endpoint in live(self._members, EndpointKind.INSTANCE, now)
+            for endpoint in list_live(self._members, EndpointKind.INSTANCE, now)
             if endpoint.data_centre == self._data_centre
         ]
         return _UNIT_WEIGHT / max(1, len(instances))
@@ -96,11 +98,11 @@
             floor=max(floors, default=1),
         )
 
-    def _list_engines(self, pool: PoolSettings) -> Iterator[EngineNow]:
+    def _list_engines(self, pool: PoolSettings) -> Iterator[EngineStatus]:
         drains = self._dependencies.read_settings().drains
         for name in pool.engines:
             state = self._states.by_name.get(name)
             if state is None or name in drains:
                 continue
-            if self._dependencies.find_status(name) is Standing.LIVE:
-                yield EngineNow(name, state.role, state.report.running)
+            if self._dependencies.find_status(name) is EndpointStatus.LIVE:
+                yield EngineStatus(name, state.role, state.report.running)
--- a/packages/verbenahall/src/verbenahall/instance/_wiring.py
+++ b/packages/verbenahall/src/verbenahall/instance/_wiring.py
@@ -19,7 +19,7 @@
 )
 from verbenahall.instance._control import Control
 from verbenahall.instance._core import Core
-from verbenahall.load import LoadState, Report, StatePoller, observe_report
+from verbenahall.load import LoadState, Report, StatePoller, record_report
 from verbenahall.orders import is_changing
 from verbenahall.supervisor import Loops
 
@@ -57,11 +57,11 @@
             self.control.states,
             self._load,
             self.core.config.timing.load_poll_s,
-            heard=membership.report_answer,
-            missed=membership.report_failure,
-            told=membership.report_state,
-            urgent=functools.partial(is_changing, self.core.folds.orders),
-            far=self.control.dependencies.is_in_other_data_centre,
+            on_success=membership.report_answer,
+            on_failure=membership.report_failure,
+            on_state=membership.report_state,
+            is_urgent=functools.partial(is_changing, self.core.folds.orders),
+            is_remote=self.control.dependencies.is_in_other_data_centre,
         )
 
     def _build_dependencies(self) -> FrontDependencies:
@@ -76,7 +76,7 @@
             read_position=lambda: core.folds.settings.position,
             claim=core.claims.claim,
             release=core.claims.release,
-            record_demand=self.control.planner.note_arrival,
+            record_demand=self.control.planner.record_arrival,
             check_ready=self._check_ready,
             load=self._load,
             states=self.control.states,
@@ -111,4 +111,4 @@
         return Problem(ErrorKind.NOT_READY, readiness.reason)
 
     def _record_load_report(self, name: str, report: Report) -> None:
-        observe_report(self._load, name, report, clock.monotonic())
+        record_report(self._load, name, report, clock.monotonic())
--- a/packages/verbenahall/src/verbenahall/membership/_decisions.py
+++ b/packages/verbenahall/src/verbenahall/membership/_decisions.py
@@ -4,9 +4,13 @@
 import random
 from typing import Final
 
-from verbenahall.fleet import Endpoint, EndpointKind, Standing
+from verbenahall.fleet import Endpoint, EndpointKind, EndpointStatus
 from verbenahall.membership._list_updates import remove_member, replace_member
-from verbenahall.membership._messages import Listing, Sign, StateReport
+from verbenahall.membership._messages import (
+    ListStatus,
+    StatusReason,
+    StateReport,
+)
 from verbenahall.membership._status import update_status
 from verbenahall.membership._state import Member, MembershipState
 
@@ -50,7 +54,7 @@
         )
 
 
-def observe_word(
+def observe_state(
     state: MembershipState,
     name: str,
     incarnation: str,
@@ -92,7 +96,7 @@
     update_status(state, member, now)
 
 
-def live(
+def list_live(
     state: MembershipState,
     kind: EndpointKind,
     now: float,
@@ -116,7 +120,7 @@
 
 def _is_available(member: Member, kind: EndpointKind, service: str) -> bool:
     return (
-        member.status is Standing.LIVE
+        member.status is EndpointStatus.LIVE
         and member.endpoint.kind is kind
         and service in {'', member.endpoint.service}
     )
@@ -137,33 +141,33 @@
     member: Member,
     now: float,
 ) -> bool:
-    if member.unlisted_at is None or member.status is Standing.LIVE:
+    if member.unlisted_at is None or member.status is EndpointStatus.LIVE:
         return False
     return now - member.unlisted_at >= state.rules.expire_after_s
 
 
-def standing_of(state: MembershipState, name: str, now: float) -> Standing:
+def get_status(state: MembershipState, name: str, now: float) -> EndpointStatus:
     """Return an endpoint's status, ``SILENT`` for an unknown name."""
     expire_members(state, now)
     member = state.members.get(name)
     if member is None or member.status is None:
-        return Standing.SILENT
+        return EndpointStatus.SILENT
     return member.status
 
 
-def find(state: MembershipState, name: str) -> Endpoint | None:
+def find_endpoint(state: MembershipState, name: str) -> Endpoint | None:
     """Return the endpoint of a name with any status, None if unknown."""
     member = state.members.get(name)
     return member.endpoint if member else None
 
 
-def all_endpoints(state: MembershipState) -> tuple[Endpoint, ...]:
+def list_endpoints(state: MembershipState) -> tuple[Endpoint, ...]:
     """Return every known endpoint, by name."""
     names = sorted(state.members)
     return tuple(state.members[name].endpoint for name in names)
 
 
-def due_probes(
+def take_due_probes(
     state: MembershipState,
     now: float,
     rng: random.Random,
@@ -191,9 +195,12 @@
 def _needs_probe(member: Member, now: float) -> bool:
     if member.probe_at > now:
         return False
-    if member.status is Standing.SILENT or member.reason is Sign.TOLD_LEAVING:
+    if (
+        member.status is EndpointStatus.SILENT
+        or member.reason is StatusReason.TOLD_LEAVING
+    ):
         return True
-    return member.listing is Listing.DOUBTED
+    return member.list_status is ListStatus.DOUBTED
 
 
 def _schedule_next_probe(
--- a/packages/verbenahall/src/verbenahall/membership/_peers.py
+++ b/packages/verbenahall/src/verbenahall/membership/_peers.py
@@ -9,14 +9,14 @@
 from verbenahall.fleet import EndpointKind
 from verbenahall.membership._decisions import (
     apply_state_report,
-    live,
+    list_live,
     observe_answer,
 )
 from verbenahall.membership._messages import (
     Heartbeat,
-    OwnReport,
+    InstanceStatus,
     LeavingNotice,
-    PeerView,
+    PeerStatus,
     Suspicion,
     StateReport,
 )
@@ -62,7 +62,7 @@
     """Return the live instances of a data centre except ``local``."""
     return [
         endpoint.name
-        for endpoint in live(state, EndpointKind.INSTANCE, now)
+        for endpoint in list_live(state, EndpointKind.INSTANCE, now)
         if endpoint.data_centre == data_centre and endpoint.name != local
     ]
 
@@ -70,7 +70,7 @@
 def build_heartbeat(
     state: MembershipState,
     sender: tuple[str, str],
-    report: OwnReport,
+    report: InstanceStatus,
     now: float,
     *,
     leaving: bool,
@@ -137,7 +137,7 @@
     # heartbeat does not replace the member.
     apply_state_report(state, sender, StateReport(heartbeat.leaving, now), now)
     observe_answer(state, heartbeat.sender, now)
-    state.peers[heartbeat.sender] = PeerView(
+    state.peers[heartbeat.sender] = PeerStatus(
         heartbeat.incarnation,
         heartbeat.report,
         now,
--- a/packages/verbenahall/src/verbenahall/orders/_shell.py
+++ b/packages/verbenahall/src/verbenahall/orders/_shell.py
@@ -12,7 +12,7 @@
 from verbenahall.clock import Clock, monotonic
 from verbenahall.fleet import Endpoint
 from verbenahall.orders._dispatch import Dispatch
-from verbenahall.orders._failures import note_outcome
+from verbenahall.orders._failures import record_outcome
 from verbenahall.orders._lease_body import LeaseBody
 from verbenahall.orders._messages import (
     EngineReport,
@@ -30,25 +30,25 @@
 class OrderSender:
     """Client for the order protocol of engines.
 
-    ``held(now)`` returns the fencing token while the lease is held, and None
-    otherwise. Each order is sent on a new connection, so that it does not
+    ``get_token(now)`` returns the fencing token while the lease is held, and
+    None otherwise. Each order is sent on a new connection, so that it does not
     wait behind other data.
     """
 
     def __init__(
         self,
-        held: Callable[[float], int | None],
+        get_token: Callable[[float], int | None],
         timing: OrderTiming,
         clock: Clock = monotonic,
-        heard: Callable[[dict[str, Any]], object] = bool,
+        on_state: Callable[[dict[str, Any]], object] = bool,
     ) -> None:
         """Create the sender; the session is opened by the first call.
 
-        ``heard`` is called with the decoded body of each state that is read
+        ``on_state`` is called with the decoded body of each state that is read
         from an engine.
         """
-        self._on_state = heard
-        self._get_token = held
+        self._on_state = on_state
+        self._get_token = get_token
         self._timing = timing
         self._clock = clock
         self._session: aiohttp.ClientSession | None = None
@@ -138,7 +138,7 @@
     try:
         outcome = await sender.send(order, endpoint)
     finally:
-        note_outcome(dispatch, order, outcome, clock())
+        record_outcome(dispatch, order, outcome, clock())
     return outcome
 
 
--- a/packages/verbenahall/src/verbenahall/rollout/_engines.py
+++ b/packages/verbenahall/src/verbenahall/rollout/_engines.py
@@ -13,8 +13,8 @@
     OrderSender,
     OrdersState,
     may_send,
-    note_sending,
-    observe_report,
+    record_sending,
+    record_report,
     send_and_record,
 )
 from verbenahall.rollout._decision_log import SentOrderLog
@@ -97,12 +97,12 @@
             if endpoint is None:
                 continue
             if may_send(self._dispatch, self._orders, order, endpoint, now):
-                note_sending(self._dispatch, order)
+                record_sending(self._dispatch, order)
                 work = self._send(order, endpoint)
                 self._tasks.start(f'send {order.engine}', work)
 
     def _is_polled_fast(self, endpoint: Endpoint, busy: set[str]) -> bool:
-        cleared = self._dispatch.find_track(endpoint.name).cleared
+        cleared = self._dispatch.find_sends(endpoint.name).cleared
         return endpoint.name in busy or not cleared
 
     def _list_due(
@@ -135,7 +135,7 @@
         report = found.value_or(None)
         # Another engine may have started at this address.
         if report is not None and report.name == endpoint.name:
-            observe_report(self._orders, report, polled_at)
+            record_report(self._orders, report, polled_at)
 
     async def _send(self, order: Order, endpoint: Endpoint) -> None:
         report = self._orders.reports[order.engine]
--- a/packages/verbenahall/src/verbenahall/rollout/_shell.py
+++ b/packages/verbenahall/src/verbenahall/rollout/_shell.py
@@ -7,7 +7,7 @@
 
 from returns.result import Result, Success
 
-from verbenahall.authority import LeaseKeeper
+from verbenahall.authority import LeaseManager
 from verbenahall.clock import Clock, monotonic
 from verbenahall.errors import Problem
 from verbenahall.fleet import Role
@@ -18,8 +18,8 @@
     PlannedOrder,
     encode_batch,
     list_withdrawals,
-    outstanding,
-    take_over,
+    list_outstanding,
+    update_grant,
 )
 from verbenahall.records import ORDERS_STREAM
 from verbenahall.rollout._engines import EngineClient
@@ -78,7 +78,7 @@
         self,
         dependencies: Dependencies,
         order_state: OrdersState,
-        keeper: LeaseKeeper,
+        lease_manager: LeaseManager,
         client: Appender,
         sender: OrderSender,
         dispatch: Dispatch,
@@ -88,13 +88,13 @@
         """Create the controller; nothing is sent before ``run``."""
         self._dependencies = dependencies
         self._orders = order_state
-        self._keeper = keeper
+        self._lease_manager = lease_manager
         self._client = client
         self._sender = sender
         self._dispatch = dispatch
         self._limits = limits
         self._clock = clock
-        self._scope = keeper.candidacy.scope
+        self._scope = lease_manager.candidate.scope
         self._tasks = Tasks()
         self._engine_client = EngineClient(
             order_state,
@@ -121,8 +121,8 @@
     def _run_step(self) -> None:
         now = self._clock()
         members = self._dependencies.list_engines(now)
-        token = self._keeper.held(self._scope, now)
-        due = outstanding(self._orders, self._scope)
+        token = self._lease_manager.find_token(self._scope, now)
+        due = list_outstanding(self._orders, self._scope)
         busy = {order.engine for order in due}
         self._engine_client.poll_states(
             members, now, busy, holds_lease=token is not None
@@ -130,7 +130,7 @@
         if token is None:
             return
         grant = self._orders.authority.find_grant(self._scope)
-        take_over(self._dispatch, grant, now)
+        update_grant(self._dispatch, grant, now)
         is_planned = self._may_plan(now)
         if is_planned:
             self._plan_and_pause(members, token, now)
--- a/packages/verbenahall/tests/instance/test_engine_state.py
+++ b/packages/verbenahall/tests/instance/test_engine_state.py
@@ -8,18 +8,18 @@
 
 from verbenahall import wire
 from verbenahall.authority import AuthorityState
-from verbenahall.fleet import Endpoint, EndpointKind, Standing
+from verbenahall.fleet import Endpoint, EndpointKind, EndpointStatus
 from verbenahall.instance._membership_adapter import MembershipAdapter
 from verbenahall.load import EngineStates, LoadState, StatePoller
 from verbenahall.membership import (
     ListEntry,
     MembershipState,
     apply_list,
-    find,
-    standing_of,
+    find_endpoint,
+    get_status,
 )
 from verbenahall.orders import OrdersState
-from verbenahall.snapshots import SnapshotKeeper
+from verbenahall.snapshots import SnapshotManager
 from verbenahall_standins.memory import MemoryLog
 
 STATE = MappingProxyType(
@@ -60,9 +60,9 @@
             EngineStates(),
             LoadState(),
             1,
-            heard=adapter.report_answer,
-            missed=adapter.report_failure,
-            told=adapter.report_state,
+            on_success=adapter.report_answer,
+            on_failure=adapter.report_failure,
+            on_state=adapter.report_state,
         )
         await poller.poll()
     await runner.cleanup()
@@ -78,15 +78,15 @@
     """
     members = asyncio.run(poll_once(listed, {}))
 
-    assert find(members, 'e').incarnation == 'new'
-    assert standing_of(members, 'e', 1) is Standing.LIVE
+    assert find_endpoint(members, 'e').incarnation == 'new'
+    assert get_status(members, 'e', 1) is EndpointStatus.LIVE
 
 
 def test_leaving_is_taken_from_the_engine_s_state():
     """An engine reports that it is leaving before the list shows it."""
     members = asyncio.run(poll_once('new', {'leaving': True}))
 
-    assert standing_of(members, 'e', 1) is Standing.LEAVING
+    assert get_status(members, 'e', 1) is EndpointStatus.LEAVING
 
 
 def test_idle_log_counts_as_contacted_at_once():
@@ -95,8 +95,8 @@
     If the log counted as contacted only after the first long poll, the
     instance would claim no lease, and engines would wait for their orders.
     """
-    keeper = SnapshotKeeper(MemoryLog(), [], None, list)
+    manager = SnapshotManager(MemoryLog(), [], None, list)
 
-    asyncio.run(keeper.start())
+    asyncio.run(manager.start())
 
-    assert keeper.follower.last_contact > 0
+    assert manager.follower.last_contact > 0
--- a/packages/verbenahall/tests/membership/test_standings.py
+++ b/packages/verbenahall/tests/membership/test_standings.py
@@ -4,18 +4,18 @@
 
 import pytest
 
-from verbenahall.fleet import Endpoint, EndpointKind, Standing
+from verbenahall.fleet import Endpoint, EndpointKind, EndpointStatus
 from verbenahall.membership import (
     ListEntry,
     MembershipState,
     apply_list,
-    due_probes,
-    live,
+    take_due_probes,
+    list_live,
     observe_answer,
     observe_failure,
     observe_leaving,
-    observe_word,
-    standing_of,
+    observe_state,
+    get_status,
 )
 
 
@@ -38,7 +38,7 @@
 
 
 def names(state, now):
-    return [one.name for one in live(state, EndpointKind.ENGINE, now)]
+    return [one.name for one in list_live(state, EndpointKind.ENGINE, now)]
 
 
 ENTRIES = tuple(make_entry(f'engine-{number}') for number in range(6))
@@ -53,7 +53,7 @@
     apply_list(state, (*ENTRIES[:5], make_entry('engine-5', leaving=True)), 1)
 
     assert 'engine-5' not in names(state, 1)
-    assert changes[-1].after is Standing.LEAVING
+    assert changes[-1].after is EndpointStatus.LEAVING
 
 
 def test_own_word_outlives_a_lagging_list():
@@ -67,7 +67,7 @@
 
     assert 'engine-0' not in names(state, 2)
 
-    observe_word(state, 'engine-0', 'a', leaving=False, now=3)
+    observe_state(state, 'engine-0', 'a', leaving=False, now=3)
     assert 'engine-0' in names(state, 3)
 
 
@@ -105,25 +105,25 @@
     apply_list(state, ENTRIES[1:], 1)
 
     assert len(names(state, 1)) == 5
-    assert standing_of(state, 'engine-0', 1) is Standing.LEAVING
-    assert standing_of(state, 'engine-0', 90) is Standing.SILENT
+    assert get_status(state, 'engine-0', 1) is EndpointStatus.LEAVING
+    assert get_status(state, 'engine-0', 90) is EndpointStatus.SILENT
 
 
 @pytest.mark.parametrize(
-    ('failures', 'standing'),
+    ('failures', 'status'),
     [
-        ((1, 1.1), Standing.LIVE),
-        ((1, 1.1, 1.2), Standing.SILENT),
-        ((1, 3), Standing.SILENT),
+        ((1, 1.1), EndpointStatus.LIVE),
+        ((1, 1.1, 1.2), EndpointStatus.SILENT),
+        ((1, 3), EndpointStatus.SILENT),
     ],
 )
-def test_failures_in_a_row(failures, standing):
+def test_failures_in_a_row(failures, status):
     """An engine hangs or is killed, and requests to it fail."""
     state, _ = make_state(*ENTRIES)
     for now in failures:
         observe_failure(state, 'engine-0', now)
 
-    assert standing_of(state, 'engine-0', 3) is standing
+    assert get_status(state, 'engine-0', 3) is status
 
 
 def test_new_incarnation_starts_clean():
@@ -151,7 +151,7 @@
     """A new incarnation answers before the list shows it."""
     state, _ = make_state(*ENTRIES)
     observe_leaving(state, 'engine-0', 1)
-    observe_word(state, 'engine-0', 'b', leaving=False, now=2)
+    observe_state(state, 'engine-0', 'b', leaving=False, now=2)
     apply_list(state, ENTRIES, 3)
 
     assert 'engine-0' in names(state, 3)
@@ -163,11 +163,11 @@
     If that counted as lag for ever, its leaving mark would be ignored.
     """
     state, _ = make_state(*ENTRIES)
-    observe_word(state, 'engine-0', 'own', leaving=False, now=1)
+    observe_state(state, 'engine-0', 'own', leaving=False, now=1)
     marked = (make_entry('engine-0', leaving=True), *ENTRIES[1:])
     apply_list(state, marked, 32)
 
-    assert standing_of(state, 'engine-0', 32) is Standing.LEAVING
+    assert get_status(state, 'engine-0', 32) is EndpointStatus.LEAVING
 
 
 def test_reused_address():
@@ -200,7 +200,7 @@
     for now in range(1, 9):
         fail(state, 'engine-0', now)
         answers = 0
-        while standing_of(state, 'engine-0', now) is Standing.SILENT:
+        while get_status(state, 'engine-0', now) is EndpointStatus.SILENT:
             observe_answer(state, 'engine-0', now + 0.5)
             answers += 1
         needed.append(answers)
@@ -221,9 +221,9 @@
         fail(state, entry.endpoint.name, 1)
     rng = random.Random(7)
     counts = [
-        len(due_probes(state, 1.5 + tick / 10, rng)) for tick in range(100)
+        len(take_due_probes(state, 1.5 + tick / 10, rng)) for tick in range(100)
     ]
 
     assert max(counts) <= 4
-    assert due_probes(MembershipState(), 1, rng) == ()
+    assert take_due_probes(MembershipState(), 1, rng) == ()
     assert sum(counts) < 40 * 6
--- a/packages/verbenahall/tests/routing/test_balance.py
+++ b/packages/verbenahall/tests/routing/test_balance.py
@@ -16,11 +16,16 @@
 from verbenahall.load import (
     LoadState,
     Report,
-    note_finished,
-    note_sent,
-    observe_report,
+    record_finished,
+    record_sent,
+    record_report,
+)
+from verbenahall.routing import (
+    Candidate,
+    RoutingRequest,
+    RoutingState,
+    choose_endpoint,
 )
-from verbenahall.routing import Candidate, Question, RoutingState, choose
 
 INSTANCES = 9
 ENGINES = 10
@@ -100,18 +105,20 @@
         self.load = LoadState()
 
     def pick(self, request, now):
-        question = Question(str(request))
-        chosen = choose(self.routing, question, CANDIDATES, self.load, now)
+        routing_request = RoutingRequest(str(request))
+        chosen = choose_endpoint(
+            self.routing, routing_request, CANDIDATES, self.load, now
+        )
         return chosen.unwrap().endpoint.name
 
     def receive_report(self, name, report, now):
-        observe_report(self.load, name, report, now)
+        record_report(self.load, name, report, now)
 
     def start(self, name, request, now):
-        note_sent(self.load, name, str(request), 1, now)
+        record_sent(self.load, name, str(request), 1, now)
 
     def end(self, name, request, now):
-        note_finished(self.load, name, str(request), now)
+        record_finished(self.load, name, str(request), now)
 
 
 class Model:
@@ -207,8 +214,10 @@
 
     def pick(self, request, now):
         prefix = f'archive-{request % PREFIXES}'
-        question = Question(str(request), prefix=prefix)
-        chosen = choose(self.routing, question, CANDIDATES, self.load, now)
+        routing_request = RoutingRequest(str(request), prefix=prefix)
+        chosen = choose_endpoint(
+            self.routing, routing_request, CANDIDATES, self.load, now
+        )
         return chosen.unwrap().endpoint.name
 
 
