--- a/packages/verbenahall/src/verbenahall/membership/_decisions.py
+++ b/packages/verbenahall/src/verbenahall/membership/_decisions.py
@@ -174,10 +174,11 @@
 ) -> tuple[Endpoint, ...]:
     """Return the endpoints to probe now, and schedule their next probes.
 
-    Probed are endpoints that are unresponsive, that are in doubt, or that
-    announced that they leave. The delay between probes grows and has jitter,
-    and only a few endpoints are probed at once. Otherwise instances that saw
-    the same fault would all send their probes at the moment when it ends.
+    Probed are endpoints that are unresponsive, that announced that they leave,
+    or whose removal from the list was not accepted (``DOUBTED``). The delay
+    between probes grows and has jitter, and only a few endpoints are probed at
+    once. Otherwise instances that saw the same fault would all send their
+    probes at the moment when it ends.
     """
     members = state.members.values()
     waiting = [member for member in members if _needs_probe(member, now)]
--- a/packages/verbenahall/src/verbenahall/membership/_poller.py
+++ b/packages/verbenahall/src/verbenahall/membership/_poller.py
@@ -18,9 +18,10 @@
 _POLL_TIMEOUT: Final = aiohttp.ClientTimeout(total=2)
 #: After this many polls with a lower version the list counts as restarted.
 _LOWER_VERSION_POLLS: Final = 5
-#: An unchanged list is applied again after this many seconds only. Entries
-#: that are in doubt or taken for lagging depend on time, and applying the
-#: whole list is expensive.
+#: Interval in seconds at which an unchanged list is applied again. Its effect
+#: changes with time: a removal may be accepted later, and an entry counts as
+#: lagging for a limited time only. Applying the whole list at each poll would
+#: be expensive.
 _REAPPLY_INTERVAL_S: Final = 5.0
 
 
--- a/packages/verbenahall/src/verbenahall/membership/_prober.py
+++ b/packages/verbenahall/src/verbenahall/membership/_prober.py
@@ -34,7 +34,7 @@
 
 @final
 class Prober:
-    """Probes endpoints that are unresponsive, in doubt or leaving.
+    """Sends the probes that ``take_due_probes`` schedules.
 
     The ``/state`` of an engine may cancel its announcement that it leaves;
     other endpoints only have to answer.
@@ -84,7 +84,7 @@
         ) as answer:
             found = wire.decode_table(await answer.read())
         table = found.value_or({})
-        # Another process may use the address now. Its answer tells nothing
+        # Another process may use the address now. Its answer shows nothing
         # about the probed endpoint.
         if table.get('name') != endpoint.name:
             return _fail('another endpoint answers')
--- a/packages/verbenahall/tests/membership/test_differential.py
+++ b/packages/verbenahall/tests/membership/test_differential.py
@@ -87,7 +87,7 @@
 
 
 def find_marks(events, one, incarnation):
-    """Return whether the list and the last report say that a process leaves.
+    """Return whether the list and the last report each show it leaving.
 
     A list that still shows another incarnation after 30 s uses its own ones.
     """
--- a/packages/verbenahall/tests/membership/test_standings.py
+++ b/packages/verbenahall/tests/membership/test_standings.py
@@ -82,7 +82,7 @@
 
     assert len(names(state, 1)) == 6
 
-    # One failure seen here is enough for an engine in doubt.
+    # One failure is enough for an engine that the list has dropped.
     observe_failure(state, 'engine-5', 2)
     assert names(state, 2) == [f'engine-{number}' for number in range(5)]
 
