--- a/packages/verbenahall/src/verbenahall/log/_follower.py
+++ b/packages/verbenahall/src/verbenahall/log/_follower.py
@@ -20,8 +20,8 @@
     Record,
 )
 
-#: All streams but the snapshots. These are read when one is needed; followed,
-#: they would be sent to every instance each time that one of them writes one.
+#: All streams except that of snapshots, which are read only when one is needed.
+#: If they were followed, each new snapshot would be sent to every instance.
 FOLLOWED_STREAMS: Final = (
     SETTINGS_STREAM,
     AUTHORITY_STREAM,
@@ -89,7 +89,7 @@
         """Follow the log until cancelled; outages are retried."""
         while True:
             # The first poll doesn't wait, so that an instance that starts
-            # on a quiet log learns the log's end and is ready soon.
+            # on a quiet log reads the log's end and is ready soon.
             wait_s = 0 if self.head < 0 else _WAIT_S
             if not await self.poll(wait_s):
                 await self._pause()
--- a/packages/verbenahall/src/verbenahall/log/_messages.py
+++ b/packages/verbenahall/src/verbenahall/log/_messages.py
@@ -70,7 +70,7 @@
 
 def _read_record(row: dict[str, Any]) -> Record:
     # Any process that reaches the log can append a body that is no object.
-    # The folds get an empty body instead and refuse it.
+    # The folds get an empty body instead and reject it.
     body = row.get('body')
     return Record(
         offset=int(row['offset']),
--- a/packages/verbenahall/src/verbenahall/snapshots/_schedule.py
+++ b/packages/verbenahall/src/verbenahall/snapshots/_schedule.py
@@ -100,7 +100,7 @@
 ) -> float | None:
     """Return the longest random wait, or ``None`` if no snapshot is due.
 
-    The log does not tell how long it keeps a record. When its first offset
+    The log does not report how long it keeps a record. When its first offset
     passes the end of the newest snapshot, records between the two are lost
     and a new instance cannot start. The closer it comes, the shorter the
     wait. The first offset of a quiet log does not move while the snapshot's
--- a/packages/verbenahall/src/verbenahall/snapshots/_store.py
+++ b/packages/verbenahall/src/verbenahall/snapshots/_store.py
@@ -83,8 +83,8 @@
         """Pass the newest valid snapshot to ``apply``; return its offset.
 
         Only snapshots at or after ``min_offset`` count; returns 0 if none is
-        valid. A snapshot that is damaged, partly expired, not as its mark
-        says or refused by ``apply`` is skipped for the next older one.
+        valid. If a snapshot is damaged, has partly expired, differs from its
+        mark or is rejected by ``apply``, the next older one is tried.
         """
         found = await self.find_marks()
         if isinstance(found, Failure):
@@ -105,7 +105,7 @@
     async def write(self, packed: Packed) -> Result[Mark, Problem]:
         """Append the parts and then the mark.
 
-        If the writer dies in between, its parts have no mark and are never
+        If the process ends in between, the parts have no mark and are never
         read.
         """
         bodies = list(encode_parts(packed))
--- a/packages/verbenahall/tests/snapshots/test_damage.py
+++ b/packages/verbenahall/tests/snapshots/test_damage.py
@@ -54,7 +54,7 @@
     ],
 )
 def test_damaged_snapshot_gives_way_to_the_older(damage):
-    """The newest snapshot is truncated, changed or not as its mark says.
+    """The newest snapshot is truncated, changed or differs from its mark.
 
     An instance that loaded it would serve settings that were never published.
     It must start from the older snapshot and the records after that.
