--- a/packages/verbenahall/src/verbenahall/claims/_decisions.py
+++ b/packages/verbenahall/src/verbenahall/claims/_decisions.py
@@ -14,9 +14,9 @@
 
 
 def hash_key(workspace: str, key: str) -> str:
-    """Return the name of a caller's key in the log.
+    """Return the hash by which the log identifies a caller's key.
 
-    It is a digest of the workspace and the key. All names have the same
+    It is a digest of the workspace and the key. All hashes have the same
     length, so that a batch never exceeds the size of a record, and a key that
     is a secret is not written to the log.
     """
--- a/packages/verbenahall/src/verbenahall/front/_progress.py
+++ b/packages/verbenahall/src/verbenahall/front/_progress.py
@@ -47,7 +47,7 @@
 
     ``delivered_tokens`` counts the tokens sent to the caller, and ``version``
     is the model version that produced them. ``claim_offset`` is the offset of
-    the record that claimed the request's key, or None. ``may_have_run`` says
+    the record that claimed the request's key, or None. ``may_have_run`` means
     that an earlier attempt ended with an unknown outcome.
     """
 
--- a/packages/verbenahall/src/verbenahall/requests/_messages.py
+++ b/packages/verbenahall/src/verbenahall/requests/_messages.py
@@ -9,7 +9,7 @@
 
 @final
 class AttemptIds:
-    """Generates identities that are unique across restarts.
+    """Generates IDs that are unique across restarts.
 
     Each process draws a new incarnation, so a restarted instance does not
     mistake an answer to its predecessor's attempt for one to its own.
@@ -23,7 +23,7 @@
         self._numbers = itertools.count(1)
 
     def next_id(self) -> str:
-        """Return a new identity."""
+        """Return a new ID."""
         number = next(self._numbers)
         return f'{self._prefix}-{number:x}'
 
--- a/packages/verbenahall/src/verbenahall/rollout/_engines.py
+++ b/packages/verbenahall/src/verbenahall/rollout/_engines.py
@@ -28,7 +28,8 @@
 #: Interval in seconds between polls of engines without an order. A response
 #: has about half a kilobyte, so these polls receive 1 kB/s.
 _IDLE_SPACING_S: Final = 0.5
-#: Engines polled at the same time at most; a new holder has to poll all.
+#: Maximum number of engines polled at the same time; a new holder has to poll
+#: all engines.
 _MAX_PARALLEL_POLLS: Final = 8
 _MAX_POLL_TIMES: Final = 4096
 
--- a/packages/verbenahall/src/verbenahall/shutdown/_state.py
+++ b/packages/verbenahall/src/verbenahall/shutdown/_state.py
@@ -31,8 +31,8 @@
     def finishing(self) -> bool:
         """Whether new requests must be rejected.
 
-        It is true from the closing of the listener on: a stream accepted on an
-        idle connection a second later was cut off at the end of the grace
-        period.
+        It is true once the listener closes. Idle connections stay open for a
+        while longer, and a stream that was accepted on one of them was cut off
+        at the end of the grace period.
         """
         return self.phase in _FINISHING
