--- a/packages/verbenahall/src/verbenahall/usage/__init__.py
+++ b/packages/verbenahall/src/verbenahall/usage/__init__.py
@@ -14,11 +14,11 @@
 __all__ = (
     'DUTY',
     'LEASE_S',
-    'UsageReports',
     'Dependencies',
     'SyncedClock',
     'UsageExchange',
     'UsageMeter',
     'UsageReporter',
+    'UsageReports',
     'Windows',
 )
