--- a/packages/verbenahall/src/verbenahall/usage/_clock.py
+++ b/packages/verbenahall/src/verbenahall/usage/_clock.py
@@ -7,9 +7,11 @@
 
 from verbenahall.clock import Clock
 
-#: Number of offsets that are kept, of the latest messages with a time.
+#: Number of offsets that are kept, one for each of the latest messages that
+#: hold a time.
 _MAX_OFFSETS: Final = 8
-#: Number of clocks, with the local one, that a median needs.
+#: Least number of clocks, including the local one, for a median: of two clocks
+#: it would be the mean, which a wrong clock shifts.
 _MIN_CLOCKS: Final = 3
 
 
@@ -18,8 +20,8 @@
     """Seconds since 1970, on a clock that a wall clock step does not move.
 
     It adds an offset to ``boottime``, which also advances while a machine is
-    suspended. The wall clock is read once, at the start. As it may be wrong
-    by seconds then, the median over all instances is used once it is known.
+    suspended. The wall clock is read only once, at the start, and may be wrong
+    by seconds. So the median over all instances is used once it is known.
     """
 
     __slots__ = ('_boottime', '_local_offset', '_offsets')
@@ -33,7 +35,7 @@
         )
 
     def now(self) -> float:
-        """Return the time of day, agreed with the other instances."""
+        """Return the time of day that the instances have agreed on."""
         return self._boottime() + self._find_offset()
 
     def read_local(self) -> float:
@@ -55,13 +57,13 @@
     def find_median(self, leads: Iterable[float]) -> float | None:
         """Return the time by the median of all clocks, None if too few.
 
-        ``leads`` holds by how many seconds the clock of each other instance
-        is ahead of the local one.
+        ``leads`` holds the lead of each other instance's clock over the local
+        one, in seconds.
         """
-        known = [0, *leads]
-        if len(known) < _MIN_CLOCKS:
+        all_leads = [0, *leads]
+        if len(all_leads) < _MIN_CLOCKS:
             return None
-        return self.read_local() + statistics.median(known)
+        return self.read_local() + statistics.median(all_leads)
 
     def _find_offset(self) -> float:
         return max(self._offsets, default=self._local_offset)
