--- a/packages/verbenahall/src/verbenahall/usage/_decisions.py
+++ b/packages/verbenahall/src/verbenahall/usage/_decisions.py
@@ -8,11 +8,11 @@
 #: the time in which it must be reported. Plain requests are counted when they
 #: are answered.
 _SETTLED_SHARE: Final = 0.2
-#: Time after which a window is decided without the instances that have not
-#: answered, as such a share.
+#: Time after a window's end at which it is decided without the instances that
+#: have not answered, as a share of the same time.
 _MAX_WAIT_SHARE: Final = 0.4
-#: Time after which an instance that was not polled writes its counts to the
-#: store, as such a share.
+#: Time after a window's end at which an instance that was not polled writes its
+#: counts to the store, as a share of the same time.
 _WRITE_SHARE: Final = 0.3
 
 
@@ -68,7 +68,10 @@
 
 
 def find_settled(windows: Windows, window: int) -> float:
-    """Return the time after which a window's counts hardly grow."""
+    """Return the time from which an answer is complete for a window.
+
+    The window's counts hardly grow after it.
+    """
     return windows.find_end(window) + windows.late_s * _SETTLED_SHARE / 2
 
 
