--- a/packages/verbenahall/src/verbenahall/usage/_exchange.py
+++ b/packages/verbenahall/src/verbenahall/usage/_exchange.py
@@ -8,7 +8,7 @@
 from returns.result import Success
 
 from verbenahall import clock, journal
-from verbenahall.peers import PeerTable, PeerExchange, list_top_ranked
+from verbenahall.peers import PeerExchange, PeerTable, list_top_ranked
 from verbenahall.platform import (
     USAGE_TOPIC,
     Appended,
@@ -19,12 +19,12 @@
 from verbenahall.usage._clock import SyncedClock
 from verbenahall.usage._gathering import GatheredCounts
 from verbenahall.usage._messages import (
-    UsagePoll,
     UsageAnswer,
+    UsagePoll,
     decode,
     decode_written,
-    encode_poll,
     encode_answer,
+    encode_poll,
     encode_written,
     split_counts,
 )
@@ -32,7 +32,7 @@
 
 #: Name of the duty, by which instances are ranked for it.
 DUTY: Final = 'usage'
-#: Number of instances that get the counts of the holder at each poll.
+#: Number of instances that receive the holder's own counts at each poll.
 _SUCCESSORS: Final = 3
 #: Digits of the identifier of this run of the process.
 _RUN_DIGITS: Final = 8
@@ -40,20 +40,20 @@
 
 @final
 class UsageExchange:
-    """Gathers counts by datagrams, and from the store if these are lost.
+    """Gathers counts by datagrams, and from the store if datagrams are lost.
 
     ``polled_at`` is when the last poll was received, in seconds since 1970.
     """
 
     __slots__ = (
-        'polled_at',
         'gathered',
         'meter',
-        '_peer_table',
+        'polled_at',
         '_clock',
         '_exchange',
         '_next_handler',
         '_numbers',
+        '_peer_table',
         '_poller',
         '_run',
         '_store',
@@ -76,6 +76,7 @@
         self._exchange = exchange
         self._next_handler = exchange.fallback_handler
         self._numbers = itertools.count(1)
+        # Address of the instance that polled last.
         self._poller = ''
         self._run = uuid.uuid4().hex[:_RUN_DIGITS]
         self._store = store
@@ -110,7 +111,7 @@
             self._send_counts(0, self._poller)
 
     def list_unanswered(self, since: float) -> list[str]:
-        """Return the instances that have not answered since a time."""
+        """Return the instances without a complete answer since a time."""
         return list(
             self.gathered.list_unanswered(self._peer_table.peers, since)
         )
@@ -121,7 +122,7 @@
         self.gathered.discard_before(window)
 
     async def write_counts(self) -> bool:
-        """Write the local counts to the store; return whether they are in."""
+        """Write the local counts; return whether the store accepted them."""
         content = encode_written(self._run, self.meter.counts)
         record = encode_keyed(KeyedRecord(self._peer_table.name, content))
         outcome = await self._store.append(USAGE_TOPIC, [record])
@@ -129,7 +130,7 @@
         return isinstance(outcome, Appended)
 
     async def read_counts(self) -> bool:
-        """Merge the counts in the store; False if it is unavailable."""
+        """Merge the counts from the store; False if it is unavailable."""
         match await self._store.read_newest(USAGE_TOPIC):
             case Success(newest):
                 for name, content in newest.items.items():
