--- a/packages/verbenahall/src/verbenahall/usage/_gathering.py
+++ b/packages/verbenahall/src/verbenahall/usage/_gathering.py
@@ -1,4 +1,4 @@
-"""Counts of all instances, as gathered by the reporting one."""
+"""Counts of all instances, gathered by the instance that reports them."""
 
 import collections
 import dataclasses
@@ -26,11 +26,11 @@
     """Counts by run of an instance; they never decrease.
 
     ``answered_at`` is when an instance's last complete answer was received,
-    in seconds since 1970, and ``leads`` by how many seconds its clock was
-    ahead of the local one.
+    in seconds since 1970, and ``leads`` holds the lead of its clock over the
+    local one, in seconds.
     """
 
-    __slots__ = ('counts', 'answered_at', 'leads', '_answers')
+    __slots__ = ('answered_at', 'counts', 'leads', '_answers')
 
     def __init__(self) -> None:
         """Start without counts."""
@@ -82,12 +82,12 @@
         return dict(total)
 
     def discard_before(self, window: int) -> None:
-        """Discard the windows before ``window``, and runs without others."""
+        """Discard windows before ``window``, and runs without later ones."""
         for run, windows in tuple(self.counts.items()):
             kept = {
-                known: rows
-                for known, rows in windows.items()
-                if known >= window
+                counted: rows
+                for counted, rows in windows.items()
+                if counted >= window
             }
             if kept:
                 self.counts[run] = kept
