--- a/packages/verbenahall/src/verbenahall/usage/_ledger.py
+++ b/packages/verbenahall/src/verbenahall/usage/_ledger.py
@@ -29,7 +29,11 @@
     counts: Counts,
     still_open: Mapping[int, Counts],
 ) -> ReportLedger:
-    """Return a ledger with one more decided window and the open reports."""
+    """Return a ledger with one more decided window.
+
+    ``still_open`` holds the earlier reports that are still to be sent. Raises
+    ``ValueError`` if the window was decided before.
+    """
     if window <= ledger.last:
         raise ValueError(f'window {window} was decided before')
     return ReportLedger(window, {**still_open, window: counts})
