--- a/packages/verbenahall/src/verbenahall/usage/_messages.py
+++ b/packages/verbenahall/src/verbenahall/usage/_messages.py
@@ -11,9 +11,11 @@
 from verbenahall import wire
 from verbenahall.usage._meter import Counts
 
+#: First bytes of each kind of datagram, by which others are recognised without
+#: being decoded.
 _POLL_START: Final = b'{"usage_poll":'
 _ANSWER_START: Final = b'{"usage_told":'
-#: Number of counts with which a datagram stays under 1,400 bytes.
+#: Most counts in a datagram, which keeps it under 1,400 bytes.
 _MAX_COUNTS_PER_DATAGRAM: Final = 40
 
 
@@ -29,8 +31,9 @@
 class UsageAnswer:
     """A part of the counts of one run of an instance, in answer to a poll.
 
-    ``number`` is that of the poll, ``part`` the index of this part of
-    ``parts``, and ``at`` the time by the instance's local clock.
+    ``number`` is that of the poll, or 0 for counts that are sent without one.
+    ``part`` is the index of this part of ``parts``, and ``at`` the time by the
+    instance's local clock.
     """
 
     instance: str
@@ -67,7 +70,7 @@
 
 
 def decode(datagram: bytes) -> Maybe[Message]:
-    """Decode a datagram; return Nothing if it is malformed or another one."""
+    """Decode a datagram; Nothing if it is malformed or of another kind."""
     if not datagram.startswith((_POLL_START, _ANSWER_START)):
         return Nothing
     match wire.decode_table(datagram):
@@ -98,9 +101,9 @@
     """Split counts into one or more parts that each fit into a datagram."""
     cells = _list_cells(counts)
     parts: list[dict[int, Counts]] = []
-    while taken := list(itertools.islice(cells, _MAX_COUNTS_PER_DATAGRAM)):
+    while chunk := list(itertools.islice(cells, _MAX_COUNTS_PER_DATAGRAM)):
         part: dict[int, Counts] = {}
-        for window, workspace, count in taken:
+        for window, workspace, count in chunk:
             part[window] = {**part.get(window, {}), workspace: count}
         parts.append(part)
     return parts or [{}]
