--- a/packages/verbenahall/src/verbenahall/usage/_meter.py
+++ b/packages/verbenahall/src/verbenahall/usage/_meter.py
@@ -35,10 +35,10 @@
 
     def has_counts(self, window: int) -> bool:
         """Whether there are counts of a window or of an earlier one."""
-        return any(known <= window for known in self.counts)
+        return any(counted <= window for counted in self.counts)
 
     def discard_before(self, window: int) -> None:
         """Discard the windows before ``window``."""
-        for known in tuple(self.counts):
-            if known < window:
-                self.counts.pop(known)
+        for counted in tuple(self.counts):
+            if counted < window:
+                self.counts.pop(counted)
