--- a/packages/verbenahall/src/verbenahall/usage/_reports.py
+++ b/packages/verbenahall/src/verbenahall/usage/_reports.py
@@ -1,9 +1,9 @@
 """Decides each window's report once, and sends decided reports.
 
-A report whose response was lost may be carried out seconds later. If a second
-report of the window had other counts, the platform would bill it twice. So a
-report is written to the store before it is sent, and every holder sends the
-report from the store.
+If the response to a report is lost, the platform may still process the report,
+even seconds later. A second report of the window with other counts would then
+bill the window twice. So a report is written to the store before it is sent,
+and every holder of the duty sends the report from the store.
 """
 
 from collections.abc import Iterable
@@ -32,6 +32,7 @@
 )
 from verbenahall.usage._meter import Counts
 
+#: Key of the ledger in its topic.
 _KEY: Final = 'ledger'
 
 
@@ -92,20 +93,20 @@
         return True
 
     def discard(self) -> None:
-        """Discard the data that another holder may change."""
+        """Discard the state that another holder of the duty may change."""
         self.ledger = None
         self._sent.clear()
 
     async def decide(self, window: int, counts: Counts, now: float) -> bool:
-        """Write a window's report to the store; return whether it is in."""
+        """Write a window's report; return whether the store has accepted it."""
         ledger = self.ledger
         if ledger is None:
             return False
         overdue = self._windows.find_overdue(now)
         still_open = {
-            known: rows
-            for known, rows in ledger.open.items()
-            if known not in self._sent and known > overdue
+            decided: rows
+            for decided, rows in ledger.open.items()
+            if decided not in self._sent and decided > overdue
         }
         updated = decide(ledger, window, counts, still_open)
         record = encode_keyed(KeyedRecord(_KEY, encode_ledger(updated)))
@@ -125,7 +126,7 @@
         return True
 
     def list_unsent(self, now: float) -> Iterable[int]:
-        """Return decided windows with a report neither sent nor overdue."""
+        """Return the decided windows whose reports can still be sent."""
         ledger = self.ledger
         if ledger is None:
             return ()
