--- a/packages/verbenahall/src/verbenahall/usage/_shell.py
+++ b/packages/verbenahall/src/verbenahall/usage/_shell.py
@@ -19,7 +19,7 @@
 from verbenahall.usage._exchange import DUTY, UsageExchange
 from verbenahall.usage._reports import UsageReports
 
-#: Interval of the loop, in seconds.
+#: Interval at which the loop runs a step, in seconds.
 _CHECK_INTERVAL_S: Final = 0.1
 #: Interval of the holder's polls, in seconds. A killed instance loses what it
 #: has counted since the last poll.
@@ -28,7 +28,7 @@
 LEASE_S: Final = 2.5
 #: Time before a failed call is retried, in seconds.
 _RETRY_INTERVAL_S: Final = 0.4
-#: Number of overdue windows whose counts are kept.
+#: Number of windows before the last overdue one whose counts are kept.
 _EXTRA_WINDOWS: Final = 2
 
 
@@ -51,10 +51,10 @@
     """Carries out the duty of usage reports if this instance holds it."""
 
     __slots__ = (
+        '_dependencies',
+        '_failed_at',
         '_holds_duty',
         '_polled_at',
-        '_failed_at',
-        '_dependencies',
         '_written_window',
     )
 
@@ -85,8 +85,8 @@
             dependencies.reports.discard()
         else:
             await self._write_unpolled(at)
-        kept = dependencies.windows.find_overdue(at) - _EXTRA_WINDOWS
-        dependencies.exchange.discard_before(kept)
+        first_kept = dependencies.windows.find_overdue(at) - _EXTRA_WINDOWS
+        dependencies.exchange.discard_before(first_kept)
 
     async def _run_duty(self, at: float) -> None:
         """Poll counts, decide the windows that are due, and send reports."""
@@ -100,7 +100,7 @@
             self._failed_at = self._dependencies.now()
 
     async def _report_due(self, at: float) -> bool:
-        """Decide and send under the lease; return whether all succeeded."""
+        """Decide and send what is due; return whether all calls succeeded."""
         reports = self._dependencies.reports
         if reports.ledger is None and not await reports.load(at):
             return False
@@ -164,7 +164,7 @@
         return True
 
     def _check_lease_lost(self) -> bool:
-        """Step down if another instance holds the lease."""
+        """Step down if another instance holds the lease; return False."""
         lease = self._dependencies.lease
         if lease.grant.token and lease.grant.holder != lease.holder:
             self._step_down('another instance holds the lease')
