--- a/packages/verbenahall/src/verbenahall/scaling/_bases.py
+++ b/packages/verbenahall/src/verbenahall/scaling/_bases.py
@@ -25,13 +25,13 @@
 
 @final
 class BaseSizes:
-    """Base sizes by service, in the store for all holders of the duty.
+    """Base sizes by service, kept in the store for all holders of the duty.
 
     The first holder counts the engines. If a later holder counted again, it
     would include the engines that scaling has added.
     """
 
-    __slots__ = ('_bases', '_now', '_joins', '_store')
+    __slots__ = ('_bases', '_joins', '_now', '_store')
 
     def __init__(self, store: StoreClient, now: Clock) -> None:
         """Start without base sizes."""
@@ -64,7 +64,7 @@
         return base
 
     async def _write(self, service: str, engines: int, end: int) -> int:
-        """Write a base size to the store; return 0 unless it is in."""
+        """Write a base size; return it, or 0 if the write may have failed."""
         content = wire.encode({'base': engines})
         record = encode_keyed(KeyedRecord(service, content))
         outcome = await self._store.append(SCALING_TOPIC, [record], end)
