--- a/packages/verbenahall/src/verbenahall/scaling/_decisions.py
+++ b/packages/verbenahall/src/verbenahall/scaling/_decisions.py
@@ -22,7 +22,10 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class EngineMix:
-    """Number of engines of each kind in each data centre."""
+    """Number of engines of each kind in each data centre.
+
+    ``spot`` is infinite if no data centre would be left after reclaims.
+    """
 
     on_demand: int
     spot: int | float
@@ -37,7 +40,8 @@
         _add_spot(on_demand, base - centres * on_demand, centres - reclaimed)
         for on_demand in range(max_on_demand + 1)
     ]
-    # If no mix fits, one without spot instances leaves the service as it is.
+    # If no mix fits, a mix without spot instances is returned, for which
+    # nothing is ordered.
     return min(
         (mix for mix in mixes if mix.on_demand + mix.spot <= rules.max_engines),
         key=lambda mix: mix.on_demand + mix.spot * rules.spot_share,
@@ -46,7 +50,10 @@
 
 
 def _add_spot(on_demand: int, missing: int, left: int) -> EngineMix:
-    """Return a mix with ``missing`` spot instances in ``left`` centres."""
+    """Return a mix with ``missing`` spot instances in ``left`` data centres.
+
+    Every data centre gets the number that each of the ``left`` ones needs.
+    """
     if missing <= 0:
         return EngineMix(on_demand, 0)
     spot = math.ceil(missing / left) if left else math.inf
@@ -70,7 +77,7 @@
     ``base`` engines must serve at any time. ``present`` holds the current
     sizes, and ``closed`` the pools without available capacity. On-demand
     engines replace spot instances that are missing. A service for which spot
-    instances would not be cheaper is left as it is.
+    instances would not be cheaper gets no orders.
     """
     mix = choose_mix(rules, base)
     if not mix.spot:
@@ -92,8 +99,8 @@
     for pool, wanted in on_demand.items():
         # The limit applies to both kinds together.
         room = rules.max_engines - max(wanted, present.get(pool, 0))
-        beside = Pool(pool.data_centre, CapacityKind.SPOT)
-        sizes[beside] = max(0, min(mix.spot, room))
+        spot_pool = Pool(pool.data_centre, CapacityKind.SPOT)
+        sizes[spot_pool] = max(0, min(mix.spot, room))
     return sizes
 
 
@@ -140,9 +147,9 @@
 
 def _find_room(rules: ScalingRules, data_centre: str, present: Sizes) -> int:
     """Return how many more engines a data centre may have."""
-    there = sum(
+    engines = sum(
         count
         for pool, count in present.items()
         if pool.data_centre == data_centre
     )
-    return max(0, rules.max_engines - there)
+    return max(0, rules.max_engines - engines)
