--- a/packages/verbenahall/src/verbenahall/scaling/_messages.py
+++ b/packages/verbenahall/src/verbenahall/scaling/_messages.py
@@ -8,7 +8,7 @@
 
 @final
 class CapacityKind(enum.Enum):
-    """Whether the platform may reclaim an engine at any time."""
+    """The kind of an engine; the platform may reclaim ``SPOT`` ones."""
 
     ON_DEMAND = 'on_demand'
     SPOT = 'spot'
