--- a/packages/verbenahall/src/verbenahall/scaling/_shell.py
+++ b/packages/verbenahall/src/verbenahall/scaling/_shell.py
@@ -7,25 +7,25 @@
 from typing import Final, final
 
 from verbenahall import journal
+from verbenahall.catalog import ScalingRules
 from verbenahall.clock import Clock
 from verbenahall.duties import DutyLease, Succession
 from verbenahall.platform import (
     DutyClient,
     DutyOutcome,
-    ScaleOrder,
     LeaseToken,
+    ScaleOrder,
     StoreClient,
 )
 from verbenahall.roster import Entry
 from verbenahall.scaling._bases import BaseSizes
 from verbenahall.scaling._decisions import plan_sizes
-from verbenahall.catalog import ScalingRules
 from verbenahall.scaling._messages import CapacityKind, Pool, Sizes
 from verbenahall.scaling._state import PoolOrders
 
 #: Name of the duty, and of its lease.
 DUTY: Final = 'scale'
-#: Interval in seconds at which the pools are checked.
+#: Interval at which the pools are checked, in seconds.
 _CHECK_INTERVAL_S: Final = 0.4
 #: Lease on the duty, in seconds; it is acquired again once it has ended.
 LEASE_S: Final = 5.0
@@ -39,7 +39,8 @@
 
     ``list_rules`` returns the rules of the services that are scaled, and
     ``list_engines`` the engines of a service that may get requests.
-    ``is_list_current`` returns whether the store's list of engines is current.
+    ``is_list_current`` returns whether the local copy of the store's list of
+    engines is current.
     """
 
     name: str
@@ -59,10 +60,10 @@
 
     __slots__ = (
         '_bases',
+        '_dependencies',
+        '_failed_at',
         '_holds_duty',
         '_orders',
-        '_failed_at',
-        '_dependencies',
     )
 
     def __init__(self, dependencies: Dependencies) -> None:
@@ -101,11 +102,11 @@
             if lease.grant.token and lease.grant.holder != lease.holder:
                 self._step_down('another instance holds the lease')
             return
-        for service, bounds in rules.items():
+        for service, service_rules in rules.items():
             engines = self._dependencies.list_engines(service)
             base = await self._bases.find(service, engines)
             if base:
-                await self._scale(service, bounds, base, token)
+                await self._scale(service, service_rules, base, token)
 
     async def _scale(
         self,
@@ -160,7 +161,8 @@
                 self._dependencies.lease.discard_token()
                 self._step_down('a higher token was seen')
             case DutyOutcome.FENCED | DutyOutcome.REJECTED:
-                # The lease is still held, so the pool has no capacity.
+                # The lease is still held, so the refusal means that the pool
+                # has no available capacity.
                 orders.record_unavailable(pool, now)
             case _:
                 self._failed_at = now
