--- a/packages/verbenahall/src/verbenahall/scaling/_state.py
+++ b/packages/verbenahall/src/verbenahall/scaling/_state.py
@@ -1,4 +1,4 @@
-"""The orders of the instance that scales, and when to send new ones."""
+"""Orders that the holder of the duty has sent, and when it sends new ones."""
 
 import dataclasses
 import math
@@ -12,7 +12,7 @@
 _FIRST_CLOSED_S: Final = 1.0
 _MAX_CLOSED_S: Final = 4.0
 #: Time in seconds for which on-demand engines are kept when they are no longer
-#: needed, since data centres lose their spot instances one after the other.
+#: needed, since data centres may lose their spot instances one after the other.
 _ON_DEMAND_HOLD_S: Final = 10.0
 #: Time in seconds beyond the boot time after which an order is repeated if the
 #: pool has another size: an earlier order may have been carried out late.
@@ -21,7 +21,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class _Closure:
-    """Until when a pool gets no orders, and the length of that time."""
+    """Until when a pool gets no orders, and the length of this pause."""
 
     until: float
     pause_s: float
@@ -29,7 +29,11 @@
 
 @final
 class PoolOrders:
-    """Orders for one service while the duty is held; in monotonic seconds."""
+    """Orders for one service while the duty is held; times are monotonic.
+
+    ``_matched_at`` is when a pool last had its target size or got an order,
+    ``_needed_at`` when all of its engines were last needed.
+    """
 
     __slots__ = ('_closures', '_ordered', '_matched_at', '_needed_at')
 
@@ -95,7 +99,7 @@
     def _record_present(
         self, wanted: Sizes, present: Sizes, now: float
     ) -> None:
-        """Record which pools have the target size or need all engines."""
+        """Record which pools match their target and which need all engines."""
         for pool, size in wanted.items():
             engines = present.get(pool, 0)
             if engines == size:
@@ -133,7 +137,7 @@
         return overdue_s > rules.boot_s + _ORDER_SLACK_S
 
     def _is_held(self, pool: Pool, now: float) -> bool:
-        """Whether on-demand engines are kept for a while, needed or not."""
+        """Whether a pool's engines are kept as they were needed recently."""
         ordered = pool in self._ordered
         needed_at = self._needed_at.get(pool, -math.inf)
         return ordered and now - needed_at < _ON_DEMAND_HOLD_S
