--- a/packages/verbenahall/src/verbenahall/duties/_lease.py
+++ b/packages/verbenahall/src/verbenahall/duties/_lease.py
@@ -3,8 +3,8 @@
 The store never deletes the newest record of a key, so a successor always finds
 it. Every append is conditional on the offset at which the topic ended when the
 record was read, so the store accepts only one of two concurrent claims. The
-offset of the claim is the fencing token, which no other holder can have. All
-duties share the topic, so tokens of different duties differ, too.
+offset of the claim plus one is the fencing token, which no other holder can
+have. All duties share the topic, so tokens of different duties differ, too.
 """
 
 import dataclasses
@@ -42,7 +42,11 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class _Record:
-    """The lease's newest record; ``token`` 0 stands for the record's offset."""
+    """The newest record of a lease.
+
+    In a claim ``token`` is 0, since the token follows from the offset of the
+    record.
+    """
 
     holder: str
     token: int
@@ -115,9 +119,9 @@
     def discard_token(self) -> None:
         """Discard a token that was refused, so that it isn't used again.
 
-        The candidate takes a new holder's name. Its old record then counts as
-        another holder's, whose lease has to expire first. Under the old name
-        the next read of the store would restore the token.
+        The candidate gets a new name. Its old record then counts as that of
+        another holder, whose lease has to expire first. With the old name, the
+        next read of the store would restore the token.
         """
         self._candidacy = Candidacy(
             self.duty,
@@ -126,7 +130,7 @@
         )
 
     async def read(self) -> Grant:
-        """Read the current grant; a successor's wait is counted from here."""
+        """Read the current grant; a successor's wait starts at this read."""
         await self._refresh()
         return self.grant
 
@@ -154,8 +158,8 @@
     async def release(self) -> None:
         """Release the lease, so that a successor can claim it at once.
 
-        Call it only when the last order is so old that a successor's first
-        order can't appear interleaved with it.
+        Call it only when the last order is so old that it can't be carried out
+        after the first order of a successor.
         """
         if self.token() is not None:
             await self._append(Release(self._end), token=0, holder='')
@@ -235,7 +239,7 @@
 
 
 def _make_holder(instance: str) -> str:
-    """Return a new unique holder's name."""
+    """Return a new unique name of a holder."""
     suffix = uuid.uuid4().hex[:_SUFFIX_DIGITS]
     return f'{instance}-{suffix}'
 
