--- a/packages/verbenahall/src/verbenahall/duties/_succession.py
+++ b/packages/verbenahall/src/verbenahall/duties/_succession.py
@@ -1,4 +1,4 @@
-"""Standbys that check the holder of a duty and take over if it fails."""
+"""Standbys that check the lease on a duty and take over from the holder."""
 
 from typing import Final, final
 
@@ -6,7 +6,7 @@
 from verbenahall.duties._lease import DutyLease
 from verbenahall.peers import PeerTable, find_rank
 
-#: Number of instances that check the holder, one after the other.
+#: Number of instances that check the lease, one after the other.
 _MAX_STANDBYS: Final = 3
 #: Delay between the checks of two successive standbys, in seconds.
 _RANK_DELAY_S: Final = 1.0
@@ -28,13 +28,13 @@
     """
 
     __slots__ = (
-        '_peer_table',
-        '_lease',
+        '_attempted_at',
         '_check_at',
+        '_lease',
         '_now',
+        '_peer_table',
         '_period_s',
         '_seen_grant',
-        '_attempted_at',
         '_should_claim',
     )
 
@@ -81,10 +81,11 @@
         rank = find_rank(self._peer_table, self._lease.duty, now)
         if rank < _MAX_STANDBYS and now < due + rank * _RANK_DELAY_S:
             return
-        # After a pause of the process the missed checks are made up by one.
+        # After a pause of the process, one check replaces all missed ones.
         self._check_at = max(due, now - self._period_s) + self._period_s
         if rank < _MAX_STANDBYS:
             grant = await self._lease.read()
+            # An unchanged grant was not renewed since the last check.
             self._should_claim = (
                 not grant.token or grant.last == self._seen_grant
             )
@@ -96,6 +97,6 @@
             self._should_claim = False
             return True
         grant = self._lease.grant
-        # Meanwhile another instance may have claimed or renewed the lease.
+        # Another instance may have claimed or renewed the lease meanwhile.
         self._should_claim = not grant.token or grant.last == self._seen_grant
         return False
