--- a/packages/verbenahall/src/verbenahall/throttling/_messages.py
+++ b/packages/verbenahall/src/verbenahall/throttling/_messages.py
@@ -19,8 +19,9 @@
 class PermitRequest:
     """A request for permission to send, after ``longest_s`` seconds at most.
 
-    ``endpoint`` identifies the endpoint's incarnation, and ``rate`` is the rate
-    that the sender has recorded for it, in requests a second.
+    ``key`` identifies the request in its response. ``endpoint`` identifies the
+    endpoint's incarnation, and ``rate`` is the rate that the sender has
+    recorded for it, in requests a second.
     """
 
     key: int
