--- a/packages/verbenahall/src/verbenahall/throttling/_state.py
+++ b/packages/verbenahall/src/verbenahall/throttling/_state.py
@@ -41,6 +41,6 @@
 
     def retain(self, incarnations: Collection[str]) -> None:
         """Remove the state of endpoints that are no longer listed."""
-        for kept in (self.rates, self.next_at):
-            for incarnation in kept.keys() - incarnations:
-                kept.pop(incarnation)
+        for table in (self.rates, self.next_at):
+            for incarnation in table.keys() - incarnations:
+                table.pop(incarnation)
