--- a/packages/verbenahall/src/verbenahall/quarantine/_decisions.py
+++ b/packages/verbenahall/src/verbenahall/quarantine/_decisions.py
@@ -29,7 +29,7 @@
     fingerprint: str,
     at: float,
 ) -> bool:
-    """Record that a request ran at a crashed endpoint; False if it is known."""
+    """Record that a request ran at a crashed endpoint; False if known."""
     suspect = log.suspects.get(fingerprint)
     if suspect is not None and incarnation in suspect.crashes:
         return False
@@ -86,7 +86,11 @@
     return _make_report(
         log,
         now,
-        [one for one in reversed(log.suspects) if is_repeated(log, one)],
+        [
+            fingerprint
+            for fingerprint in reversed(log.suspects)
+            if is_repeated(log, fingerprint)
+        ],
     )
 
 
@@ -97,7 +101,10 @@
         for fingerprint, suspect in reversed(log.suspects.items())
         if now - suspect.last_at < _RECENT_S
     ]
-    recent.sort(key=lambda one: is_repeated(log, one), reverse=True)
+    recent.sort(
+        key=lambda suspected: is_repeated(log, suspected),
+        reverse=True,
+    )
     return _make_report(log, now, recent)
 
 
