--- a/packages/verbenahall/src/verbenahall/quarantine/_fingerprint.py
+++ b/packages/verbenahall/src/verbenahall/quarantine/_fingerprint.py
@@ -17,9 +17,9 @@
 ) -> str:
     """Return a hash that is the same for equal requests from any address.
 
-    ``target`` is the path with its query. The caller's address is left out: its
-    connections to different data centres have different source addresses. The
-    body can't be recovered from the hash::
+    ``target`` is the path with its query. The caller's address is left out,
+    since one caller's connections to different data centres have different
+    source addresses. The body can't be recovered from the hash::
 
         make_fingerprint('GET', 'desk.example', '/page/1', b'')
     """
