--- a/packages/verbenahall/src/verbenahall/authentication/__init__.py
+++ b/packages/verbenahall/src/verbenahall/authentication/__init__.py
@@ -6,13 +6,13 @@
     is_retired,
     record_retired,
 )
-from verbenahall.authentication._refresh import KeyRefresher
 from verbenahall.authentication._messages import (
     KeyTable,
     Workspace,
     build_key_table,
     digest_key,
 )
+from verbenahall.authentication._refresh import KeyRefresher
 
 __all__ = (
     'KeyHistory',
