--- a/packages/verbenahall/src/verbenahall/authentication/_decisions.py
+++ b/packages/verbenahall/src/verbenahall/authentication/_decisions.py
@@ -28,7 +28,7 @@
     *,
     public: bool,
 ) -> Result[Workspace | None, Problem]:
-    """Return the workspace that holds a key, or a problem if it is unknown.
+    """Return the workspace that holds a key, or a problem for an unknown key.
 
     Success with None means that the request runs without a workspace: no
     ``table`` is in force, or the route is ``public`` and the key unknown.
