--- a/packages/verbenahall/src/verbenahall/authentication/_refresh.py
+++ b/packages/verbenahall/src/verbenahall/authentication/_refresh.py
@@ -18,7 +18,7 @@
     The argument ``refresh`` reads newer manifests from the store.
     """
 
-    __slots__ = ('_pending', '_started_at', '_clock', '_refresh')
+    __slots__ = ('_clock', '_pending', '_refresh', '_started_at')
 
     def __init__(
         self,
