--- a/packages/verbenahall/src/verbenahall/catalog/_messages.py
+++ b/packages/verbenahall/src/verbenahall/catalog/_messages.py
@@ -10,7 +10,7 @@
 
 @final
 class RouteKind(enum.Enum):
-    """Whether a request may be repeated, or its answer is an event stream."""
+    """Whether requests may be repeated, or are answered by an event stream."""
 
     IDEMPOTENT = 'idempotent'
     NON_IDEMPOTENT = 'non_idempotent'
@@ -107,7 +107,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Limits:
-    """Limits of the size of requests and of the time that callers idle."""
+    """Limits on the size of requests and on the time that callers may idle."""
 
     header_bytes: int
     body_bytes: int
