--- a/packages/verbenahall/src/verbenahall/catalog/_state.py
+++ b/packages/verbenahall/src/verbenahall/catalog/_state.py
@@ -22,15 +22,15 @@
 
 
 def apply_catalog(state: CatalogState, catalog: Catalog) -> bool:
-    """Put a catalog in force if it is newer; return whether it is.
+    """Put a catalog in force if it is newer; return whether it was.
 
-    A fresh read of the store may return an older record than one that was
-    followed. The older version would route requests to a service that the
-    operator has removed.
+    A read of the store may return an older record than one that was received
+    before. With the older version, requests would be routed to a service that
+    the operator has removed.
     """
-    known = state.catalog
-    if known is not None and catalog.version <= known.version:
+    current = state.catalog
+    if current is not None and catalog.version <= current.version:
         return False
-    record_retired(state.keys, known.keys if known else None, catalog.keys)
+    record_retired(state.keys, current.keys if current else None, catalog.keys)
     state.catalog = catalog
     return True
