--- a/packages/verbenahall/src/verbenahall/platform/_connections.py
+++ b/packages/verbenahall/src/verbenahall/platform/_connections.py
@@ -1,7 +1,7 @@
 """HTTP connections to endpoints and to the store.
 
-aiohttp takes the next message on a connection for the answer to its last
-request, and takes an answer without a length for complete however the
+aiohttp treats the next message on a connection as the answer to the last
+request, and treats an answer without a length as complete however the
 connection ended. Endpoints may send a late second answer, and connections
 may be reset, so this module checks both below aiohttp's response parsing.
 """
@@ -38,7 +38,7 @@
 _IDLE_MARGIN_S: Final = 0.5
 #: All exceptions of a call that ends without a complete answer.
 CALL_FAILURES: Final = (aiohttp.ClientError, OSError, TimeoutError)
-#: Those of them after which no byte of the request was sent.
+#: The exceptions among these after which no byte of the request was sent.
 CONNECT_FAILURES: Final = (
     aiohttp.ClientConnectorError,
     aiohttp.ConnectionTimeoutError,
@@ -88,10 +88,10 @@
     def data_received(self, data: bytes) -> None:
         """Keep a complete answer that is followed by stray bytes.
 
-        aiohttp parses each chunk in one go and drops an answer from the
-        chunk when it fails at stray bytes behind it, so that a caller would
-        get an error although the request has run. The headers are therefore
-        passed on separately.
+        aiohttp parses each chunk as a whole. If stray bytes follow an answer
+        in the chunk, parsing fails and the answer is lost, so that the caller
+        would get an error although the request has run. The headers are
+        therefore passed on separately.
         """
         head, end, rest = data.partition(_HEAD_END)
         if rest and (self._payload is None or self._payload.is_eof()):
@@ -103,8 +103,8 @@
     def connection_lost(self, exc: BaseException | None) -> None:
         """Fail an answer whose connection was reset before its end.
 
-        An answer without a length ends when its connection closes; aiohttp
-        would take what came before a reset for the complete answer.
+        An answer without a length ends when its connection closes. aiohttp
+        would treat the bytes received before a reset as the complete answer.
         """
         payload = self._payload
         if exc is not None and payload is not None and not payload.is_eof():
@@ -163,9 +163,9 @@
         ),
         timeout=aiohttp.ClientTimeout(total=None, sock_connect=CONNECT_S),
     )
-    # aiohttp would repeat a GET by itself when a kept connection closes: a
-    # second run that no retry budget counts, also of calls that may run
-    # only once.
+    # aiohttp would repeat a GET by itself if a reused connection closes. No
+    # retry budget would count this second run, and it would also happen to
+    # calls that may run only once.
     session._retry_connection = False  # noqa: SLF001, WPS437
     return session
 
