--- a/packages/verbenahall/src/verbenahall/platform/_headers.py
+++ b/packages/verbenahall/src/verbenahall/platform/_headers.py
@@ -39,10 +39,10 @@
 class RequestHead:
     """The headers of a caller's request that the system uses.
 
-    ``wait_s`` is how long the caller still waits, None if it is not stated.
-    ``last_event`` is the last event that the caller received of a broken
-    stream. ``key`` is the digest of its API key, empty if there is none or
-    more than one.
+    ``identity`` is the request id, empty if there is none. ``wait_s`` is how
+    long the caller still waits, None if it is not stated. ``last_event`` is
+    the last event that the caller received of a broken stream. ``key`` is the
+    digest of its API key, empty if there is none or more than one.
     """
 
     identity: str
@@ -56,8 +56,9 @@
 class SendOptions:
     """The headers that the system sets on one send to an endpoint.
 
-    ``kv_source`` locates the KV cache of the prompt (address and handle).
-    With ``prefill_only`` the engine prefills the prompt and decodes nothing.
+    ``endpoint`` is the name of the endpoint that must answer. ``kv_source``
+    locates the KV cache of the prompt (address and handle). With
+    ``prefill_only`` the engine prefills the prompt and decodes nothing.
     """
 
     endpoint: str
@@ -108,8 +109,8 @@
     """Build the headers of a send from those of the caller.
 
     ``workspace`` is passed to the endpoint if the request belongs to one.
-    Headers that only the system may set are removed from the caller's: with
-    them a caller could read the KV cache of another one.
+    Headers that only the system may set are removed from the caller's. A caller
+    that could set them would, for example, read another one's KV cache.
     """
     headers = strip_hop_headers(raw, names.SYSTEM_HEADERS)
     headers[names.EXPECT_ENDPOINT] = options.endpoint
