--- a/packages/verbenahall/src/verbenahall/platform/_manifest.py
+++ b/packages/verbenahall/src/verbenahall/platform/_manifest.py
@@ -15,9 +15,9 @@
 from verbenahall.catalog import (
     Catalog,
     EngineTraits,
-    RouteKind,
     Limits,
     Route,
+    RouteKind,
     ScalingRules,
     Service,
     Share,
