--- a/packages/verbenahall/src/verbenahall/platform/_records.py
+++ b/packages/verbenahall/src/verbenahall/platform/_records.py
@@ -5,6 +5,7 @@
 from collections.abc import Iterable, Iterator
 from typing import Final
 
+#: Format of the length, in bytes, that precedes each record.
 _LENGTH: Final = struct.Struct('>I')
 #: The header of a read's answer: the end and the first kept offset.
 _BOUNDS: Final = struct.Struct('>QQ')
