--- a/packages/verbenahall/src/verbenahall/platform/_store.py
+++ b/packages/verbenahall/src/verbenahall/platform/_store.py
@@ -65,7 +65,11 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class _Page:
-    """A page of the newest records; the next page follows key ``after``."""
+    """A page of the newest records.
+
+    The next page starts after the key ``after``, which is empty on the last
+    page.
+    """
 
     newest: NewestRecords
     after: str
@@ -97,8 +101,8 @@
 class StoreClient:
     """Reads from and appends to the store.
 
-    ``session`` must close unresponsive connections: a call whose answer is
-    lost gets nothing more on its connection.
+    ``session`` must close unresponsive connections: after a lost answer, no
+    more data arrives on a connection.
     """
 
     def __init__(self, session: aiohttp.ClientSession, address: str) -> None:
@@ -283,7 +287,7 @@
         case HTTPStatus.OK, Success({'offset': int(offset)}):
             return Appended(offset)
         case HTTPStatus.OK, _:
-            # Not taken as zero: the offset is used as a fencing token.
+            # An offset of 0 must not be assumed: it becomes a fencing token.
             return Unknown('the answer has no offset')
         case _ if status in _REFUSED_STATUSES:
             return Refused()
