--- a/packages/verbenahall/src/verbenahall/settings/_checks.py
+++ b/packages/verbenahall/src/verbenahall/settings/_checks.py
@@ -21,11 +21,11 @@
     find_latest_capacity_change,
     refuse_claimed_engine,
     refuse_foreign_drain,
-    refuse_missing,
     refuse_in_use,
+    refuse_missing,
 )
 from verbenahall.settings._sections import ADAPTERS, MODELS, POOLS
-from verbenahall.settings._state import Key, SettingsState, SettingsChange
+from verbenahall.settings._state import Key, SettingsChange, SettingsState
 
 
 class _AffectedNames:
@@ -74,8 +74,8 @@
         case DrainSettings(endpoint=endpoint):
             affected.drains.add(endpoint)
             for pool_name in state.engine_pools.get(endpoint, ()):
-                drained = state.effective.pools[pool_name]
-                affected.floors.update(_list_floors(drained))
+                drained_pool = state.effective.pools[pool_name]
+                affected.floors.update(_list_floors(drained_pool))
 
 
 def _list_floors(pool: PoolSettings) -> Iterator[tuple[str, str]]:
