--- a/packages/verbenahall/src/verbenahall/settings/_history.py
+++ b/packages/verbenahall/src/verbenahall/settings/_history.py
@@ -6,8 +6,9 @@
 
 from verbenahall.settings._messages import Verdict
 
+#: Bound on the number of kept verdicts.
 MAX_VERDICTS: Final = 256
-#: Bound on the paths in all kept verdicts together.
+#: Bound on the number of paths in all kept verdicts together.
 MAX_PATHS: Final = 4096
 
 
