--- a/packages/verbenahall/src/verbenahall/settings/_messages.py
+++ b/packages/verbenahall/src/verbenahall/settings/_messages.py
@@ -9,8 +9,9 @@
 class ModelSettings:
     """A model.
 
-    ``floor`` is the minimum number of engines that can serve it in each data
-    centre that has it.
+    ``floor`` is the minimum number of engines that can serve the model in each
+    data centre that has a pool with it. ``weight_gb`` is how many gigabytes an
+    engine fetches to load it.
     """
 
     name: str
