--- a/packages/verbenahall/src/verbenahall/settings/_refusals.py
+++ b/packages/verbenahall/src/verbenahall/settings/_refusals.py
@@ -38,15 +38,15 @@
 
 def refuse_in_use(
     state: SettingsState,
-    what: str,
+    removed: str,
     users: Iterable[Key],
 ) -> Iterator[Refusal]:
-    """Yield a refusal for each entry that still refers to a removed one."""
+    """Yield a refusal for each entry that still uses a removed one."""
     for key in sorted(users):
         entry = state.entries[key]
         yield Refusal(
             RefusalKind.IN_USE,
-            f'{what} is used by {entry.path}',
+            f'{removed} is used by {entry.path}',
             entry.offset,
         )
 
