--- a/packages/verbenahall/src/verbenahall/settings/_snapshots.py
+++ b/packages/verbenahall/src/verbenahall/settings/_snapshots.py
@@ -1,6 +1,6 @@
 """Dumps the state into a section of a snapshot and loads it again.
 
-The section has everything on which later verdicts depend.
+The section contains all state on which later verdicts depend.
 """
 
 import dataclasses
