--- a/packages/verbenahall/src/verbenahall/settings/_state.py
+++ b/packages/verbenahall/src/verbenahall/settings/_state.py
@@ -1,4 +1,4 @@
-"""The state of the fold: entries, the settings in force, and indexes.
+"""State built from the log: entries, settings in force, and indexes.
 
 The checks use the indexes instead of a scan of all entries, so that a change
 takes the same time among 16,000 entries as among 100.
@@ -16,10 +16,11 @@
 from verbenahall.settings._publications import split_path
 from verbenahall.settings._sections import DEFAULTS, PLANNER, SECTIONS
 
-#: Identities kept to detect duplicate appends. A duplicate follows within
-#: seconds of the original; a later one is refused because its base is stale.
+#: Number of identities that are kept to detect duplicate appends. A duplicate
+#: follows the original within seconds; a later one is refused because its base
+#: is stale.
 MAX_IDENTITIES: Final = 1024
-#: Removed paths whose removal offset is kept.
+#: Number of removed paths whose removal offset is kept.
 MAX_REMOVALS: Final = 4096
 
 #: ``(section, name)``; for planners and defaults ``name`` is ``team/name``.
