--- a/packages/verbenahall/src/verbenahall/settings/_verdicts.py
+++ b/packages/verbenahall/src/verbenahall/settings/_verdicts.py
@@ -23,14 +23,15 @@
     MAX_REMOVALS,
     Entry,
     Key,
-    SettingsState,
     SettingsChange,
+    SettingsState,
     find_entry,
     find_offset,
     make_key,
     put_entry,
 )
 
+#: Team and author in the verdict on a record that can't be decoded.
 _ANONYMOUS: Final = '?'
 
 
@@ -179,7 +180,7 @@
     _drop_oldest(state.removals, MAX_REMOVALS)
 
 
-def _drop_oldest(table: dict[str, Any], most: int) -> None:
+def _drop_oldest(table: dict[str, Any], max_rows: int) -> None:
     """Remove the oldest rows, the same ones on every instance."""
-    while len(table) > most:
+    while len(table) > max_rows:
         table.pop(next(iter(table)))
