--- a/packages/verbenahall/src/verbenahall/clock.py
+++ b/packages/verbenahall/src/verbenahall/clock.py
@@ -3,7 +3,7 @@
 import time
 from collections.abc import Callable
 
-#: Returns monotonic seconds. Decision functions take ``now`` instead.
+#: Returns seconds. Decision functions take the time ``now`` instead of a clock.
 Clock = Callable[[], float]
 
 monotonic: Clock = time.monotonic
