--- a/packages/verbenahall/src/verbenahall/errors.py
+++ b/packages/verbenahall/src/verbenahall/errors.py
@@ -53,7 +53,11 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Answer:
-    """How a kind is answered: HTTP status, ``ran`` and retry hint."""
+    """How a kind is answered.
+
+    ``ran`` is whether the request ran, and ``retry_after_s`` the retry hint in
+    seconds.
+    """
 
     status: int
     ran: Ran
