--- a/packages/verbenahall/src/verbenahall/fleet.py
+++ b/packages/verbenahall/src/verbenahall/fleet.py
@@ -1,4 +1,4 @@
-"""Data classes of endpoints that several slices share."""
+"""Data classes of endpoints that several packages share."""
 
 import dataclasses
 import enum
@@ -38,6 +38,7 @@
 
     ``incarnation`` differs between processes that had the same name or
     address. ``service`` is the name that callers use under ``/services``.
+    ``checks_fencing`` is whether the endpoint refuses orders with an old token.
     """
 
     name: str
