--- a/packages/verbenahall/src/verbenahall/journal.py
+++ b/packages/verbenahall/src/verbenahall/journal.py
@@ -18,7 +18,7 @@
 
 _MAX_RECENT: Final = 4096
 _TIME_DIGITS: Final = 3
-#: Format of decision lines, by which the formatter recognizes them.
+#: Format of decision lines; the formatter recognizes them by this object.
 _DECISION: Final = '%s'
 
 #: Latest decisions of this process, for ``/admin/v1/explain``.
