--- a/packages/verbenahall/src/verbenahall/lines.py
+++ b/packages/verbenahall/src/verbenahall/lines.py
@@ -1,15 +1,14 @@
 """Writes log lines to a file descriptor without blocking.
 
-A reader that stops reading must not delay requests: when the buffer is full,
-lines are dropped and counted, and the count is written once there is room.
+A log reader that stops reading must not delay requests. When the buffer is
+full, lines are dropped and counted; the count is written once there is room.
 """
 
 import os
 from collections.abc import Callable
 from typing import Final, final
 
-#: Maximum of buffered bytes: about a second of lines at the highest observed
-#: rate.
+#: Maximum of buffered bytes: about a second of lines at the highest rate.
 _MAX_BUFFERED_BYTES: Final = 524_288
 #: Buffered bytes at which ``add`` flushes.
 _FLUSH_BYTES: Final = 16_384
