--- a/packages/verbenahall/src/verbenahall/metrics.py
+++ b/packages/verbenahall/src/verbenahall/metrics.py
@@ -18,8 +18,9 @@
 
 REGISTRY: Final = Registry()
 
-#: Maximum of buffered observations.
+#: Number of buffered observations at which a histogram is flushed.
 _MAX_PENDING: Final = 512
+#: Upper bounds of the histograms' buckets, in seconds.
 _SECONDS: Final = (0.001, 0.005, 0.02, 0.05, 0.1, 0.25, 0.5, 1, 2.5, 10, 60)
 
 
