--- a/packages/verbenahall/src/verbenahall/records.py
+++ b/packages/verbenahall/src/verbenahall/records.py
@@ -8,8 +8,8 @@
 AUTHORITY_STREAM: Final = 'authority'
 ORDERS_STREAM: Final = 'orders'
 SNAPSHOTS_STREAM: Final = 'snapshots'
-#: One short record after each complete snapshot, so that readers learn of it
-#: without reading the snapshot.
+#: One short record after each complete snapshot, so that readers can detect a
+#: snapshot without reading it.
 MARKS_STREAM: Final = 'marks'
 CLAIMS_STREAM: Final = 'claims'
 
