--- a/packages/verbenahall/src/verbenahall/supervisor.py
+++ b/packages/verbenahall/src/verbenahall/supervisor.py
@@ -6,6 +6,7 @@
 
 from absl import logging
 
+#: First and longest delay before a restart, in seconds; it doubles each time.
 _MIN_RESTART_DELAY_S: Final = 0.1
 _MAX_RESTART_DELAY_S: Final = 5.0
 
