--- a/packages/verbenactl/src/verbenactl/_changes.py
+++ b/packages/verbenactl/src/verbenactl/_changes.py
@@ -13,8 +13,8 @@
     list_paths,
 )
 
-#: Maximum of encoded changes in a record; the rest of a record's size is for
-#: team, author and identity.
+#: Maximum size of the encoded changes in a record, in bytes; the rest of a
+#: record's size is for team, author and identity.
 _MAX_RECORD_BYTES: Final = 60_000
 #: Sections in the order of publication: entries come before those that refer
 #: to them, so that each record of a split file is valid by itself.
