--- a/packages/verbenactl/src/verbenactl/_delays.py
+++ b/packages/verbenactl/src/verbenactl/_delays.py
@@ -12,6 +12,7 @@
 
 from verbenactl._explanations import LogLine
 
+#: Bytes in a kilobyte of the tables.
 _THOUSAND: Final = 1000
 
 
