--- a/packages/verbenactl/src/verbenactl/_instances.py
+++ b/packages/verbenactl/src/verbenactl/_instances.py
@@ -11,7 +11,9 @@
 from verbenahall import clock, wire
 from verbenahall.errors import ErrorKind, Problem
 
+#: Timeout of a call to an instance, in seconds.
 _TIMEOUT_S: Final = 2.0
+#: Pause between two polls of the instances' status, in seconds.
 _POLL_S: Final = 0.05
 _OK: Final = 200
 
