--- a/packages/verbenactl/src/verbenactl/_losses.py
+++ b/packages/verbenactl/src/verbenactl/_losses.py
@@ -2,8 +2,9 @@
 
 A request counts in the window of its first line and has one result: answered
 on time or late, refused, truncated, past its deadline, abandoned by its
-caller, failed, or unknown. The prefills of each window are counted as well, to
-distinguish windows with busy engines from those with idle ones.
+caller, failed, or unknown. To distinguish windows with busy engines from those
+with idle ones, the prefills of each window are counted as well: ``reads`` is
+their number and ``read_k`` their prompt tokens in thousands.
 """
 
 import collections
