--- a/packages/verbenactl/src/verbenactl/_publish_commands.py
+++ b/packages/verbenactl/src/verbenactl/_publish_commands.py
@@ -206,7 +206,7 @@
 
     def list_changes(self, publisher: Publisher) -> Sequence[Change]:
         """Return the drain, unless the same one exists."""
-        path = _drain_path(self, publisher)
+        path = _build_drain_path(self, publisher)
         value = {'reason': self.option('reason')}
         if find_value(publisher.state, path) == value:
             return ()
@@ -222,12 +222,12 @@
 
     def list_changes(self, publisher: Publisher) -> Sequence[Change]:
         """Return the removal of the drain, if there is one."""
-        path = _drain_path(self, publisher)
+        path = _build_drain_path(self, publisher)
         if find_value(publisher.state, path) is None:
             return ()
         return (Change(path, find_offset(publisher.state, path), None),)
 
 
-def _drain_path(command: PublishingCommand, publisher: Publisher) -> str:
+def _build_drain_path(command: PublishingCommand, publisher: Publisher) -> str:
     endpoint = command.argument('endpoint')
     return f'{publisher.team}/drains/{endpoint}'
