--- a/packages/verbenactl/src/verbenactl/_publisher.py
+++ b/packages/verbenactl/src/verbenactl/_publisher.py
@@ -1,4 +1,4 @@
-"""Reads settings from the log, publishes changes and finds verdicts."""
+"""Reads settings from the log, publishes changes and finds their verdicts."""
 
 from collections.abc import Sequence
 from typing import Any, Final, TypeVar
@@ -24,7 +24,7 @@
 
 _RECORDS_EXPIRED: Final = Problem(
     ErrorKind.LOG_UNAVAILABLE,
-    'records have expired that are in no valid snapshot',
+    'no valid snapshot contains all of the expired records',
 )
 
 _Value = TypeVar('_Value')
