--- a/packages/verbenactl/src/verbenactl/console.py
+++ b/packages/verbenactl/src/verbenactl/console.py
@@ -8,9 +8,9 @@
 from verbenactl import __version__, _exit_codes
 from verbenactl._check_command import CheckCommand
 from verbenactl._inspect_commands import (
+    DutiesCommand,
     ExplainCommand,
     HistoryCommand,
-    DutiesCommand,
     LossesCommand,
     StatusCommand,
 )
