--- a/packages/verbenactl/tests/test_checking.py
+++ b/packages/verbenactl/tests/test_checking.py
@@ -34,8 +34,10 @@
     path.write_text(text.replace('zone = "lampeter"', 'zone = ""'))
     code, output = check(path)
     lines = path.read_text().splitlines()
-    for key, slip in (('zone', '""'), ('bounds.drainMs', '"2 s"')):
-        line = next(n for n, one in enumerate(lines, 1) if one.endswith(slip))
+    for key, invalid in (('zone', '""'), ('bounds.drainMs', '"2 s"')):
+        line = next(
+            n for n, one in enumerate(lines, 1) if one.endswith(invalid)
+        )
         assert f'{path}:{line}: {key}' in output
     assert code == 1
 
