--- a/packages/verbenactl/tests/test_commands.py
+++ b/packages/verbenactl/tests/test_commands.py
@@ -41,12 +41,12 @@
         file = tmp_path / 'settings.toml'
         file.write_text(text)
         given = [str(file) if one == 'FILE' else one for one in arguments]
-        reaching = ('--log', log, '--team', team, '--author', 'ann')
+        log_options = ('--log', log, '--team', team, '--author', 'ann')
         done = subprocess.run(
             [
                 process.find_script('verbenactl'),
                 command,
-                *(() if command == 'lint' else reaching),
+                *(() if command == 'lint' else log_options),
                 *given,
             ],
             capture_output=True,
@@ -90,7 +90,7 @@
 
 
 def test_large_file_is_published_as_several_records(call):
-    """A file does not fit into one record of the log."""
+    """The file is too large for one record of the log."""
     text = ''.join(f'[workspaces.many-{name}]\n' for name in range(1500))
     code, output = call('publish', 'FILE', text=text, team='many')
 
