--- a/packages/verbenahall/tests/catalog/test_catalog.py
+++ b/packages/verbenahall/tests/catalog/test_catalog.py
@@ -7,9 +7,9 @@
 from verbenahall.catalog import (
     Catalog,
     CatalogState,
-    RouteKind,
     Limits,
     Route,
+    RouteKind,
     Share,
     apply_catalog,
     find_route,
@@ -55,12 +55,12 @@
     assert find_route(catalog, 'desk.example', '/a') is Nothing
 
 
-def test_hosts_are_apart():
+def test_route_of_another_host_does_not_match():
     catalog = make_catalog(make_route('/a/'))
     assert find_route(catalog, 'other.example', '/a/b') is Nothing
 
 
-def test_cost_does_not_grow_with_routes():
+def test_route_is_found_among_thousands():
     many = [make_route(f'/r{number}/') for number in range(2000)]
     catalog = make_catalog(*many)
     assert find_route(catalog, 'desk.example', '/r1999/x') == Some(many[-1])
@@ -73,9 +73,9 @@
     assert 140 < drawn.count('new') < 260
 
 
-def test_older_version_is_not_taken():
-    # A read of the store returns an older manifest than was followed. With it
-    # an instance would route to a service that the operator has removed, and
+def test_older_version_is_not_applied():
+    # A read of the store returns an older manifest than the one in force. With
+    # it an instance would route to a service that the operator has removed, and
     # users would get old answers again.
     state = CatalogState()
     assert apply_catalog(state, make_catalog(version=7))
