--- a/packages/verbenahall/tests/platform/test_duties.py
+++ b/packages/verbenahall/tests/platform/test_duties.py
@@ -10,8 +10,8 @@
 from verbenahall.platform import (
     DutyClient,
     DutyOutcome,
-    ScaleOrder,
     LeaseToken,
+    ScaleOrder,
     make_session,
 )
 
@@ -62,7 +62,7 @@
         (400, DutyOutcome.REJECTED),
     ],
 )
-def test_usage_report(status, outcome):
+def test_usage_report_is_sent_and_its_status_is_mapped(status, outcome):
     calls = []
     assert asyncio.run(call(status, calls, report)) is outcome
     assert calls[0].headers['X-Verbenahall-Duty-Holder'] == 'front-1'
@@ -70,7 +70,7 @@
     assert calls[0].body == {'windowId': 353_445_120, 'counts': {'club': 4}}
 
 
-def test_order_for_engines():
+def test_order_for_engines_is_sent():
     calls = []
     assert asyncio.run(call(200, calls, order)) is DutyOutcome.DONE
     assert calls[0].path == '/scale'
