--- a/packages/verbenahall/tests/platform/test_store_client.py
+++ b/packages/verbenahall/tests/platform/test_store_client.py
@@ -10,9 +10,9 @@
 
 from verbenahall.platform import (
     Appended,
-    StoreUnavailable,
     Refused,
     StoreClient,
+    StoreUnavailable,
     Unknown,
     make_session,
 )
@@ -49,7 +49,7 @@
     return client.append('keyed.leases', [b'one'], at=3)
 
 
-def test_newest():
+def test_newest_records_are_decoded():
     match call(200, dump_page(), read_newest):
         case Success(newest):
             assert newest.items == {'i-1': b'abc'}
@@ -71,7 +71,7 @@
         dump_page(items=7),
     ],
 )
-def test_page_that_cannot_be_read_counts_as_no_answer(body):
+def test_malformed_page_counts_as_no_answer(body):
     # A proxy between the instance and the store answers in its place. An
     # exception here would end the loop that follows the manifest, and the
     # instance would serve an old manifest from then on.
@@ -82,7 +82,7 @@
             pytest.fail(repr(other))
 
 
-def test_pages_that_never_end_are_given_up():
+def test_endless_pages_count_as_no_answer():
     # A page says that more pages follow but has no key to continue after. The
     # client would read the same page in an endless loop.
     body = dump_page(items=[], hasMore=True)
@@ -93,7 +93,7 @@
             pytest.fail(repr(other))
 
 
-def test_append_tells_its_offset():
+def test_append_returns_its_offset():
     body = b'{"offset":3,"end":4}'
     assert call(200, body, append) == Appended(3)
 
