--- a/packages/verbenahall/tests/platform/test_wire.py
+++ b/packages/verbenahall/tests/platform/test_wire.py
@@ -49,7 +49,7 @@
     return json.dumps(table).encode()
 
 
-def test_entry():
+def test_entry_is_decoded():
     entry = decode_entry('i-1', dump(ENTRY)).unwrap()
     assert entry.role is Role.DECODE
     assert entry.data_centre == 'aberystwyth'
@@ -72,7 +72,7 @@
         {'slots': float('1e400')},
     ],
 )
-def test_entries_of_another_writer_are_no_endpoints(changes):
+def test_invalid_entry_is_not_an_endpoint(changes):
     assert decode_entry('i-1', dump({**ENTRY, **changes})) is Nothing
 
 
@@ -81,7 +81,7 @@
     assert entry.unwrap().leaving
 
 
-def test_manifest():
+def test_manifest_is_decoded():
     manifest = {
         'version': 7,
         'routes': [
@@ -146,7 +146,7 @@
 
 
 @pytest.mark.parametrize('tenants', [None, []])
-def test_manifest_without_tenants_asks_for_no_key(tenants):
+def test_manifest_without_tenants_requires_no_key(tenants):
     manifest = dump(make_keyed_manifest(tenants))
     assert decode_manifest(manifest).unwrap().keys is None
 
@@ -164,8 +164,8 @@
         ({'name': 'club', 'apiKeys': ['a-secret', 'k-1']}, "'press'"),
     ],
 )
-def test_manifest_with_a_bad_tenant_is_left_alone(tenant, place):
-    """A manifest in force in part would refuse callers with valid keys."""
+def test_manifest_with_an_invalid_tenant_is_refused(tenant, place):
+    """A partly applied manifest would refuse callers with valid keys."""
     tenants = [{'name': 'press', 'apiKeys': ['k-1']}, tenant]
     refused = decode_manifest(dump(make_keyed_manifest(tenants)))
     message = refused.failure().message
@@ -185,7 +185,7 @@
     return dump({**make_keyed_manifest([]), 'services': [service]})
 
 
-def test_bounds_of_scaling():
+def test_scaling_rules_are_decoded():
     service = decode_manifest(make_scaled_manifest()).unwrap().services['a']
     prices = {'aberystwyth': 0.85, 'lampeter': 1.2}
     assert service.scaling == ScalingRules(1, 20, 4, 0.18, prices)
@@ -200,13 +200,13 @@
         ({'zonePrices': {'lampeter': -1}}, 'lampeter'),
     ],
 )
-def test_manifest_with_bad_bounds_of_scaling_is_left_alone(changes, place):
-    """Scaling by a manifest in force in part would end needed engines."""
+def test_manifest_with_invalid_scaling_rules_is_refused(changes, place):
+    """Scaling by a partly applied manifest would remove needed engines."""
     refused = decode_manifest(make_scaled_manifest(**changes))
     assert place in refused.failure().message
 
 
-def test_spot_instances_are_told_apart():
+def test_spot_instances_are_recognised():
     entry = decode_entry('i-1', dump({**ENTRY, 'spot': True}))
     assert entry.unwrap().spot
     assert not decode_entry('i-1', dump(ENTRY)).unwrap().spot
@@ -230,7 +230,7 @@
     assert not catalog.routes['h']['/a/'].repeatable
 
 
-def test_ask():
+def test_request_head_is_decoded():
     head = read_request_head(
         {
             'X-Verbenahall-Request-Id': '9c41',
@@ -248,7 +248,7 @@
     assert (head.work.prompt_tokens, head.work.output_tokens) == (1460, 30)
 
 
-def test_headers_that_cannot_be_read_count_as_absent():
+def test_malformed_headers_count_as_absent():
     head = read_request_head(
         {
             'X-Verbenahall-Deadline-Ms': 'soon',
@@ -262,7 +262,7 @@
     assert not head.work.parts
 
 
-def test_headers_named_by_connection_stay_behind():
+def test_headers_named_by_connection_are_not_forwarded():
     headers = strip_hop_headers(
         [(b'Connection', b'close, X-Own'), (b'X-Own', b'1'), (b'X-B', b'2')],
     )
@@ -283,13 +283,13 @@
     assert 'X-Verbenahall-Stage' not in headers
 
 
-def test_answers_that_have_not_run():
+def test_answer_head_shows_whether_the_request_ran():
     assert read_answer_head(503, {'X-Verbenahall-Not-Run': '1'}).not_run
     assert read_answer_head(421, {}).not_run
     assert not read_answer_head(503, {}).not_run
 
 
-def test_report_and_read_prompt():
+def test_report_and_prefill_result_are_decoded():
     report = decode_report(
         b'{"stage":"decode","busy":false,"seq":2,"waiting":1,"running":12}',
     ).unwrap()
@@ -298,7 +298,7 @@
     assert decode_prefill_result(b'{"kvHandle":5}') is Nothing
 
 
-def test_records():
+def test_keyed_record_is_decoded():
     record = encode_keyed(KeyedRecord('i-1', b'content'))
     assert decode_keyed(record) == KeyedRecord('i-1', b'content')
     with pytest.raises(ValueError, match='shorter'):
@@ -306,7 +306,7 @@
 
 
 @pytest.mark.parametrize('cut', [3, 15, 17, 22])
-def test_batch_that_is_cut_is_not_read(cut):
+def test_truncated_batch_is_refused(cut):
     whole = bytes(16) + b'\x00\x00\x00\x03abc'
     assert decode_batch(whole).records == (b'abc',)
     with pytest.raises(ValueError, match='short|cut'):
@@ -339,7 +339,7 @@
     return path
 
 
-def test_settings(tmp_path):
+def test_settings_are_decoded(tmp_path):
     settings = read_settings(write_settings(tmp_path)).unwrap()
     assert (settings.peer_port, settings.metrics_port) == (7380, 9464)
     assert (settings.bounds.leaving_s, settings.bounds.retry_slack) == (2, 0)
@@ -353,7 +353,7 @@
         ('', 1),
     ],
 )
-def test_processor_of_the_machine(tmp_path, limits, cores):
+def test_cores_are_the_share_times_the_speed(tmp_path, limits, cores):
     """The settings may state the share and the speed of the core, or not."""
     path = write_settings(tmp_path, '[bounds]', f'{limits}\n[bounds]')
 
@@ -412,7 +412,7 @@
     assert 'none.toml' in str(fault)
 
 
-def test_nothing_outside_knows_the_wire():
+def test_protocol_names_occur_only_in_platform():
     root = pathlib.Path(verbenahall.__file__).parent
     wire = re.compile(
         r'X-Verbenahall|/-/|keyed\.|kvHandle|pathPrefix|maxAttempts|sloMs'
