--- a/packages/verbenahall/tests/scaling/test_sizes.py
+++ b/packages/verbenahall/tests/scaling/test_sizes.py
@@ -47,7 +47,7 @@
     assert choose_mix(ScalingRules(1, most, 4, share, prices), 30) == mix
 
 
-def test_service_that_spot_instances_make_no_cheaper_is_left_alone():
+def test_service_without_cheaper_spot_instances_gets_no_orders():
     rules = ScalingRules(1, 20, 4, 0.9, PRICES)
     assert not plan_sizes(rules, 30, START, ())
 
@@ -57,7 +57,7 @@
     assert sizes == {**spot(a=10, b=10, c=10), **START}
 
 
-def test_on_demand_engines_go_once_spot_instances_serve():
+def test_on_demand_engines_are_removed_once_spot_instances_serve():
     present = {**START, **spot(a=10, b=10, c=10)}
     sizes = plan_sizes(RULES, 30, present, ())
     assert sizes == {**spot(a=10, b=10, c=10), **on_demand(a=5, b=5, c=5)}
@@ -66,13 +66,13 @@
     assert sizes == {**spot(a=15, b=15, c=15), **on_demand(a=5, b=5, c=5)}
 
 
-def test_one_reclaimed_data_centre_is_borne_by_the_others():
+def test_others_make_up_for_one_reclaimed_data_centre():
     present = {**on_demand(a=5, b=5, c=5), **spot(a=15, b=15)}
     sizes = plan_sizes(RULES, 30, present, ())
     assert sizes == {**spot(a=15, b=15, c=15), **on_demand(a=5, b=5, c=5)}
 
 
-def test_missing_engines_are_made_up_for_where_they_cost_least():
+def test_missing_engines_are_replaced_where_they_cost_least():
     """Two data centres have lost their spot instances at the same time."""
     present = {**on_demand(a=5, b=5, c=5), **spot(b=12)}
     sizes = plan_sizes(RULES, 30, present, ())
@@ -113,7 +113,7 @@
     assert fleet.send() == on_demand(a=5, b=5, c=5)
 
 
-def test_pool_without_engines_is_tried_again_later():
+def test_pool_without_capacity_is_retried_later():
     fleet = Fleet()
     pool = Pool('a', CapacityKind.SPOT)
     fleet.orders.record_unavailable(pool, fleet.now)
