--- a/packages/verbenahall/tests/usage/test_clock.py
+++ b/packages/verbenahall/tests/usage/test_clock.py
@@ -25,7 +25,7 @@
     assert clock.now() == 1001
 
 
-def test_received_time_goes_before_the_local_one():
+def test_received_time_replaces_the_local_one():
     """A machine has started with a clock that was 20 seconds behind."""
     clock, boottime = make_clock(980)
     clock.record_time(1000)
@@ -33,7 +33,7 @@
     assert clock.now() == 1002
 
 
-def test_message_that_waited_unread_does_not_turn_time_back():
+def test_message_that_waited_unread_does_not_set_the_time_back():
     """The process was paused for five seconds with a message unread."""
     clock, boottime = make_clock(1000)
     clock.record_time(1000)
@@ -42,7 +42,7 @@
     assert clock.now() == 1005
 
 
-def test_median_leaves_wrong_clocks_out():
+def test_median_ignores_wrong_clocks():
     clock, _ = make_clock(1000)
     assert clock.find_median([7]) is None
     assert clock.find_median([7, 0.01, -11, 0.02]) == 1000.01
