--- a/packages/verbenahall/tests/usage/test_gathering.py
+++ b/packages/verbenahall/tests/usage/test_gathering.py
@@ -18,11 +18,11 @@
     encode_ledger,
 )
 from verbenahall.usage._messages import (
-    UsagePoll,
     UsageAnswer,
+    UsagePoll,
     decode,
-    encode_poll,
     encode_answer,
+    encode_poll,
     split_counts,
 )
 
@@ -34,7 +34,7 @@
     return UsageAnswer('front-1', run, number, part, parts, 0, counts)
 
 
-def test_messages_are_read_as_they_were_written():
+def test_decoding_restores_an_encoded_message():
     assert decode(encode_answer(ANSWER)) == Some(ANSWER)
     assert decode(encode_poll(UsagePoll(4, 1.5))) == Some(UsagePoll(4, 1.5))
 
@@ -52,7 +52,7 @@
     ],
 )
 def test_malformed_answer_is_none(changes):
-    """If a part of it were used, a workspace would be billed for it."""
+    """If its valid part were used, a workspace would be billed wrongly."""
     table = wire.decode_table(encode_answer(ANSWER)).unwrap()['usage_told']
     malformed = wire.encode({'usage_told': {**table, **changes}})
     assert decode(malformed) == Nothing
@@ -91,7 +91,7 @@
     assert gathered.sum_window(7) == {'a': 5}
 
 
-def test_run_before_a_restart_counts_beside_the_new_one():
+def test_counts_before_and_after_a_restart_are_added():
     gathered = GatheredCounts()
     gathered.add_answer(make_answer(1, {7: {'a': 5}}, run='old'), 5, 0)
     gathered.add_answer(make_answer(2, {7: {'a': 2}}, run='new'), 6, 0)
@@ -100,7 +100,7 @@
     assert not gathered.counts
 
 
-def test_ledger_is_read_as_it_was_written():
+def test_decoding_restores_an_encoded_ledger():
     ledger = decide(ReportLedger(6), 7, {'a': 1}, {6: {'b': 2}})
     assert decode_ledger(encode_ledger(ledger)) == Some(ledger)
 
