--- a/packages/verbenahall/src/verbenahall/settings/_checks.py
+++ b/packages/verbenahall/src/verbenahall/settings/_checks.py
@@ -185,7 +185,8 @@
 ) -> Iterator[Refusal]:
     """Check that each model has at least ``floor`` undrained engines.
 
-    The floor applies in each data centre that has a pool with the model.
+    The floor applies in each data centre that has a pool with the model. A
+    data centre without one is not meant to serve the model.
     """
     for data_centre, name in sorted(affected.floors):
         model = state.effective.models.get(name)
