--- a/packages/verbenahall/src/verbenahall/platform/_store.py
+++ b/packages/verbenahall/src/verbenahall/platform/_store.py
@@ -99,7 +99,9 @@
 
 @final
 class StoreClient:
-    """Reads from and appends to the store.
+    """Reads from and appends to the store, which all instances share.
+
+    Each method makes as few calls as possible.
 
     ``session`` must close unresponsive connections: after a lost answer, no
     more data arrives on a connection.
