--- a/packages/verbenahall/src/verbenahall/gateway/_attempts.py
+++ b/packages/verbenahall/src/verbenahall/gateway/_attempts.py
@@ -65,6 +65,7 @@
     ) -> Problem | None:
         """Return the problem that ends the call; None for another attempt.
 
+        ``delivered`` means that the caller has part of an answer already.
         ``resends`` is how many sends another attempt takes. ``log_fields``
         are further fields of the log line, such as the endpoints that failed.
         """
@@ -102,8 +103,9 @@
         """
         call = self._call
         if self.runs and problem.answer.ran is Ran.NO:
-            # The problem describes only the last attempt. An earlier one may
-            # have run, and told otherwise the caller would repeat the request.
+            # The problem describes only the last attempt, but an earlier one
+            # may have run the request. A caller that is informed that it has
+            # not run would repeat it.
             problem = Problem(ErrorKind.OUTCOME_UNKNOWN, problem.message)
         journal.write_decision(
             'given_up',
