--- a/packages/verbenahall/src/verbenahall/gateway/_core.py
+++ b/packages/verbenahall/src/verbenahall/gateway/_core.py
@@ -9,6 +9,7 @@
 
 from verbenahall import clock
 from verbenahall.catalog import CatalogState
+from verbenahall.gateway._endpoint_health import EndpointHealthTable
 from verbenahall.gateway._engine_calls import EngineCalls
 from verbenahall.gateway._freshness import Freshness
 from verbenahall.gateway._hooks import (
@@ -18,7 +19,6 @@
     RateLimiter,
     format_incarnation,
 )
-from verbenahall.gateway._endpoint_health import EndpointHealthTable
 from verbenahall.peers import PeerTable
 from verbenahall.placement import PlacementState
 from verbenahall.platform import (
@@ -42,16 +42,17 @@
 #: Longest time from the choice of an endpoint to the arrival of the request
 #: there, in seconds: a new connection, and an iteration of the event loop.
 _MAX_SEND_S: Final = CONNECT_S + 0.1
-#: Smallest share of a bound that is used as the usable age, if the bound is
-#: hardly longer than a send.
+#: Smallest usable age of a local copy, as a share of the bound that it follows
+#: from. It applies if the bound is hardly longer than a send.
 _MIN_USABLE_SHARE: Final = 0.7
 #: Smallest number of instances that the retry budget is divided by: some
 #: instances may not be known yet.
 _MIN_INSTANCES: Final = 10
-#: A caller counts as returning if its wait is shorter than the longest wait of
-#: the route's callers by this share of it. First-time callers differ, too, and
-#: with a small share would count as past their objective on arrival. Returning
-#: callers have been told to wait for up to a third of the longest wait.
+#: A caller counts as returning if the wait that it states is shorter than the
+#: longest one of the route's callers by more than this share of the longest.
+#: The waits of first-time callers differ, too; with a smaller share some of
+#: them would count as past their objective on arrival. Returning callers have
+#: been refused with a Retry-After of up to a third of their wait.
 _MIN_WAITED_SHARE: Final = 0.25
 
 
@@ -157,8 +158,8 @@
         """Return the retry budget of a service.
 
         The operators bound the retries of all instances together, so each
-        instance uses its share of the fixed slack, whether the others use
-        theirs or not.
+        instance gets an equal share of the fixed slack, also while other
+        instances don't use theirs.
         """
         bounds = self.settings.bounds
         instances = max(self.instance_count, _MIN_INSTANCES)
@@ -198,5 +199,9 @@
 
 
 def _find_usable_age(bound_s: float) -> float:
-    """Return the usable age for a bound on the arrival of requests."""
+    """Return the longest usable age of a local copy, in seconds.
+
+    ``bound_s`` is the time after a change in the store within which requests
+    that rely on the old state may still arrive at endpoints.
+    """
     return max(bound_s - _MAX_SEND_S, bound_s * _MIN_USABLE_SHARE)
