--- a/packages/verbenahall/src/verbenahall/gateway/_crash_reports.py
+++ b/packages/verbenahall/src/verbenahall/gateway/_crash_reports.py
@@ -12,8 +12,8 @@
 from verbenahall.gateway._stored_crashes import StoredCrashes
 from verbenahall.peers import (
     Peer,
-    PeerTable,
     PeerExchange,
+    PeerTable,
     has_unresponsive_peer,
     is_local_only,
 )
@@ -36,10 +36,10 @@
     """Keeps the crash logs of all instances consistent."""
 
     __slots__ = (
-        '_store_sync_until',
         '_core',
         '_exchange',
         '_next_handler',
+        '_store_sync_until',
         '_stored',
     )
 
