--- a/packages/verbenahall/src/verbenahall/gateway/_dispatch.py
+++ b/packages/verbenahall/src/verbenahall/gateway/_dispatch.py
@@ -33,7 +33,7 @@
         placement_request: PlacementRequest,
         tried: frozenset[str],
     ) -> Result[Grant, Problem]:
-        """Wait for engines; the caller must end the grant that it gets.
+        """Wait for engines; the calling code must end the grant that it gets.
 
         Engines in ``tried`` have failed an attempt at the call before.
         """
