--- a/packages/verbenahall/src/verbenahall/gateway/_endpoint_health.py
+++ b/packages/verbenahall/src/verbenahall/gateway/_endpoint_health.py
@@ -25,8 +25,9 @@
 class EndpointHealth:
     """Recent outcomes of the sends to one endpoint.
 
-    ``failure_rate`` is that at the time ``updated_at``, between 0 and 1, and
-    ``open`` the number of sends that are under way.
+    ``failure_rate`` is the moving average of failures at the time
+    ``updated_at``, between 0 and 1, and ``open`` the number of sends that are
+    under way.
     """
 
     __slots__ = (
@@ -57,7 +58,7 @@
         self._health: dict[str, EndpointHealth] = {}
 
     def get(self, endpoint: str) -> EndpointHealth:
-        """Return an endpoint's record, which is created if it is missing."""
+        """Return an endpoint's record; creates it if it is missing."""
         return self._health.setdefault(endpoint, EndpointHealth())
 
     def has(self, endpoint: str) -> bool:
