--- a/packages/verbenahall/src/verbenahall/gateway/_followers.py
+++ b/packages/verbenahall/src/verbenahall/gateway/_followers.py
@@ -40,17 +40,21 @@
 #: change must be in force within two seconds after the store has confirmed it.
 _MIN_PAUSE_S: Final = 0.1
 _MAX_PAUSE_S: Final = 0.7
-#: How often an instance that relies on its peers checks whether it still may,
-#: in seconds, unless an update wakes it. Each check iterates over all peers.
+#: Interval at which an instance that relies on updates from its peers checks
+#: whether enough of them still follow the topic, in seconds. An update that
+#: shows that records are missing wakes it earlier. Each check iterates over all
+#: peers.
 _CHECK_S: Final = 0.25
-#: Longest time without a call of its own, in seconds. Updates carry offsets, so
-#: this only guards against unforeseen faults.
+#: Longest time for which an instance relies on updates without a call to the
+#: store, in seconds. Updates carry offsets, which show a lost update, so this
+#: only guards against unforeseen faults.
 _MAX_UNCHECKED_S: Final = 60.0
 #: Timeout of a read that does not wait for changes, in seconds. Until it ends,
 #: outdated data is used or a request is held.
 _REFRESH_TIMEOUT_S: Final = 0.45
 #: A call that ends this much after its timeout shows that the process was
-#: stalled, in seconds. The store's answer may be in the socket's buffer unread.
+#: stalled, in seconds. It is not recorded as a failure of the store, whose
+#: answer may be unread in the socket's buffer.
 _STALL_S: Final = 0.25
 
 
@@ -228,20 +232,20 @@
         ``read_at`` is the earliest time at which the store can have read the
         batch: when the call was sent or, without records, the end of its wait.
         """
-        known = self.position
+        position_before = self.position
         records = batch.records
         fresh = self._apply_records(records, offset, 'store')
         now = self._core.now()
         if batch.end <= offset + len(records):
             self._freshness.record_confirmed(min(now, read_at))
-        if not fresh or known is None:
+        if not fresh or position_before is None:
             return
         if not self._standby.is_covered_by_peers(now):
             after_outage = self._reachability.has_failed_lately(now)
             end = offset + len(records)
             update = TopicUpdate(
                 self.handler.topic,
-                known,
+                position_before,
                 fresh,
                 end,
                 after_outage,
