--- a/packages/verbenahall/src/verbenahall/gateway/_generation.py
+++ b/packages/verbenahall/src/verbenahall/gateway/_generation.py
@@ -63,9 +63,11 @@
         *,
         resumable: bool,
     ) -> Generated:
-        """Send once, using the KV cache handle if given; resume a begun stream.
+        """Send the request once to the decode engine, and relay its stream.
 
-        ``resumable`` means that another engine may take over the stream.
+        With ``handle``, the engine fetches the KV cache of the prompt. A stream
+        that has begun is resumed after the last relayed event. ``resumable``
+        means that another engine may take over if this one fails.
         """
         self._grant: Grant = grant
         options = self._make_options(plan, handle)
