--- a/packages/verbenahall/src/verbenahall/gateway/_grants.py
+++ b/packages/verbenahall/src/verbenahall/gateway/_grants.py
@@ -9,7 +9,7 @@
 
 
 class Grant(Protocol):
-    """The engines assigned to one request; records its progress."""
+    """The engines assigned to one request, with the reports of its progress."""
 
     @property
     def plan(self) -> Plan:
