--- a/packages/verbenahall/src/verbenahall/gateway/_messages.py
+++ b/packages/verbenahall/src/verbenahall/gateway/_messages.py
@@ -16,9 +16,10 @@
     ``received`` is when its head was read and ``deadline`` when its final
     answer is due, in monotonic seconds. ``path`` is the request target as it
     was received, ``version`` the version of the manifest that routed it.
-    ``waited_s`` is how long the caller has waited in its earlier attempts,
-    which have the same ``fingerprint``. ``workspace`` is the holder of the
-    request's API key in that version, None if none holds it.
+    ``waited_s`` is the estimated time that the caller has waited in earlier
+    attempts, in seconds. ``fingerprint`` is the same for all attempts at a
+    request. ``workspace`` is the holder of the request's API key in that
+    version, None if no workspace holds it.
     """
 
     head: RequestHead
