--- a/packages/verbenahall/src/verbenahall/gateway/_orders.py
+++ b/packages/verbenahall/src/verbenahall/gateway/_orders.py
@@ -19,20 +19,21 @@
 from verbenahall.platform import RoleOrder
 from verbenahall.roster import Entry
 
-#: Name of the duty whose lease is needed to order role changes.
+#: Duty whose lease an instance must hold to order role changes.
 _DUTY: Final = 'roles'
 #: Interval at which roles are planned, in seconds.
 _CHECK_INTERVAL_S: Final = 0.3
 #: Roles are planned only if no engine has joined for this long, in seconds:
-#: engines that start together are listed one by one. The loss of an engine
-#: needs no such wait.
+#: engines that start together are listed one by one. After the loss of an
+#: engine roles are planned at once.
 _JOIN_SETTLE_S: Final = 1.5
-#: How long a lost engine is expected to return, in seconds. A crashed engine is
-#: back after some seconds, and a role change takes three.
+#: Time after its loss in which an engine is expected to return by itself, in
+#: seconds. A crashed engine is back after some seconds, and a role change takes
+#: three.
 _RETURN_S: Final = 8.0
-#: How long an instance waits for each instance of a lower rank to order needed
-#: changes, in seconds, so that usually one instance makes the calls. A role
-#: change takes about three seconds to appear in the list.
+#: Time for which an instance leaves needed changes to the instances ranked
+#: before it, in seconds for each of them, so that usually one instance makes
+#: the calls. A role change takes about three seconds to appear in the list.
 _RANK_DELAY_S: Final = 5.0
 #: Time that a role change may take to appear in the list, in seconds, beyond
 #: the duration of the change itself.
@@ -115,7 +116,7 @@
                 if service.engine
                 for change in self._plan(service.name)
             ]
-            if changes and self._is_turn():
+            if changes and self._may_order():
                 await self._order_all(changes)
             elif not changes:
                 self._changes_needed_at = None
@@ -226,8 +227,8 @@
         self._pending.clear()
         await self._lease.release()
 
-    def _is_turn(self) -> bool:
-        """Whether instances of a lower rank had time to order the changes."""
+    def _may_order(self) -> bool:
+        """Whether the instances ranked before this one had time to order."""
         now = self._core.now()
         if self._changes_needed_at is None:
             self._changes_needed_at = now
