--- a/packages/verbenahall/src/verbenahall/gateway/_permits.py
+++ b/packages/verbenahall/src/verbenahall/gateway/_permits.py
@@ -1,8 +1,9 @@
 """Rate limits of endpoints, enforced together with the peers.
 
 An endpoint can advertise the rate of requests that it accepts from all
-instances. Before each send to it an instance obtains a permit from the limiter,
-an instance that all of them choose alike.
+instances. Before each send to it an instance obtains a permit from the limiter
+of that endpoint. The limiter is one of the instances, and each instance chooses
+it by the same ranking of its peers, so they usually choose the same one.
 """
 
 import asyncio
@@ -42,9 +43,9 @@
         '_core',
         '_exchange',
         '_next_handler',
+        '_pending',
         '_request_ids',
         '_table',
-        '_pending',
     )
 
     def __init__(self, core: Core, exchange: PeerExchange) -> None:
@@ -75,7 +76,7 @@
         current = self._table.rates.get(incarnation)
         if current is None:
             return None
-        # If another endpoint can take the request, it doesn't wait here.
+        # A request that another endpoint can take doesn't wait for a permit.
         has_alternative = self._core.has_alternative(endpoint, self._core.now())
         longest_s = 0 if has_alternative else left_s * _MAX_WAIT_SHARE
         response = await self._request_permit(
@@ -207,14 +208,17 @@
         )
 
     def _announce_change(
-        self, incarnation: str, rate: float, named: object
+        self, incarnation: str, rate: float, advertised: object
     ) -> None:
-        """Log a changed rate and send it to the peers."""
+        """Log a changed rate and send it to the peers.
+
+        ``advertised`` is the rate as written in the response, or ``none``.
+        """
         journal.write_decision(
             'rate_named',
             endpoint=incarnation,
             rate=rate,
-            named=named,
+            named=advertised,
         )
         self._broadcast(throttling.RateNotice(incarnation, rate))
 
