--- a/packages/verbenahall/src/verbenahall/gateway/_plain_flow.py
+++ b/packages/verbenahall/src/verbenahall/gateway/_plain_flow.py
@@ -147,7 +147,10 @@
         )
 
     def _abandon(self, problem: Problem) -> web.StreamResponse:
-        """Return an endpoint's error answer if there is one, else our own."""
+        """Return the last error answer of an endpoint, if there is one.
+
+        Otherwise return a response for ``problem``.
+        """
         if self._fallback is not None:
             return build_answer_response(self._fallback)
         return self._attempts.abandon(problem)
