--- a/packages/verbenahall/src/verbenahall/gateway/_prefill_calls.py
+++ b/packages/verbenahall/src/verbenahall/gateway/_prefill_calls.py
@@ -1,4 +1,4 @@
-"""Prefills on one engine whose KV cache another engine takes over."""
+"""Prefills on one engine whose KV cache another engine fetches."""
 
 import dataclasses
 from http import HTTPStatus
