--- a/packages/verbenahall/src/verbenahall/gateway/_prefill_queues.py
+++ b/packages/verbenahall/src/verbenahall/gateway/_prefill_queues.py
@@ -48,9 +48,10 @@
         placement_request: PlacementRequest,
         tried: frozenset[str],
     ) -> AdmitResult:
-        """Wait to be admitted.
+        """Wait until the request is admitted or refused.
 
-        The caller must close the reservation in the load table that it gets.
+        An admitted request has a reservation in the load table, which the
+        calling code must close.
         """
         now = self._core.now()
         pending = QueuedRequest(
@@ -84,15 +85,15 @@
             self._futures.pop(pending)
 
     def record_first_event(
-        self, call: Call, pending: QueuedRequest, sent_at: float
+        self, call: Call, pending: QueuedRequest, admitted_at: float
     ) -> None:
         """Record the time to the first event of an admitted request.
 
-        ``sent_at`` is when it was admitted, in monotonic seconds.
+        ``admitted_at`` is when it was admitted, in monotonic seconds.
         """
         now = self._core.now()
         queue = self._queues[call.service.name]
-        queue.record_first_event(pending, now - sent_at, now)
+        queue.record_first_event(pending, now - admitted_at, now)
 
     def admit_waiting(self, service: Service) -> None:
         """Admit waiting requests that an engine has room for."""
@@ -130,8 +131,8 @@
             outcome = await future
         except asyncio.CancelledError:
             # The caller disconnected. If its request was admitted in the same
-            # turn of the event loop, the reservation must be closed, or it
-            # would count as a prefill that never ends.
+            # iteration of the event loop, the reservation must be closed, or
+            # it would count as a prefill that never ends.
             if future.done() and not future.cancelled():
                 self._release(future.result())
             raise
