--- a/packages/verbenahall/src/verbenahall/gateway/_readiness.py
+++ b/packages/verbenahall/src/verbenahall/gateway/_readiness.py
@@ -30,7 +30,7 @@
     instances on the other side.
     """
 
-    __slots__ = ('_core', '_unreachable_since', '_accepts_callers')
+    __slots__ = ('_accepts_callers', '_core', '_unreachable_since')
 
     def __init__(self, core: Core) -> None:
         """Use the core's endpoints and the heartbeats of its peers."""
@@ -61,13 +61,14 @@
 
     def check(self) -> bool:
         """Update the state; return whether new callers should be received."""
-        ready = self._core.ready and not self._should_yield()
+        ready = self._core.ready and not self._is_cut_off()
         if ready != self._accepts_callers:
             journal.write_decision('ready' if ready else 'not_ready')
         self._accepts_callers = ready
         return ready
 
-    def _should_yield(self) -> bool:
+    def _is_cut_off(self) -> bool:
+        """Whether a service and most peers are unreachable from here."""
         now = self._core.now()
         if self._can_serve(now):
             self._unreachable_since = None
@@ -78,7 +79,7 @@
         peer_count = len(list_recipients(peer_table))
         live_count = len(list_live_peers(peer_table, now, _PEER_TIMEOUT_S))
         # If most peers are reachable, the endpoints are probably down for them
-        # as well, and callers would fare no better there.
+        # as well, and they could not serve the callers either.
         is_minority = peer_count > 1 and live_count < peer_count / 2
         return is_minority and now - self._unreachable_since >= _UNREACHABLE_S
 
