--- a/packages/verbenahall/src/verbenahall/gateway/_record_handlers.py
+++ b/packages/verbenahall/src/verbenahall/gateway/_record_handlers.py
@@ -21,7 +21,7 @@
     decode_entry,
     decode_manifest,
 )
-from verbenahall.roster import apply_removal, apply_entry, apply_list
+from verbenahall.roster import apply_entry, apply_list, apply_removal
 
 #: Pause between a manifest and the poll for the next one, in seconds. A
 #: manifest must be in force within two seconds.
@@ -101,7 +101,7 @@
             return
         match decode_entry(record.key, record.content):
             case Some(entry):
-                taken = apply_entry(self._core.roster, entry)
+                applied = apply_entry(self._core.roster, entry)
                 journal.write_decision(
                     'endpoint',
                     endpoint=entry.name,
@@ -111,7 +111,7 @@
                     leaving=entry.leaving,
                     born=entry.born,
                     change=entry.change,
-                    taken=taken,
+                    taken=applied,
                     source=received.source,
                     age_s=journal.round_seconds(received.age_s),
                 )
@@ -121,11 +121,11 @@
     def _apply_removal(self, name: str, received: Received) -> None:
         roster = self._core.roster
         now = self._core.now()
-        gone = apply_removal(roster, name, now, received.before)
+        removed = apply_removal(roster, name, now, received.before)
         listing = roster.listings.get(name)
         self._core.remove_unlisted()
         journal.write_decision(
-            'endpoint_gone' if gone else 'endpoint_lapsed',
+            'endpoint_gone' if removed else 'endpoint_lapsed',
             endpoint=name,
             source=received.source,
             age_s=journal.round_seconds(received.age_s),
