--- a/packages/verbenahall/src/verbenahall/gateway/_relay.py
+++ b/packages/verbenahall/src/verbenahall/gateway/_relay.py
@@ -12,9 +12,9 @@
 from verbenahall.gateway._messages import Call, StreamTiming
 from verbenahall.platform import strip_hop_headers
 
-#: A resumable stream without an event for this many times the route's gap
-#: between events, and at least for this time in seconds, is resumed on another
-#: engine: callers disconnect after two seconds without an event.
+#: Idle time after which a resumable stream is resumed on another engine, as a
+#: multiple of the route's longest gap between events, and its minimum in
+#: seconds: callers disconnect after two seconds without an event.
 _IDLE_GAPS: Final = 5.0
 _MIN_IDLE_S: Final = 1.2
 
