--- a/packages/verbenahall/src/verbenahall/gateway/_scaling.py
+++ b/packages/verbenahall/src/verbenahall/gateway/_scaling.py
@@ -17,8 +17,8 @@
 from verbenahall.scaling import (
     DUTY,
     LEASE_S,
-    Scaler,
     Dependencies,
+    Scaler,
 )
 
 #: Interval at which standbys check the holder, in seconds; the holder renews
@@ -27,7 +27,7 @@
 
 
 def scales_engines(settings: ProcessSettings) -> bool:
-    """Whether the settings have instances order engines from the platform."""
+    """Whether instances order engines from the platform, by the settings."""
     return SCALE_DUTY in settings.duties and bool(settings.duty_api)
 
 
