--- a/packages/verbenahall/src/verbenahall/gateway/_scheduler.py
+++ b/packages/verbenahall/src/verbenahall/gateway/_scheduler.py
@@ -71,7 +71,10 @@
         core: Core,
         send: Callable[[str, Message], None],
     ) -> None:
-        """Answer by ``send``; while ``stopping`` returns True, decline all."""
+        """Send replies by ``send``.
+
+        While ``stopping`` returns True, all requests are declined.
+        """
         self.stopping: Callable[[], bool] = bool
         self._core = core
         self._send = send
@@ -109,7 +112,7 @@
         self,
         progress: Prefilled | FirstEvent | Released,
     ) -> None:
-        """Record the progress of an assignment, and assign the freed room."""
+        """Record the progress of an assignment, and assign freed engines."""
         for scope, state in self._states.items():
             if progress.key in state.assigned or progress.key in state.waiting:
                 self._record_progress(scope, state, progress)
@@ -233,7 +236,7 @@
 
 
 def _read_request_id(key: str) -> str:
-    """Return the caller's request id, with which a key begins."""
+    """Return the caller's request id, which is the first part of a key."""
     return key.rsplit('/', 2)[0]
 
 
