--- a/packages/verbenahall/src/verbenahall/gateway/_scheduler_client.py
+++ b/packages/verbenahall/src/verbenahall/gateway/_scheduler_client.py
@@ -44,17 +44,17 @@
 #: Interval at which a queued request is sent to its scheduler again, in
 #: seconds. It detects a dead scheduler and recovers a lost answer.
 _RESEND_S: Final = 0.25
-#: Schedulers that are tried for a request, of a group in the local data centre
-#: and of another one. If a remote one is unresponsive, its whole data centre
-#: may be cut off, and a prompt with half a second left is better served by the
-#: next group.
+#: Number of schedulers that are tried for a request and group, if the group is
+#: in the local data centre and if it is in another one. If a remote scheduler
+#: is unresponsive, its whole data centre may be cut off, and a prompt with half
+#: a second left is better served by the next group.
 _MAX_LOCAL_TRIES: Final = 2
 _MAX_REMOTE_TRIES: Final = 1
 #: Consecutive requests without an answer from any scheduler of a group before
 #: the group is skipped.
 _MAX_MISSES: Final = 2
-#: A group whose schedulers are unresponsive is skipped for this long at most,
-#: in seconds: its data centre is cut off, mostly for a short time.
+#: Longest time for which a group whose schedulers are unresponsive is skipped,
+#: in seconds. Its data centre is probably cut off, mostly for a short time.
 _GROUP_SKIP_S: Final = 4.0
 
 
@@ -172,7 +172,9 @@
         self._inboxes[key] = inbox
         answer: Answer | None = None
         try:
-            answer = await self._wait(group_request, key, address, inbox)
+            answer = await self._send_until_answered(
+                group_request, key, address, inbox
+            )
         finally:
             self._inboxes.pop(key)
             if not isinstance(answer, Assignment | Rejection):
@@ -187,14 +189,14 @@
         )
         return answer
 
-    async def _wait(
+    async def _send_until_answered(
         self,
         group_request: '_GroupRequest',
         key: str,
         address: str,
         inbox: asyncio.Queue[Queued | Answer],
     ) -> Answer | None:
-        """Send the request until there is an answer; None on a timeout."""
+        """Send the request, again while it is queued; None on a timeout."""
         while True:
             self._send(address, group_request.build(key, self._core.now()))
             message = await _receive_within(inbox, _ANSWER_S)
