--- a/packages/verbenahall/src/verbenahall/gateway/_sender.py
+++ b/packages/verbenahall/src/verbenahall/gateway/_sender.py
@@ -77,7 +77,8 @@
 
         Nothing is sent if the endpoint has left since it was chosen, if its
         rate limit allows no more, if the call is in quarantine because
-        endpoints crashed under it, or if its API key is no longer valid.
+        endpoints crashed while they ran it, or if its API key is no longer
+        valid.
         """
         not_sent = await self._check_sendable(call, endpoint, until)
         if not_sent is not None:
