--- a/packages/verbenahall/src/verbenahall/gateway/_serve.py
+++ b/packages/verbenahall/src/verbenahall/gateway/_serve.py
@@ -14,21 +14,21 @@
 from verbenahall.config import LimitsConfig
 from verbenahall.front import Patience, Runner
 from verbenahall.gateway._admission import RequestAdmitter
-from verbenahall.gateway._fleet_state_log import FleetStateLog
 from verbenahall.gateway._core import Core
 from verbenahall.gateway._crash_reports import CrashLogReplicator
 from verbenahall.gateway._crashes import CrashDetector
 from verbenahall.gateway._dispatch import Dispatch
-from verbenahall.gateway._record_handlers import make_followers
+from verbenahall.gateway._fleet_state_log import FleetStateLog
 from verbenahall.gateway._ingress import Ingress
 from verbenahall.gateway._orders import RoleController
 from verbenahall.gateway._peers import PeerFinder
 from verbenahall.gateway._permits import DistributedRateLimiter
 from verbenahall.gateway._probes import EndpointProber
 from verbenahall.gateway._readiness import Readiness
+from verbenahall.gateway._record_handlers import make_followers
 from verbenahall.gateway._refresh import Refresher
-from verbenahall.gateway._scheduler import SchedulingTransport
 from verbenahall.gateway._scaling import make_scaler, scales_engines
+from verbenahall.gateway._scheduler import SchedulingTransport
 from verbenahall.gateway._usage import (
     make_usage_exchange,
     make_usage_reporter,
