--- a/packages/verbenahall/src/verbenahall/gateway/_standby.py
+++ b/packages/verbenahall/src/verbenahall/gateway/_standby.py
@@ -1,4 +1,4 @@
-"""State of a topic by the reports of the peers that follow it."""
+"""State of a store topic, as reported by the peers that follow it."""
 
 from typing import Final, final
 
@@ -10,14 +10,15 @@
 )
 
 #: How long the update with new records may arrive after a heartbeat that
-#: reports them, in seconds. Without this delay every instance of a large fleet
-#: would read from the store records that are already on their way to it.
+#: reports them, in seconds. If instances did not wait for it, every instance of
+#: a large fleet would read the records from the store, although the update is
+#: already on its way.
 _MAX_UPDATE_DELAY_S: Final = 0.4
 
 
 @final
 class Standby:
-    """One topic, by the heartbeats and updates of the peers."""
+    """State of one topic, from the heartbeats and updates of the peers."""
 
     __slots__ = ('_peer_table', '_latest_offset', '_missing_since', '_topic')
 
@@ -29,7 +30,7 @@
         self._topic = topic
 
     def record_end(self, end: int) -> None:
-        """Record an offset up to which the topic is known to go."""
+        """Record the end offset of an update, received from a peer."""
         self._latest_offset = max(self._latest_offset, end)
 
     def is_covered_by_peers(self, now: float) -> bool:
