--- a/packages/verbenahall/src/verbenahall/gateway/_store_reachability.py
+++ b/packages/verbenahall/src/verbenahall/gateway/_store_reachability.py
@@ -1,4 +1,4 @@
-"""Whether the store answers this instance, and since when it does not."""
+"""Whether the store answers this instance, and the age of its records."""
 
 import dataclasses
 from typing import Final, final
@@ -47,7 +47,7 @@
         self._topic = topic
 
     def is_reachable(self, now: float) -> bool:
-        """Return whether the store has answered lately."""
+        """Whether the store has answered within ``_REACHABLE_S``."""
         return now - self.answered_at < _REACHABLE_S
 
     def has_failed_lately(self, now: float) -> bool:
@@ -59,7 +59,7 @@
         return now - self._freshness.failed_at < STORE_RECOVERY_S
 
     def describe_source(self, source: str) -> Received:
-        """Return source and age of records that arrive now."""
+        """Return the source and the age of records that arrive now."""
         freshness = self._freshness
         age_s = freshness.find_age(self._core.now())
         is_outdated = freshness.has_failed or age_s >= freshness.usable_s
