--- a/packages/verbenahall/src/verbenahall/gateway/_stored_crashes.py
+++ b/packages/verbenahall/src/verbenahall/gateway/_stored_crashes.py
@@ -1,7 +1,8 @@
 """Crash reports that instances exchange through the store.
 
-Without them, parts of a fleet that are partitioned from each other but reach
-the store would each have to see a request's crashes for themselves.
+Parts of a fleet that are partitioned from each other may still reach the store.
+Without these reports, a request would have to crash endpoints in each part
+before all instances refuse it.
 """
 
 from typing import final
