--- a/packages/verbenahall/src/verbenahall/gateway/_stream_flow.py
+++ b/packages/verbenahall/src/verbenahall/gateway/_stream_flow.py
@@ -184,7 +184,7 @@
 
         Without it the whole prompt is prefilled again. An engine that refuses
         is usually full, so one refusal doesn't invalidate the handle. After a
-        second one the handle is taken to be unusable.
+        second one the handle is considered unusable.
         """
         match outcome:
             case NeverWritten() | Limited():
