--- a/packages/verbenahall/src/verbenahall/gateway/_usage.py
+++ b/packages/verbenahall/src/verbenahall/gateway/_usage.py
@@ -8,16 +8,16 @@
 from verbenahall.usage import (
     DUTY,
     LEASE_S,
-    UsageReports,
     Dependencies,
     UsageExchange,
     UsageReporter,
+    UsageReports,
     Windows,
 )
 
 
 def reports_usage(settings: ProcessSettings) -> bool:
-    """Whether the settings have instances report usage."""
+    """Whether instances report usage to the platform, by the settings."""
     bounds = settings.bounds
     enabled = USAGE_DUTY in settings.duties and bool(settings.duty_api)
     return enabled and bounds.usage_window_s > 0 and bounds.usage_late_s > 0
