--- a/packages/verbenahall/src/verbenahall/peers/_messages.py
+++ b/packages/verbenahall/src/verbenahall/peers/_messages.py
@@ -12,12 +12,12 @@
 from verbenahall import wire
 from verbenahall.placement import Totals
 
-#: Bytes of the encoded records in an update, at most. A datagram longer than
-#: 1,400 bytes is fragmented by the network, and lost with any fragment.
+#: Maximum size of the encoded records in an update, in bytes. A datagram longer
+#: than 1,400 bytes is fragmented by the network, and lost with any fragment.
 _UPDATE_BYTES: Final = 1200
-#: Bytes of a single encoded record that is sent although it is fragmented,
-#: such as a manifest. If it were not sent, each change would cost the store a
-#: call for each instance.
+#: Maximum size of a single encoded record, in bytes. A long record, such as a
+#: manifest, is sent although its datagram is fragmented. If it were not sent,
+#: each change would cost the store a call for each instance.
 _RECORD_BYTES: Final = 8000
 #: Decimal places of an age in seconds: milliseconds.
 _AGE_DECIMALS: Final = 3
@@ -36,11 +36,11 @@
     ``number`` increases with each heartbeat and starts again when the author is
     restarted, so that a delayed datagram doesn't overwrite a newer one.
     ``loads`` is the author's open work by engine, ``changing`` the engines that
-    it has ordered to change their role and that take no work, and ``speed`` its
-    measurements of prefill speed. ``followed_offsets`` is the next offset of
-    each topic that the author follows at the store, ``ages`` the seconds since
-    the store last confirmed that it holds nothing newer, and ``cores`` how many
-    processor cores the author may use.
+    it has ordered to change their role and that accept no work, and ``speed``
+    its measurements of prefill speed. ``followed_offsets`` is the next offset
+    of each topic that the author follows at the store, ``ages`` the seconds
+    since the store last confirmed that it holds nothing newer, and ``cores``
+    how many processor cores the author may use.
     """
 
     author: str
@@ -119,8 +119,8 @@
 
     Each part has the offsets of its own records, so the receiver notices a
     lost part when the next one arrives. A record that is too long for any
-    datagram becomes a part without records, whose ``end`` tells the receiver
-    to read it from the store.
+    datagram becomes a part without records. By its ``end`` the receiver detects
+    that a record is missing, and reads it from the store.
     """
     parts: list[TopicUpdate] = []
     for offset, record in enumerate(update.records, update.start):
