--- a/packages/verbenahall/src/verbenahall/peers/_ranks.py
+++ b/packages/verbenahall/src/verbenahall/peers/_ranks.py
@@ -16,8 +16,8 @@
     If heartbeats are sent within each data centre only, each data centre
     ranks its instances separately, and the data centres are ranked, too, so
     that all ranks differ. Instances of different data centres don't receive
-    each other's heartbeats: one that takes a duty must first check that the
-    duty is still open.
+    each other's heartbeats, so before an instance performs a duty, it must
+    check that no other one does.
     """
     live = list_live_peers(peer_table, now, _LIVE_S)
     centres = {peer_table.data_centre}
