--- a/packages/verbenahall/src/verbenahall/peers/_shell.py
+++ b/packages/verbenahall/src/verbenahall/peers/_shell.py
@@ -20,15 +20,15 @@
 )
 from verbenahall.peers._state import (
     PeerTable,
+    add_peer,
     choose_due,
     find_scale,
-    add_peer,
-    record_heartbeat,
     list_recipients,
+    record_heartbeat,
 )
 from verbenahall.placement import PlacementState
 
-#: How often peers that are due for a heartbeat are looked up, in seconds.
+#: Interval at which heartbeats are sent to the peers that are due, in seconds.
 _TICK_S: Final = 0.1
 #: Datagrams for the records of one read, at most: about thirty entries. More
 #: records follow an outage, and each instance reads them from the store.
@@ -119,10 +119,10 @@
     def announce(self) -> None:
         """Send one heartbeat to the peers that get no regular ones.
 
-        Instances of other data centres learn this instance's address only
-        from it, and may need it as the scheduler of engines in its data
-        centre. They get no store updates from this instance, so the heartbeat
-        names no topic as followed.
+        Instances of other data centres that started earlier get this
+        instance's address only from this heartbeat. They need it if this
+        instance schedules engines of its data centre. They get no store updates
+        from this instance, so the heartbeat lists no followed topics.
         """
         recipients = list_recipients(self._peer_table)
         datagram = encode_heartbeat(self._make_heartbeat({}, {}))
