--- a/packages/verbenahall/src/verbenahall/peers/_topic_followers.py
+++ b/packages/verbenahall/src/verbenahall/peers/_topic_followers.py
@@ -26,7 +26,7 @@
 
 
 def is_covered_by_peers(peer_table: PeerTable, topic: str, now: float) -> bool:
-    """Return whether enough peers ranked before this one follow a topic."""
+    """Whether enough peers ranked before this one follow a topic."""
     followers = [name for name, _ in _list_followers(peer_table, topic, now)]
     if len(followers) < _FOLLOWERS:
         return False
