--- a/packages/verbenahall/src/verbenahall/placement/_dispatch.py
+++ b/packages/verbenahall/src/verbenahall/placement/_dispatch.py
@@ -23,12 +23,12 @@
 )
 from verbenahall.placement._slots import AdmissionSlots, Fleet
 
-#: Shortest retry time given to a caller, in seconds.
+#: Shortest Retry-After of a refusal, in seconds.
 _MIN_RETRY_S: Final = 0.2
-#: Longest retry time as a share of the time until the caller leaves; the rest
+#: Longest Retry-After as a share of the time until the caller leaves; the rest
 #: is needed to serve the retry.
 _MAX_RETRY_SHARE: Final = 1 / 3
-#: Range of the random factor of the retry time.
+#: Range of the random factor of Retry-After.
 _RETRY_JITTER: Final = (0.75, 1.25)
 
 
