--- a/packages/verbenahall/src/verbenahall/placement/_load_table.py
+++ b/packages/verbenahall/src/verbenahall/placement/_load_table.py
@@ -78,9 +78,9 @@
 class LoadTable:
     """Open work by engine, of this instance and as reported by peers.
 
-    The sum over all peers is updated with each report. Adding up the reports
-    for each engine of each decision took more processor time than all other
-    work with 60 instances.
+    The sum over all peers is updated with each report. With 60 instances,
+    adding up the reports for each engine in each decision took more processor
+    time than all other work.
     """
 
     __slots__ = (
