--- a/packages/verbenahall/src/verbenahall/placement/_queue.py
+++ b/packages/verbenahall/src/verbenahall/placement/_queue.py
@@ -84,8 +84,8 @@
 
     It is the smoothed mean plus the smoothed mean deviation, as in the
     retransmission timer of TCP. It decays while no delay is recorded. Without
-    that, engines that were slow for a while would leave a bound by which every
-    request is refused, and no request would ever show that they have
+    the decay, a bound from a time when engines were slow could cause every
+    request to be refused, and no request would show that the engines have
     recovered.
     """
 
