--- a/packages/verbenahall/src/verbenahall/placement/_roles.py
+++ b/packages/verbenahall/src/verbenahall/placement/_roles.py
@@ -16,10 +16,10 @@
 
 #: Share of the engines that decode, rounded up, while demand is unknown.
 _DECODE_SHARE: Final = 1 / 3
-#: Largest number of engines changed at once, as a number and as a share of
-#: all; the greater of both applies. A change takes an engine out of service
-#: for seconds. With the number alone, a large fleet would take long to reach
-#: its roles after a start.
+#: Maximum number of engines that are changed at once, and the same as a share
+#: of all engines; the greater of both applies. A change takes an engine out of
+#: service for seconds. With a fixed number alone, a large fleet would take long
+#: to reach its roles after a start.
 _MAX_CHANGES: Final = 4
 _MAX_CHANGED_SHARE: Final = 1 / 6
 
@@ -70,7 +70,9 @@
     count: int,
     busy: Mapping[str, int],
 ) -> tuple[RoleChange, ...]:
-    """Choose the least busy engines, first where most have the old role.
+    """Choose engines from the data centres that have most of ``engines``.
+
+    Within a data centre the least busy engines are chosen first.
 
     A data centre whose engines all have one role sends either all prompts or
     all KV caches to other data centres.
