--- a/packages/verbenahall/src/verbenahall/placement/_slots.py
+++ b/packages/verbenahall/src/verbenahall/placement/_slots.py
@@ -26,9 +26,9 @@
 #: Share of that limit for a request that is already past its objective, so
 #: that later requests that can be on time don't wait for it.
 _LATE_AHEAD_SHARE: Final = 0.5
-#: Most queued requests per dispatch that are placed although their preferred
-#: engine has no room. Placing takes most of the time of a dispatch with a long
-#: queue.
+#: Maximum number of queued requests per dispatch for which engines are chosen
+#: although their preferred engine has no room. These choices take most of the
+#: time of a dispatch with a long queue.
 _MAX_SPILLED: Final = 2
 
 
