--- a/packages/verbenahall/src/verbenahall/placement/_speeds.py
+++ b/packages/verbenahall/src/verbenahall/placement/_speeds.py
@@ -26,7 +26,8 @@
 _NOISE_S: Final = 0.05
 _THOUSAND: Final = 1000.0
 _MILLION: Final = 1_000_000.0
-#: Samples that another instance must have more to be adopted from.
+#: The estimate of another instance is adopted if it has at least this many
+#: samples more than twice the local number.
 _ADOPTION_SAMPLES: Final = 8
 #: Factor by which the shortest measured prefill grows with each sample, so
 #: that engines that have become slower are noticed.
@@ -39,7 +40,7 @@
 #: Initial decode step time in seconds, and weight of one new sample.
 _STEP_S: Final = 0.006
 _STEP_SMOOTHING: Final = 0.2
-#: Half-life in which the step time decays to its initial value, in seconds.
+#: Half-life of the decay of the step time to its initial value, in seconds.
 _STEP_HALF_LIFE_S: Final = 2.0
 
 
@@ -102,9 +103,13 @@
             ) ** 2
 
     def update(self, missing: int, cached: int, seconds: float) -> None:
-        """Update the estimate with a prefill that did not wait for others."""
+        """Update the estimate with a prefill that is not known to have waited.
+
+        It took ``seconds`` for ``missing`` tokens after ``cached`` ones.
+        """
         self.samples += 1
-        # No prefill is shorter than its start time, whatever it waited for.
+        # The start time is at most the shortest measured prefill, since waits
+        # for other prefills only add to a measurement.
         self._fastest_s = min(self._fastest_s * _FASTEST_GROWTH, seconds)
         features = (1, missing / _THOUSAND, count_pairs(missing, cached))
         residual = seconds - _dot(features, self._coefficients)
