--- a/packages/verbenahall/src/verbenahall/roster/__init__.py
+++ b/packages/verbenahall/src/verbenahall/roster/__init__.py
@@ -2,11 +2,11 @@
 
 from verbenahall.roster._decisions import (
     STORE_RECOVERY_S,
-    apply_removal,
-    record_store_outage,
     apply_entry,
     apply_list,
+    apply_removal,
     had_store_outage,
+    record_store_outage,
 )
 from verbenahall.roster._messages import Entry, Listing
 from verbenahall.roster._state import LAPSE_GRACE_S, Roster, RosterRules
@@ -14,13 +14,13 @@
 __all__ = (
     'Entry',
     'LAPSE_GRACE_S',
-    'STORE_RECOVERY_S',
+    'Listing',
     'Roster',
     'RosterRules',
-    'Listing',
-    'apply_removal',
-    'record_store_outage',
+    'STORE_RECOVERY_S',
     'apply_entry',
     'apply_list',
+    'apply_removal',
     'had_store_outage',
+    'record_store_outage',
 )
