--- a/packages/verbenahall/src/verbenahall/roster/_decisions.py
+++ b/packages/verbenahall/src/verbenahall/roster/_decisions.py
@@ -8,8 +8,8 @@
 
 #: Removals within this time count as one event, in seconds.
 _MASS_REMOVAL_WINDOW_S: Final = 1.0
-#: Up to this many endpoints of a service may go within that time without being
-#: treated as lapsed entries.
+#: Maximum number of removals from a service within that time that are not
+#: treated as a lapse of entries.
 _MAX_ORDINARY_REMOVALS: Final = 2
 #: Maximum time in seconds between the last failed call to the store and the
 #: first records after its recovery.
