--- a/packages/verbenahall/src/verbenahall/roster/_messages.py
+++ b/packages/verbenahall/src/verbenahall/roster/_messages.py
@@ -1,4 +1,4 @@
-"""Entries of endpoints in the store, and what an instance keeps of them."""
+"""Entries of endpoints in the store, and an instance's records of them."""
 
 import dataclasses
 from typing import final
