--- a/packages/verbenahall/src/verbenahall/scheduling/_decisions.py
+++ b/packages/verbenahall/src/verbenahall/scheduling/_decisions.py
@@ -37,9 +37,9 @@
     Waiting,
 )
 
-#: Seconds after which a scheduler has recorded what engines have cached.
-#: Before that, it may have replaced another scheduler, under which the engines
-#: have prefilled most prefixes.
+#: Time after its start from which a scheduler relies on its own records of the
+#: prefixes that engines have cached, in seconds. Before that, most prefixes may
+#: have been prefilled under another scheduler, which it has replaced.
 _CACHES_COMPLETE_S: Final = 5.0
 #: Time in seconds after the deadline of a request at which its load is released
 #: if no end was reported, because its instance has crashed.
@@ -63,6 +63,7 @@
     ``assign_waiting``, which goes through the whole queue once for all requests
     that have arrived together. An instance repeats its request while it waits,
     to check that the scheduler still runs and to get an answer that was lost.
+    ``caller`` is the address of that instance.
     """
     assigned = state.assigned.get(request.key)
     if assigned is not None:
