--- a/packages/verbenahall/src/verbenahall/scheduling/_groups.py
+++ b/packages/verbenahall/src/verbenahall/scheduling/_groups.py
@@ -19,8 +19,8 @@
 from verbenahall.routing import rank_by_rendezvous
 
 #: Up to this number of peers, a load report reaches all of them within a fifth
-#: of a second. Then an instance chooses as well by itself as a scheduler
-#: would, without the round trip to it.
+#: of a second. In a fleet of that size an instance chooses engines as well as a
+#: scheduler would, and saves the round trip to it.
 _MAX_DIRECT_PEERS: Final = 10
 #: Approximate maximum of engines scheduled by one instance. With more engines,
 #: choosing among them would take a noticeable part of its processor time.
