--- a/packages/verbenahall/src/verbenahall/scheduling/_health.py
+++ b/packages/verbenahall/src/verbenahall/scheduling/_health.py
@@ -3,8 +3,8 @@
 from typing import Final, final
 
 #: Backoff after a timeout, in seconds: the first one, and the maximum after
-#: several in a row. A scheduler that is gone for good costs one request its
-#: wait after each backoff.
+#: several in a row. After each backoff, one request waits in vain for a
+#: scheduler that is still down.
 _MIN_BACKOFF_S: Final = 2.0
 _MAX_BACKOFF_S: Final = 32.0
 
@@ -16,7 +16,7 @@
     ``max_backoff_s`` is the maximum backoff in seconds.
     """
 
-    __slots__ = ('_max_backoff_s', '_backoffs')
+    __slots__ = ('_backoffs', '_max_backoff_s')
 
     def __init__(self, max_backoff_s: float = _MAX_BACKOFF_S) -> None:
         """Start with no timeouts recorded."""
