--- a/packages/verbenahall/tests/gateway/conftest.py
+++ b/packages/verbenahall/tests/gateway/conftest.py
@@ -138,14 +138,17 @@
     return asyncio.run(coroutine)
 
 
-def make_engines(readers=2, generators=1):
-    """Return prefill and decode engines, as the planner would assign them."""
+def make_engines(prefill_count=2, decode_count=1):
+    """Return prefill engines, then decode engines."""
     names = ('reader', 'generator')
     return [
-        *(EngineStandIn(f'{names[0]}-{n}', 'prefill') for n in range(readers)),
+        *(
+            EngineStandIn(f'{names[0]}-{n}', 'prefill')
+            for n in range(prefill_count)
+        ),
         *(
             EngineStandIn(f'{names[1]}-{n}', 'decode')
-            for n in range(generators)
+            for n in range(decode_count)
         ),
     ]
 
--- a/packages/verbenahall/tests/gateway/test_failing_engines.py
+++ b/packages/verbenahall/tests/gateway/test_failing_engines.py
@@ -13,7 +13,7 @@
     # An engine crashes in the middle of an event. The caller must get the rest
     # from another engine, without missing, repeated or incomplete events.
     async def check():
-        engines = make_engines(generators=2)
+        engines = make_engines(decode_count=2)
         for engine in engines[2:]:
             engine.faults.break_after = 3
             engine.faults.half_event = True
@@ -31,7 +31,7 @@
     # The route allows no second run. If the answer ended normally, the caller
     # would take it for complete.
     async def check():
-        engines = make_engines(generators=2)
+        engines = make_engines(decode_count=2)
         for engine in engines[2:]:
             engine.faults.break_after = 2
         async with run_gateway(tmp_path, engines) as harness:
@@ -46,7 +46,7 @@
     # An engine stops sending in the middle of a stream. Its caller would
     # disconnect after two seconds without an event.
     async def check():
-        engines = make_engines(generators=2)
+        engines = make_engines(decode_count=2)
         engines[2].faults.stall_after = 2
         engines[3].faults.stall_after = None
         async with run_gateway(tmp_path, engines) as harness:
@@ -63,7 +63,7 @@
     # The engine accepts the request and never answers. The request may have
     # run, so the answer must not say otherwise, and must come at the deadline.
     async def check():
-        engines = make_engines(generators=2)
+        engines = make_engines(decode_count=2)
         for engine in engines[2:]:
             engine.faults.mute = True
         async with run_gateway(tmp_path, engines) as harness:
@@ -77,7 +77,7 @@
 
 def test_refused_stream_is_sent_to_another_engine(tmp_path, numbers):
     async def check():
-        engines = make_engines(generators=3)
+        engines = make_engines(decode_count=3)
         engines[2].faults.full = True
         engines[3].faults.full = True
         async with run_gateway(tmp_path, engines) as harness:
@@ -107,8 +107,8 @@
 
 def test_engine_that_fell_silent_is_not_said_to_have_run_nothing(tmp_path):
     # The only decode engine accepts the request and stops responding. That no
-    # other engine is left doesn't mean that the request has not run: a caller
-    # that is told so would repeat it.
+    # other engine is left doesn't mean that the request has not run. After an
+    # answer that states this, the caller would repeat the request.
     async def check():
         async with run_gateway(tmp_path, make_engines()) as harness:
             harness.site.engines[2].faults.mute = True
@@ -147,7 +147,7 @@
     # request, so it is repeated on another engine even if the request may run
     # only once.
     async def check():
-        engines = make_engines(readers=2)
+        engines = make_engines(prefill_count=2)
         engines[0].faults.mute = True
         async with run_gateway(tmp_path, engines) as harness:
             for number in range(3):
@@ -193,7 +193,7 @@
     # The chosen decode engine has crashed since it was listed. Repeating the
     # prefill for the next one would make the request miss its objective.
     async def check():
-        engines = make_engines(readers=2, generators=2)
+        engines = make_engines(prefill_count=2, decode_count=2)
         async with run_gateway(tmp_path, engines) as harness:
             await engines[2].stop()
             for number in range(4):
@@ -209,7 +209,7 @@
     # The chosen decode engine starts to drain during a long prefill. A stream
     # that is sent to it all the same is cut off when the engine exits.
     async def check():
-        engines = make_engines(readers=1, generators=2)
+        engines = make_engines(prefill_count=1, decode_count=2)
         engines[0].faults.slow_read_s = 0.3
         async with run_gateway(tmp_path, engines) as harness:
             request = asyncio.create_task(harness.send('/blurb/1'))
@@ -227,7 +227,7 @@
     """A draining engine gets no work even if there is no other engine."""
 
     async def check():
-        engines = make_engines(readers=1, generators=1)
+        engines = make_engines(prefill_count=1, decode_count=1)
         engines[0].faults.slow_read_s = 0.3
         async with run_gateway(tmp_path, engines) as harness:
             request = asyncio.create_task(harness.send('/blurb/1'))
--- a/packages/verbenahall/tests/gateway/test_path.py
+++ b/packages/verbenahall/tests/gateway/test_path.py
@@ -95,15 +95,17 @@
     # The requests share most of their prompt. Spread evenly, they would have
     # every prefill engine compute the shared prefix again.
     async def check():
-        async with run_gateway(tmp_path, make_engines(readers=4)) as harness:
+        async with run_gateway(
+            tmp_path, make_engines(prefill_count=4)
+        ) as harness:
             for number in range(6):
                 await harness.send(
                     '/summary/1',
                     f'r-{number}',
                     headers={f'{PREFIX}Prompt-Prefix': f'aa:800,b{number}:9'},
                 )
-            readers = harness.site.engines[:4]
-            assert sorted(len(one.reads) for one in readers) == [0, 0, 0, 6]
+            prefilling = harness.site.engines[:4]
+            assert sorted(len(one.reads) for one in prefilling) == [0, 0, 0, 6]
 
     run(check())
 
@@ -131,9 +133,9 @@
         async with run_gateway(tmp_path, engines) as harness:
             with pytest.raises(TimeoutError):
                 await asyncio.wait_for(harness.send('/blurb/1'), 0.3)
-            readers = engines[:2]
+            prefill_engines = engines[:2]
             await harness.wait_until(
-                lambda: any(one.freed for one in readers), 0.5
+                lambda: any(one.freed for one in prefill_engines), 0.5
             )
 
     run(check())
--- a/packages/verbenahall/tests/gateway/test_repeated_crashes.py
+++ b/packages/verbenahall/tests/gateway/test_repeated_crashes.py
@@ -48,9 +48,9 @@
     return len(list_live_peers(core.peer_table, core.now(), 1)) == 2
 
 
-def make_crashing(generators=4):
+def make_crashing(decode_count=4):
     """Return engines that crash on one request and restart soon after."""
-    engines = make_engines(generators=generators)
+    engines = make_engines(decode_count=decode_count)
     for engine in engines:
         engine.faults.crash_on = CRASHING
     return engines
@@ -77,7 +77,7 @@
 
 
 async def crash_until(harnesses, engines, crashes):
-    """Send to the instances in turn until so many engines have crashed."""
+    """Send to the instances in turn until ``crashes`` engines have crashed."""
     sent = 0
     while sum(one.crashes for one in engines) < crashes:
         await send_crashing(harnesses[sent % len(harnesses)], f'r-{sent}')
--- a/packages/verbenahall/tests/gateway/test_roles.py
+++ b/packages/verbenahall/tests/gateway/test_roles.py
@@ -48,7 +48,7 @@
     """All decode engines accept two requests a second; the rest are prefill."""
 
     async def check():
-        engines = make_engines(readers=4, generators=2)
+        engines = make_engines(prefill_count=4, decode_count=2)
         async with run_gateway(tmp_path, engines) as harness:
             core = harness.gateway.core
             for engine in engines[4:]:
--- a/packages/verbenahall/tests/gateway/test_scheduling.py
+++ b/packages/verbenahall/tests/gateway/test_scheduling.py
@@ -136,7 +136,7 @@
     run(check())
 
 
-def test_without_any_scheduler_an_instance_decides_itself(tmp_path):
+def test_instance_without_schedulers_places_requests_itself(tmp_path):
     """All other instances are unreachable."""
 
     async def check():
@@ -160,7 +160,7 @@
     """
 
     async def check():
-        engines = make_engines(readers=4, generators=2)
+        engines = make_engines(prefill_count=4, decode_count=2)
         async with run_gateways(tmp_path, engines) as harnesses:
             first, *others = harnesses
             for harness in others:
@@ -221,7 +221,7 @@
     """
 
     async def check():
-        engines = make_engines(readers=1)
+        engines = make_engines(prefill_count=1)
         engines[0].faults.slow_read_s = 0.5
         async with run_gateways(tmp_path, engines) as harnesses:
             first = harnesses[0]
@@ -260,7 +260,7 @@
     """A caller disconnects while its request is queued at the scheduler."""
 
     async def check():
-        engines = make_engines(readers=1)
+        engines = make_engines(prefill_count=1)
         engines[0].faults.slow_read_s = 0.4
         async with run_gateways(tmp_path, engines) as harnesses:
             first = harnesses[0]
@@ -287,14 +287,16 @@
         async with run_gateways(tmp_path) as harnesses:
             first = harnesses[0]
             await first.send(PATH, 'r-1')
-            reader = first.log_lines('placed')[-1]['reader']
+            prefill_engine = first.log_lines('placed')[-1]['reader']
             core = harnesses[-1].gateway.core
             for engine in first.site.engines:
-                if engine.name == reader:
+                if engine.name == prefill_engine:
                     engine.faults.full = True
             status, _, _ = await first.send(PATH, 'r-2')
             assert status == 200
-            await first.wait_until(lambda: core.endpoint_health.has(reader))
-            assert core.endpoint_health.is_avoided(reader, core.now())
+            await first.wait_until(
+                lambda: core.endpoint_health.has(prefill_engine)
+            )
+            assert core.endpoint_health.is_avoided(prefill_engine, core.now())
 
     run(check())
--- a/packages/verbenahall/tests/gateway/test_waiting.py
+++ b/packages/verbenahall/tests/gateway/test_waiting.py
@@ -26,7 +26,7 @@
 
 
 def make_slow_engines(read_s=0.4):
-    engines = make_engines(readers=1)
+    engines = make_engines(prefill_count=1)
     engines[0].faults.slow_read_s = read_s
     return engines
 
