--- a/packages/verbenahall/tests/gateway/test_store.py
+++ b/packages/verbenahall/tests/gateway/test_store.py
@@ -235,7 +235,7 @@
     run(check())
 
 
-def test_instance_stays_ready_when_engines_fail_for_everybody(tmp_path):
+def test_instance_stays_ready_when_engines_fail_for_all_instances(tmp_path):
     # All engines have crashed. The other instances can't serve requests either,
     # and if none were ready the balancer would have no instance left.
     async def check():
