--- a/packages/verbenahall/tests/gateway/test_news.py
+++ b/packages/verbenahall/tests/gateway/test_news.py
@@ -62,7 +62,7 @@
 
 
 def test_change_reaches_all_and_costs_the_calls_of_two(tmp_path):
-    # If all instances read each change from the store, 91 instances made
+    # When all instances read each change from the store, 91 instances made
     # 13,400 calls in 76 seconds.
     async def check():
         async with run_gateways(tmp_path) as harnesses:
