--- a/packages/verbenahall/tests/peers/test_arrivals.py
+++ b/packages/verbenahall/tests/peers/test_arrivals.py
@@ -1,16 +1,16 @@
-"""Age of what a peer reports of the store, by the receiver's own clock."""
+"""Ages of store topics in heartbeats, converted to the receiver's clock."""
 
 from returns.maybe import Nothing, Some
 
 from verbenahall import journal
 from verbenahall.peers import (
     ConfirmedOffset,
-    PeerTable,
     Heartbeat,
+    PeerTable,
+    add_peer,
     decode_message,
     encode_heartbeat,
     find_confirmed_at,
-    add_peer,
     record_heartbeat,
 )
 from verbenahall.peers._arrivals import ArrivalClock
@@ -26,7 +26,7 @@
 
 
 def make_peer_table(confirmed):
-    """Return a peer table with one peer that has reported this."""
+    """Return a peer table with one peer, with the confirmed offset given."""
     peer_table = PeerTable('front-1')
     add_peer(peer_table, 'front-2', '10.0.0.2:7380')
     record_heartbeat(
--- a/packages/verbenahall/tests/peers/test_peers.py
+++ b/packages/verbenahall/tests/peers/test_peers.py
@@ -4,12 +4,12 @@
 from returns.maybe import Nothing, Some
 
 from verbenahall.peers import (
-    PeerTable,
     Heartbeat,
+    PeerTable,
+    add_peer,
     choose_due,
     decode_message,
     encode_heartbeat,
-    add_peer,
     record_heartbeat,
 )
 from verbenahall.peers import _state as state
@@ -108,7 +108,7 @@
     assert list(choose_due(peer_table, 0)) == ['10.0.0.9:7380']
 
 
-def test_silent_peer_gets_few_heartbeats():
+def test_unresponsive_peer_gets_few_heartbeats():
     # A machine is gone for good. At the full rate its heartbeats would be
     # wasted for ever; without any, a peer could not be rediscovered after a
     # network partition.
@@ -136,7 +136,7 @@
     assert sent <= 90 * 5
 
 
-def test_load_of_a_silent_peer_is_dropped():
+def test_load_of_an_unresponsive_peer_is_dropped():
     # An instance is killed with much work open. By its last heartbeat, engines
     # that have long been idle would still count as busy.
     load_table = LoadTable()
@@ -146,7 +146,7 @@
     assert not load_table.totals('engine-1').prefill_tokens
 
 
-def test_ledger_counts_own_sends_until_they_end():
+def test_load_table_counts_local_sends_until_they_end():
     load_table = LoadTable()
     flight = load_table.open('engine-1', Totals(100, 200, 1))
     load_table.set_peer_loads('front-2', {'engine-1': Totals(10, 20, 1)}, now=1)
--- a/packages/verbenahall/tests/peers/test_ranks.py
+++ b/packages/verbenahall/tests/peers/test_ranks.py
@@ -2,7 +2,7 @@
 
 import pytest
 
-from verbenahall.peers import PeerTable, find_rank, add_peer, record_heartbeat
+from verbenahall.peers import PeerTable, add_peer, find_rank, record_heartbeat
 
 CENTRES = ('ain', 'fes', 'sidi')
 
@@ -52,7 +52,7 @@
     assert sorted(rank_all(per_centre)) == list(range(3 * per_centre))
 
 
-def test_silent_instance_is_left_out_of_the_ranking():
+def test_unresponsive_instance_is_left_out_of_the_ranking():
     """The first-ranked instance of the local data centre dies."""
     names = [f'ain-{number}' for number in range(4)]
     ranks = {
--- a/packages/verbenahall/tests/peers/test_watchers.py
+++ b/packages/verbenahall/tests/peers/test_watchers.py
@@ -1,4 +1,4 @@
-"""Two of the instances in contact follow the store for the others."""
+"""Two of the instances that exchange heartbeats follow each store topic."""
 
 import base64
 import json
@@ -9,14 +9,14 @@
 from returns.maybe import Nothing, Some
 
 from verbenahall.peers import (
-    TopicUpdate,
     PeerTable,
+    TopicUpdate,
+    add_peer,
     decode_message,
     encode_update,
     find_latest_offset,
-    add_peer,
-    record_heartbeat,
     is_covered_by_peers,
+    record_heartbeat,
     split_update,
 )
 from verbenahall.routing import rank_by_rendezvous
@@ -56,7 +56,7 @@
         )
 
 
-def test_follower_that_falls_silent_is_replaced():
+def test_unresponsive_follower_is_replaced():
     # A follower is killed, frozen or cut off. An instance that still relied on
     # it would serve by an old manifest until the follower is back.
     peer_table = make_peer_table(NAMES[2], follow(*NAMES[:2]))
@@ -64,7 +64,7 @@
     assert not is_covered_by_peers(peer_table, TOPIC, 11.5)
 
 
-def test_follower_that_the_store_refuses_is_replaced():
+def test_follower_without_answers_of_the_store_is_replaced():
     # The store answers some machines and not others. A follower that gets no
     # answers still sends heartbeats, but receives no changes.
     heartbeats = {**follow(NAMES[0]), NAMES[1]: {}}
