--- a/packages/verbenahall/tests/roster/test_roster.py
+++ b/packages/verbenahall/tests/roster/test_roster.py
@@ -3,10 +3,10 @@
 from verbenahall.roster import (
     Entry,
     Roster,
-    apply_removal,
-    record_store_outage,
     apply_entry,
     apply_list,
+    apply_removal,
+    record_store_outage,
 )
 
 
