--- a/packages/verbenahall/tests/scheduling/test_groups.py
+++ b/packages/verbenahall/tests/scheduling/test_groups.py
@@ -173,7 +173,7 @@
 def test_unresponsive_scheduler_is_skipped_with_growing_backoff(peer_table):
     """An instance of another data centre is gone for good.
 
-    If it were asked for each request, each of them would wait for a timeout.
+    If each request were sent to it first, each would wait for a timeout.
     """
     health = SchedulerHealth()
     first, second, *_ = rank_schedulers('fes/0', peer_table, 0)
--- a/packages/verbenahall/tests/scheduling/test_scheduler.py
+++ b/packages/verbenahall/tests/scheduling/test_scheduler.py
@@ -265,7 +265,7 @@
     """Hundreds of requests a second arrive at peak load.
 
     One pass over the queue for each of them took all of a processor. Replies
-    came late, and instances asked other schedulers, which don't know the load.
+    came late, and instances tried other schedulers, which don't know the load.
     """
     fleet = make_fleet(state)
     answered = [
