--- a/packages/verbenahall/src/verbenahall/routing/_candidates.py
+++ b/packages/verbenahall/src/verbenahall/routing/_candidates.py
@@ -18,7 +18,8 @@
 
 #: Maximum number of endpoints that one instance chooses among.
 SUBSET_SIZE: Final = 24
-#: Cached pairs of instance and endpoint.
+#: Maximum number of cached sort keys, one for each pair of instance and
+#: endpoint.
 _RANK_CACHE_SIZE: Final = 8192
 
 
