--- a/packages/verbenahall/src/verbenahall/routing/_decisions.py
+++ b/packages/verbenahall/src/verbenahall/routing/_decisions.py
@@ -6,8 +6,8 @@
 would send to the endpoint that last reported an empty queue. Random jitter on
 the costs separates instances that have the same reports.
 
-Role and cached prefix are preferences. They are expressed as load, so a
-preferred endpoint that is busy loses to an idle one.
+A fitting role and a cached prefix are preferences. They only lower the cost,
+so a preferred endpoint that is busy loses to an idle one.
 """
 
 from collections.abc import Sequence
@@ -215,10 +215,10 @@
 ) -> Choice:
     best = min(scored, key=lambda option: option.cost)
     chosen = best.candidate.endpoint
-    over = {option.candidate.endpoint.name for option in scored}
+    compared = {option.candidate.endpoint.name for option in scored}
     return Choice(
         endpoint=chosen,
         load_estimate=estimate_load(load, chosen.name, now),
-        over=tuple(sorted(over - {chosen.name})),
+        over=tuple(sorted(compared - {chosen.name})),
         reason=best.reason,
     )
