--- a/packages/verbenahall/src/verbenahall/routing/_long_prompts.py
+++ b/packages/verbenahall/src/verbenahall/routing/_long_prompts.py
@@ -32,17 +32,19 @@
 #: Time constant of the estimate in seconds; long enough for several long
 #: prompts to arrive within it.
 _TIME_CONSTANT_S: Final = 15.0
-#: The number of engines grows early and shrinks late: with one too few, long
-#: prompts queue behind each other, while one too many costs the other requests
-#: little. Differences from the target and offset are in engines.
+#: Differences in engines between the target and the current number of engines
+#: for long prompts, above which the number is changed. It grows early and
+#: shrinks late: with one engine too few, long prompts queue behind each other,
+#: while one too many costs the other requests little.
 _GROW_THRESHOLD: Final = 0.3
 _SHRINK_THRESHOLD: Final = 0.9
+#: Added to the target, in engines, before it is rounded down.
 _ROUND_UP_OFFSET: Final = 0.7
 #: Smaller pools are not divided: one engine is too large a part of them.
 _MIN_POOL_SIZE: Final = 3
 #: Long prompts get an engine if their work exceeds this part of one engine.
 _MIN_LONG_PROMPT_ENGINES: Final = 0.1
-#: Cached hashes of endpoint names.
+#: Maximum number of cached hashes of endpoint names.
 _HASH_CACHE_SIZE: Final = 8192
 #: Engines that suit long prompts best come first.
 _ROLE_ORDER: Final = MappingProxyType(
