--- a/packages/verbenahall/src/verbenahall/load/_decisions.py
+++ b/packages/verbenahall/src/verbenahall/load/_decisions.py
@@ -34,6 +34,7 @@
 _FAILURE_COST: Final = 16.0
 #: Half-life of the number of failures, in seconds.
 _FAILURE_HALF_LIFE_S: Final = 1.0
+#: Upper bound of the decaying number of failures of an endpoint.
 _MAX_FAILURES: Final = 8.0
 
 
