--- a/packages/verbenahall/src/verbenahall/load/_engines.py
+++ b/packages/verbenahall/src/verbenahall/load/_engines.py
@@ -50,9 +50,9 @@
         """Start without states."""
         self.by_name: dict[str, EngineState] = {}
 
-    def put(self, found: EngineState) -> None:
+    def put(self, state: EngineState) -> None:
         """Store the state of an engine in place of its last one."""
-        self.by_name[found.name] = found
+        self.by_name[state.name] = state
 
     def remove(self, name: str) -> None:
         """Remove the state of an engine whose answers contradict it."""
@@ -60,7 +60,7 @@
 
     def has_model(self, model: str) -> bool:
         """Whether any engine has the model."""
-        return any(model in found.models for found in self.by_name.values())
+        return any(model in state.models for state in self.by_name.values())
 
 
 def read_engine_state(table: dict[str, Any]) -> Result[EngineState, Problem]:
