--- a/packages/verbenahall/src/verbenahall/admission/_decisions.py
+++ b/packages/verbenahall/src/verbenahall/admission/_decisions.py
@@ -1,7 +1,7 @@
 """Strict priorities, fair shares between workspaces, and early load shedding.
 
-Flags, the highest priority, have slots of their own in addition to the common
-ones, for which they also go first, so they only wait for other flags. A
+Flags are the requests of the highest priority. They have slots of their own
+and also get the common slots first, so a flag waits only for other flags. A
 request that cannot run before its deadline is rejected on arrival, not when
 the deadline has passed.
 """
