--- a/packages/verbenahall/src/verbenahall/admission/_rates.py
+++ b/packages/verbenahall/src/verbenahall/admission/_rates.py
@@ -6,13 +6,14 @@
 _WINDOW_S: Final = 0.5
 #: Weight of the newest window in the rate.
 _SMOOTHING: Final = 0.4
-#: Length of an open window, in seconds, from which its count bounds the rate.
+#: An open window that is at least this long, in seconds, limits the rate to
+#: what its own count allows.
 _STALE_S: Final = 1.0
 
 
 @final
 class RateMeter:
-    """Events a second; None until the first window has ended."""
+    """Measures events per second; None until the first window has ended."""
 
     __slots__ = ('_rate', '_window_start', '_count')
 
@@ -44,12 +45,12 @@
             self._count = 0
 
     def scale(self, factor: float) -> None:
-        """Multiply the rate by a factor that is expected to change it."""
+        """Multiply the rate, for example after a change of the slots."""
         if self._rate is not None:
             self._rate *= factor
 
     def read(self, now: float) -> float | None:
-        """Return the rate, or less if few events have come since."""
+        """Return the rate, or less if the open window has few events."""
         if self._rate is None or self._window_start is None:
             return self._rate
         elapsed_s = now - self._window_start
