--- a/packages/verbenahall/src/verbenahall/admission/_state.py
+++ b/packages/verbenahall/src/verbenahall/admission/_state.py
@@ -49,10 +49,10 @@
 class FairQueue:
     """The waiting tickets of one priority, first in first out by workspace.
 
-    It schedules by stride: ``passes`` is the virtual time of each workspace,
+    It uses stride scheduling: ``passes`` is the virtual time of each workspace,
     which advances by 1 / share for each ticket served. The workspace with the
-    least is served next. So workspaces are served in proportion to their
-    shares, however many requests each of them sends.
+    lowest virtual time is served next. So workspaces are served in proportion
+    to their shares, regardless of the number of requests that each sends.
     """
 
     __slots__ = ('waiting', 'passes', 'virtual_time', 'size')
@@ -75,7 +75,7 @@
         self.size += 1
 
     def pop(self, workspaces: Workspaces) -> Ticket:
-        """Remove the next ticket, from the workspace with the least pass."""
+        """Remove the oldest ticket of the workspace that is served next."""
         workspace = min(self.waiting, key=self.passes.__getitem__)
         self.virtual_time = self.passes[workspace]
         share = workspaces.get(workspace, _DEFAULT_BOUNDS).share
