--- a/packages/verbenahall/src/verbenahall/authority/_decisions.py
+++ b/packages/verbenahall/src/verbenahall/authority/_decisions.py
@@ -22,13 +22,13 @@
 class LeaseCandidate:
     """State of one process as a candidate for the lease on one scope.
 
-    ``sent`` maps the ``after`` offset of an append to the time just before
-    the first such append was sent. ``last_append_at`` is the time of the latest
+    ``sent`` maps an ``after`` offset to the time just before the first append
+    with that offset was sent. ``last_append_at`` is the time of the latest
     append. ``delay_share`` (0 to 1) spreads the claims of the instances of a
     data centre in time.
     """
 
-    __slots__ = ('delay_share', 'holder', 'scope', 'sent', 'last_append_at')
+    __slots__ = ('delay_share', 'holder', 'last_append_at', 'scope', 'sent')
 
     def __init__(self, scope: str, holder: str, delay_share: float) -> None:
         """Start without any append sent.
@@ -62,8 +62,8 @@
     """Return when this process's lease ends; minus infinity without one.
 
     A process holds the lease once it has read its own record back from the
-    log. The lease is counted from the time before that record was sent, and
-    no other process can have read the record before that time.
+    log. The lease is counted from the time just before that record was sent,
+    so it starts here before another process can have read the record.
     """
     grant = state.find_grant(candidate.scope)
     if grant.token == 0 or grant.holder != candidate.holder:
