--- a/packages/verbenahall/src/verbenahall/orders/_decisions.py
+++ b/packages/verbenahall/src/verbenahall/orders/_decisions.py
@@ -16,10 +16,10 @@
 def is_changing(state: OrdersState, engine: str) -> bool:
     """Return whether an engine gets no new requests because of a change.
 
-    This is so from the time this process reads the order's record, so that
-    the engine drains and the change starts with nothing in flight. An engine
-    that already holds the target continues to get requests: its order only
-    updates the order number. An engine without a report is not changing.
+    New requests stop as soon as this process has read the order's record. So
+    the engine drains, and the change starts with nothing in flight. An
+    engine that already holds the target continues to get requests: its order
+    only updates the order number. An engine without a report is not changing.
     """
     report = state.reports.get(engine)
     if report is None:
