--- a/packages/verbenahall/src/verbenahall/orders/_dispatch.py
+++ b/packages/verbenahall/src/verbenahall/orders/_dispatch.py
@@ -57,7 +57,8 @@
 class Dispatch:
     """State of one process's sends under one fencing token.
 
-    ``granted_at`` is when this process read ``grant``, its own, from the log.
+    ``grant`` is this process's own, and ``granted_at`` is when the process
+    read it from the log.
     """
 
     __slots__ = ('grant', 'granted_at', 'timing', 'sends')
