--- a/packages/verbenahall/src/verbenahall/orders/_failures.py
+++ b/packages/verbenahall/src/verbenahall/orders/_failures.py
@@ -9,6 +9,7 @@
 from verbenahall.orders._progress import Progress, find_progress
 from verbenahall.orders._state import OrdersState
 
+#: Bounds in seconds of the pause after a send; each failure doubles it.
 _FIRST_PAUSE_S: Final = 0.25
 _MAX_PAUSE_S: Final = 20.0
 _MAX_DOUBLINGS: Final = 10
@@ -95,7 +96,7 @@
         if _should_withdraw(dispatch, state, order)
     ]
     return tuple(
-        _withdraw(dispatch, state, hopeless, now) for hopeless in withdrawn
+        _withdraw(dispatch, state, rejected, now) for rejected in withdrawn
     )
 
 
