--- a/packages/verbenahall/src/verbenahall/orders/_shell.py
+++ b/packages/verbenahall/src/verbenahall/orders/_shell.py
@@ -104,14 +104,14 @@
             )
         return self._session
 
-    def _open_socket(self, address: Any) -> socket.socket:
+    def _open_socket(self, address_info: Any) -> socket.socket:
         """Open a socket with a TCP user timeout of the order timeout.
 
         Without it the kernel would retransmit an order for minutes to an
         engine behind a network partition and deliver it after the partition
         has ended, long after another holder has taken the lease.
         """
-        family, kind, protocol = address[:3]
+        family, kind, protocol = address_info[:3]
         opened = socket.socket(family, kind, protocol)
         opened.setblocking(False)
         opened.setsockopt(
