--- a/packages/verbenahall/src/verbenahall/orders/_state.py
+++ b/packages/verbenahall/src/verbenahall/orders/_state.py
@@ -19,12 +19,12 @@
 
     __slots__ = (
         'authority',
+        'finished_at',
         'orders',
+        'outstanding_orders',
         'position',
         'reported_at',
         'reports',
-        'finished_at',
-        'outstanding_orders',
     )
 
     def __init__(self, authority: AuthorityState) -> None:
