--- a/packages/verbenahall/src/verbenahall/rollout/_decision_log.py
+++ b/packages/verbenahall/src/verbenahall/rollout/_decision_log.py
@@ -50,9 +50,9 @@
         )
 
 
-def log_waiting(just_changed: Iterable[Waiting]) -> None:
+def log_waiting(newly_waiting: Iterable[Waiting]) -> None:
     """Log each engine that has started to wait."""
-    for entry in sorted(just_changed, key=lambda waits: waits.engine):
+    for entry in sorted(newly_waiting, key=lambda waiting: waiting.engine):
         write_decision(
             'place_later',
             engine=entry.engine,
