--- a/packages/verbenahall/src/verbenahall/rollout/_plan.py
+++ b/packages/verbenahall/src/verbenahall/rollout/_plan.py
@@ -39,7 +39,7 @@
     are changing, ``loads`` those of them that fetch weights.
     """
 
-    __slots__ = ('changes', 'incoming', 'floors', 'loads', 'serving')
+    __slots__ = ('changes', 'floors', 'incoming', 'loads', 'serving')
 
     def __init__(self, floors: Mapping[str, int]) -> None:
         self.floors = floors
