--- a/packages/verbenahall/src/verbenahall/claims/_batcher.py
+++ b/packages/verbenahall/src/verbenahall/claims/_batcher.py
@@ -114,8 +114,8 @@
     def _is_awaited(self, batch: Batch) -> bool:
         """Whether a failed append leaves a claim undecided.
 
-        The record may be read from the log before the append is answered. A
-        log that is slow to answer is not down.
+        If its record has been read from the log meanwhile, the claims are
+        decided, and the log is only slow to answer and not down.
         """
         return not self._state.waiting.isdisjoint(batch.keys)
 
