--- a/packages/verbenahall/src/verbenahall/claims/_decisions.py
+++ b/packages/verbenahall/src/verbenahall/claims/_decisions.py
@@ -20,9 +20,11 @@
     length, so that a batch never exceeds the size of a record, and a key that
     is a secret is not written to the log.
     """
-    named = workspace.encode(*_ENCODING)
+    workspace_bytes = workspace.encode(*_ENCODING)
     digest = hashlib.blake2b(
-        len(named).to_bytes(_LENGTH_BYTES) + named + key.encode(*_ENCODING),
+        len(workspace_bytes).to_bytes(_LENGTH_BYTES)
+        + workspace_bytes
+        + key.encode(*_ENCODING),
         digest_size=_DIGEST_BYTES,
     )
     return digest.hexdigest()
@@ -37,9 +39,9 @@
 def try_claim(state: ClaimsState, key: str) -> Verdict | None:
     """Try to claim a key; return ``None`` if the log has to decide.
 
-    A claim that this process has won and not used is used now. This does not
-    hold once its release may be in the log, since another process may have
-    won the key after that.
+    If this process has already won the key and not used that claim, it is used
+    now. A claim whose release may already be in the log is not: after the
+    release another process may have won the key.
     """
     unused = state.unused.pop(key, None)
     if unused is not None:
