--- a/packages/verbenahall/src/verbenahall/membership/_messages.py
+++ b/packages/verbenahall/src/verbenahall/membership/_messages.py
@@ -83,6 +83,15 @@
     them. Each time that it becomes unresponsive again within
     ``flap_window_s`` of its recovery, it needs one more answer to recover, up
     to ``flap_limit`` more.
+
+    A single failure is enough if ``suspecting_peers`` peers have reported
+    failures within ``suspicion_s``. Leaving notices are forwarded up to the
+    age ``notice_lifetime_s``. The delay between probes of an endpoint grows
+    from ``probe_first_s`` to ``probe_max_s``, and at most ``probes_at_once``
+    endpoints are probed together. Removals from the list are counted over
+    ``removal_window_s``. A member that has been off the list for
+    ``expire_after_s`` and is not live is removed. The list may show a
+    replaced incarnation for ``list_lag_s``.
     """
 
     failures: int = 3
