--- a/packages/verbenahall/src/verbenahall/membership/_peer_shell.py
+++ b/packages/verbenahall/src/verbenahall/membership/_peer_shell.py
@@ -29,6 +29,7 @@
 #: does not grow with their number.
 _FAN_OUT: Final = 2
 _FAN_OUT_LEAVING: Final = 8
+#: Time in seconds for which an instance keeps its recipients.
 _EPOCH_S: Final = 8
 _JITTER: Final = (0.8, 1.2)
 _MAX_HEARTBEAT_BYTES: Final = 16_384
