--- a/packages/verbenahall/src/verbenahall/front/_fleet.py
+++ b/packages/verbenahall/src/verbenahall/front/_fleet.py
@@ -52,10 +52,10 @@
         self._cache: dict[Requirement, _CachedList] = {}
 
     def list_candidates(self, requirement: Requirement) -> Sequence[Candidate]:
-        """Return this instance's subset of the endpoints that can serve it.
+        """Return this instance's subset of the endpoints that meet it.
 
-        It has one subset of the local data centre and one of all others.
-        Routing would also select a subset, but for every request.
+        The result joins two subsets: one of the local data centre and one of
+        all others. Routing would also select a subset, but for every request.
         """
         now = self._dependencies.clock()
         expires_at, cached = self._cache.get(requirement, (-math.inf, ()))
@@ -180,9 +180,9 @@
     def _build_missing_service(
         self,
         service: str,
-        known: object,
+        configured: object,
     ) -> Result[None, Problem]:
-        if service in known:
+        if service in configured:
             return _fail(
                 ErrorKind.NO_ENDPOINT,
                 f'no endpoint of service {service!r} is live',
