--- a/packages/verbenahall/src/verbenahall/front/_pipeline.py
+++ b/packages/verbenahall/src/verbenahall/front/_pipeline.py
@@ -72,8 +72,8 @@
     def _record_demand(self, call: Call) -> None:
         """Count a model request as demand, even if admission sheds it later.
 
-        It is called only for models that are being served: callers choose the
-        names of others, which would fill the memory.
+        It is called only for models that an endpoint serves. Callers may send
+        any other name, and an entry for each would fill the memory.
         """
         if isinstance(call, ModelCall):
             self._dependencies.record_demand(
@@ -124,9 +124,9 @@
         if isinstance(result, Success):
             metrics.REQUESTS.add(str(head.ticket.priority), 'ok')
             return result.unwrap()
-        answer = self._build_failure(head, result.failure())
+        error_response = self._build_failure(head, result.failure())
         if relay.response is None:
-            return answer
+            return error_response
         return await relay.send_error(result.failure())
 
     def _build_response(
