--- a/packages/verbenahall/src/verbenahall/front/_placement.py
+++ b/packages/verbenahall/src/verbenahall/front/_placement.py
@@ -34,7 +34,7 @@
         routing: RoutingState,
         ids: AttemptIds,
     ) -> None:
-        """Store what placement depends on."""
+        """Store the states and the source of attempt IDs."""
         self._dependencies = dependencies
         self._fleet = fleet
         self._routing = routing
