--- a/packages/verbenahall/src/verbenahall/front/_server.py
+++ b/packages/verbenahall/src/verbenahall/front/_server.py
@@ -12,6 +12,7 @@
 
 from verbenahall.config import LimitsConfig
 
+#: Time in seconds after which an idle pooled connection is closed.
 _IDLE_CONNECTION_S: Final = 15.0
 
 
