--- a/packages/verbenahall/src/verbenahall/front/_shell.py
+++ b/packages/verbenahall/src/verbenahall/front/_shell.py
@@ -21,6 +21,8 @@
 from verbenahall.requests import AttemptIds
 from verbenahall.routing import RoutingState
 
+#: Intervals in seconds of the refresh of limits and of the removal of load
+#: entries of endpoints that are no longer available.
 _REFRESH_S: Final = 0.1
 _CLEANUP_S: Final = 10.0
 _INCARNATION_BYTES: Final = 6
