--- a/packages/verbenahall/src/verbenahall/instance/_control.py
+++ b/packages/verbenahall/src/verbenahall/instance/_control.py
@@ -14,8 +14,8 @@
 from verbenahall.instance._pools import Pools
 from verbenahall.load import EngineStates, read_engine_state
 from verbenahall.membership import (
-    ListPoller,
     InstanceStatus,
+    ListPoller,
     PeerExchange,
     Prober,
 )
@@ -153,11 +153,11 @@
         )
 
     def _record_state(self, table: dict[str, Any]) -> None:
-        """Store the state that an engine returned for an order.
+        """Store an engine's state that the controller has polled.
 
-        Otherwise routing would see the end of a change only at the next, slower
-        poll. Until then the engine would stay idle, and if it is the only one
-        with its model, requests would be rejected.
+        Otherwise routing would see the end of a change only at its own next
+        poll, which is slower. Until then the engine would stay idle, and if it
+        is the only one with its model, requests would be rejected.
         """
         read = read_engine_state(table)
         if not isinstance(read, Success):
