--- a/packages/verbenahall/src/verbenahall/instance/_membership_adapter.py
+++ b/packages/verbenahall/src/verbenahall/instance/_membership_adapter.py
@@ -8,19 +8,19 @@
 from verbenahall.load import EngineState
 from verbenahall.membership import (
     MembershipState,
+    get_status,
     list_live,
     observe_answer,
     observe_failure,
     observe_leaving,
     observe_state,
-    get_status,
 )
 from verbenahall.orders import OrdersState, is_changing
 
 
 @final
 class MembershipAdapter:
-    """Reads the membership, and reports what endpoints answer to it."""
+    """Reads the membership, and updates it from the answers of endpoints."""
 
     __slots__ = ('_members', '_orders')
 
