--- a/packages/verbenahall/src/verbenahall/instance/_wiring.py
+++ b/packages/verbenahall/src/verbenahall/instance/_wiring.py
@@ -26,7 +26,7 @@
 
 @final
 class Instance:
-    """All parts of one instance; ``loops`` returns what must run."""
+    """All parts of one instance; ``loops`` returns its background loops."""
 
     def __init__(self, config: InstanceConfig) -> None:
         """Build every part; the event loop must be running."""
