--- a/packages/verbenahall/src/verbenahall/shutdown/_state.py
+++ b/packages/verbenahall/src/verbenahall/shutdown/_state.py
@@ -32,7 +32,7 @@
         """Whether new requests must be rejected.
 
         It is true once the listener closes. Idle connections stay open for a
-        while longer, and a stream that was accepted on one of them was cut off
-        at the end of the grace period.
+        while longer, and a stream that is accepted on one of them would be cut
+        off at the end of the grace period.
         """
         return self.phase in _FINISHING
