--- a/packages/verbenahall/src/verbenahall/admin/_shell.py
+++ b/packages/verbenahall/src/verbenahall/admin/_shell.py
@@ -115,8 +115,8 @@
             message = 'the parameter "request" or "engine" is required'
             raise ProblemError(Problem(ErrorKind.BAD_REQUEST, message))
         decisions = collect_decisions(self._settings, *criteria[0])
-        seen = view_decisions(self._settings, principal, decisions)
-        return _build_response({'decisions': seen})
+        visible = view_decisions(self._settings, principal, decisions)
+        return _build_response({'decisions': visible})
 
 
 def _unwrap(outcome: Result[Principal, Problem]) -> Principal:
