--- a/packages/verbenahall/src/verbenahall/snapshots/_packing.py
+++ b/packages/verbenahall/src/verbenahall/snapshots/_packing.py
@@ -18,6 +18,7 @@
 #: Maximum size of a decompressed snapshot, which bounds the memory used.
 MAX_STATE_BYTES: Final = 134_217_728
 _COMPRESSION_LEVEL: Final = 1
+#: Bytes that are compressed before other tasks may run.
 _PIECE_BYTES: Final = 262_144
 
 
@@ -38,7 +39,7 @@
 
 
 def unpack(packed: Packed) -> Result[Snapshot, Problem]:
-    """Decode a packed snapshot, or return the problem with its bytes."""
+    """Decode a packed snapshot, or fail if its bytes are damaged."""
     digest = hashlib.sha256(packed.state).hexdigest()
     if digest != packed.sha256:
         return _fail('its checksum does not match')
