--- a/packages/verbenahall/src/verbenahall/snapshots/_schedule.py
+++ b/packages/verbenahall/src/verbenahall/snapshots/_schedule.py
@@ -15,18 +15,22 @@
 _REFRESH_S: Final = 300.0
 _SPREAD_S: Final = 20.0
 _MAX_TAIL_RECORDS: Final = 20_000
+#: Longest random wait for an urgent snapshot, in seconds.
 _URGENT_SPREAD_S: Final = 0.5
-_HALF: Final = 0.5
-_QUARTER: Final = 0.25
+#: Shares of the records that the log keeps. If at most this share has offsets
+#: up to that of the newest snapshot, the next snapshot is due, or urgent.
+_DUE_SHARE: Final = 0.5
+_URGENT_SHARE: Final = 0.25
 
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Schedule:
     """When a snapshot is due.
 
-    It is due after ``refresh_s`` seconds or ``max_tail_records`` later
-    records. ``refresh_s`` must be well below the time for which the log keeps
-    a record. ``spread_s`` is the longest random wait.
+    It is due ``refresh_s`` seconds after the newest mark, or when more than
+    ``max_tail_records`` offsets follow the newest snapshot. ``refresh_s`` must
+    be well below the time for which the log keeps a record. ``spread_s`` is
+    the longest random wait.
     """
 
     refresh_s: float = _REFRESH_S
@@ -101,22 +105,23 @@
     """Return the longest random wait, or ``None`` if no snapshot is due.
 
     The log does not report how long it keeps a record. When its first offset
-    passes the end of the newest snapshot, records between the two are lost
-    and a new instance cannot start. The closer it comes, the shorter the
-    wait. The first offset of a quiet log does not move while the snapshot's
-    own records get old; therefore snapshots are also due after a time.
+    passes the offset of the newest snapshot, records between the two are lost
+    and a new instance cannot start. So a snapshot is due when the first offset
+    comes close to it, and the closer it comes, the shorter the wait. The first
+    offset of a quiet log does not move while the snapshot's own records get
+    old; therefore snapshots are also due after a time.
     """
     if state.head == 0:
         return None
     upto = state.mark.upto if state.mark else 0
     kept = state.head - state.first + 1
-    joined = upto - state.first + 1
-    moving = state.first > 1
-    if moving and joined <= _QUARTER * kept:
+    covered = upto - state.first + 1
+    expiring = state.first > 1
+    if expiring and covered <= _URGENT_SHARE * kept:
         return min(_URGENT_SPREAD_S, schedule.spread_s)
     overdue = now - state.seen_at >= schedule.refresh_s
     tail = state.head - upto
-    nearing = moving and joined <= _HALF * kept
+    nearing = expiring and covered <= _DUE_SHARE * kept
     if overdue or nearing or tail > schedule.max_tail_records:
         return schedule.spread_s
     return None
