--- a/packages/verbenahall/src/verbenahall/snapshots/_shell.py
+++ b/packages/verbenahall/src/verbenahall/snapshots/_shell.py
@@ -39,8 +39,8 @@
 
     ``ready`` becomes true once, when the folds have reached the end that the
     log had at the start (or the position of a peer, if the log does not
-    answer). Until then ``reason`` is why they have not. The position is that
-    of ``follower``.
+    answer). Until then ``reason`` is why the folds have not reached it. Their
+    position is ``follower.position``.
     """
 
     __slots__ = (
@@ -133,8 +133,8 @@
     async def _load_from_log(self) -> bool:
         """Load the newest snapshot that is ahead of the position.
 
-        Return whether no record between the position and the log has expired,
-        so that the log can be followed.
+        Return whether the log still keeps every record after the position, so
+        that it can be followed.
         """
         read = await self._client.read(0, 1)
         if isinstance(read, Failure):
