--- a/packages/verbenahall/src/verbenahall/log/_messages.py
+++ b/packages/verbenahall/src/verbenahall/log/_messages.py
@@ -25,7 +25,10 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Append:
-    """An append; ``before`` is an offset from before it."""
+    """An append; ``before`` is an offset that was assigned before it.
+
+    A search for the record starts after ``before``.
+    """
 
     stream: str
     identity: str
@@ -60,7 +63,10 @@
 
 
 def read_page(body: dict[str, Any]) -> Page:
-    """Decode a page; ``KeyError`` or ``TypeError`` if it is invalid."""
+    """Decode a page; raise an error if it is invalid.
+
+    The error is a ``KeyError``, ``TypeError`` or ``ValueError``.
+    """
     return Page(
         records=tuple(_read_record(row) for row in body['records']),
         first=int(body['first']),
