--- a/packages/verbenahall/src/verbenahall/log/_answers.py
+++ b/packages/verbenahall/src/verbenahall/log/_answers.py
@@ -43,7 +43,7 @@
 
 
 def describe_error(error: Exception) -> str:
-    """Return the message of an error, or its class name without one."""
+    """Return an error's message, or its class name if that is empty."""
     return str(error) or type(error).__name__
 
 
