--- a/packages/verbenahall/src/verbenahall/log/_follower.py
+++ b/packages/verbenahall/src/verbenahall/log/_follower.py
@@ -36,7 +36,7 @@
 
 #: Applies one record; must not await.
 Handler = Callable[[Record], None]
-#: Called on a gap; returns after it has moved the follower past it.
+#: Called on a gap; moves the follower past the records that have expired.
 Recover = Callable[[], Awaitable[None]]
 
 
