--- a/packages/verbenahall/src/verbenahall/requests/__init__.py
+++ b/packages/verbenahall/src/verbenahall/requests/__init__.py
@@ -3,21 +3,21 @@
 from verbenahall.requests._budget import RetryBudget, WindowBudget
 from verbenahall.requests._decisions import (
     build_problem,
-    decide_retry,
     build_quarantine_problem,
-    may_have_run,
+    decide_retry,
     get_outcome_label,
-)
-from verbenahall.requests._not_sent import (
-    Limited,
-    Quarantined,
-    Unauthorized,
+    may_have_run,
 )
 from verbenahall.requests._messages import (
     AttemptIds,
-    RetryContext,
     GiveUp,
     Retry,
+    RetryContext,
+)
+from verbenahall.requests._not_sent import (
+    Limited,
+    Quarantined,
+    Unauthorized,
 )
 from verbenahall.requests._outcomes import (
     Broken,
@@ -36,7 +36,6 @@
 __all__ = (
     'AttemptIds',
     'Broken',
-    'RetryContext',
     'GiveUp',
     'Limited',
     'NeverWritten',
@@ -45,6 +44,7 @@
     'Refused',
     'Retry',
     'RetryBudget',
+    'RetryContext',
     'StreamState',
     'StreamStep',
     'TimedOut',
@@ -52,9 +52,9 @@
     'Unprepared',
     'WindowBudget',
     'build_problem',
-    'decide_retry',
     'build_quarantine_problem',
-    'process_chunk',
-    'may_have_run',
+    'decide_retry',
     'get_outcome_label',
+    'may_have_run',
+    'process_chunk',
 )
--- a/packages/verbenahall/src/verbenahall/requests/_decisions.py
+++ b/packages/verbenahall/src/verbenahall/requests/_decisions.py
@@ -10,12 +10,12 @@
 
 from verbenahall.errors import ErrorKind, Problem, Ran
 from verbenahall.requests._budget import RetryBudget, WindowBudget
+from verbenahall.requests._messages import GiveUp, Retry, RetryContext
 from verbenahall.requests._not_sent import (
     Limited,
     Quarantined,
     Unauthorized,
 )
-from verbenahall.requests._messages import RetryContext, GiveUp, Retry
 from verbenahall.requests._outcomes import (
     Broken,
     NeverWritten,
--- a/packages/verbenahall/tests/requests/test_decisions.py
+++ b/packages/verbenahall/tests/requests/test_decisions.py
@@ -12,12 +12,12 @@
 from verbenahall.requests import (
     AttemptIds,
     Broken,
-    RetryContext,
     GiveUp,
     NeverWritten,
     Refused,
     Retry,
     RetryBudget,
+    RetryContext,
     StreamState,
     TimedOut,
     decide_retry,
