--- a/packages/verbenahall/tests/routing/test_balance.py
+++ b/packages/verbenahall/tests/routing/test_balance.py
@@ -17,8 +17,8 @@
     LoadState,
     Report,
     record_finished,
-    record_sent,
     record_report,
+    record_sent,
 )
 from verbenahall.routing import (
     Candidate,
--- a/packages/verbenahall/tests/routing/test_decisions.py
+++ b/packages/verbenahall/tests/routing/test_decisions.py
@@ -15,8 +15,8 @@
     estimate_load,
     record_failure,
     record_finished,
-    record_sent,
     record_report,
+    record_sent,
 )
 from verbenahall.routing import (
     Candidate,
