--- a/packages/verbenahall/src/verbenahall/load/__init__.py
+++ b/packages/verbenahall/src/verbenahall/load/__init__.py
@@ -5,8 +5,8 @@
     estimate_load,
     record_failure,
     record_finished,
-    record_sent,
     record_report,
+    record_sent,
 )
 from verbenahall.load._engines import (
     EngineState,
@@ -26,10 +26,10 @@
     'StatePoller',
     'compute_load_cost',
     'estimate_load',
+    'parse_report',
+    'read_engine_state',
     'record_failure',
     'record_finished',
-    'record_sent',
     'record_report',
-    'parse_report',
-    'read_engine_state',
+    'record_sent',
 )
