--- a/packages/verbenahall/src/verbenahall/roles/__init__.py
+++ b/packages/verbenahall/src/verbenahall/roles/__init__.py
@@ -1,9 +1,10 @@
 """Plans how many engines of a pool prefill, decode or do both."""
 
+from verbenahall.roles._capacity import compute_served_share
 from verbenahall.roles._demand import (
     DemandState,
-    record_arrival,
     estimate_demand,
+    record_arrival,
 )
 from verbenahall.roles._messages import (
     Counts,
@@ -15,7 +16,6 @@
 )
 from verbenahall.roles._planner import PlannerState, decide
 from verbenahall.roles._shell import DEFAULT_PROFILE, RolePlanner
-from verbenahall.roles._capacity import compute_served_share
 
 __all__ = (
     'DEFAULT_PROFILE',
@@ -30,6 +30,6 @@
     'RolePlanner',
     'compute_served_share',
     'decide',
-    'record_arrival',
     'estimate_demand',
+    'record_arrival',
 )
--- a/packages/verbenahall/src/verbenahall/roles/_planner.py
+++ b/packages/verbenahall/src/verbenahall/roles/_planner.py
@@ -15,6 +15,10 @@
 from typing import Final
 
 from verbenahall.fleet import Role
+from verbenahall.roles._capacity import (
+    compute_engines_needed,
+    compute_served_share,
+)
 from verbenahall.roles._messages import (
     Counts,
     EngineStatus,
@@ -22,10 +26,6 @@
     Plan,
     Profile,
 )
-from verbenahall.roles._capacity import (
-    compute_engines_needed,
-    compute_served_share,
-)
 
 #: Maximum planned utilisation of the engines.
 _UTILISATION: Final = 0.85
--- a/packages/verbenahall/src/verbenahall/roles/_shell.py
+++ b/packages/verbenahall/src/verbenahall/roles/_shell.py
@@ -10,8 +10,8 @@
 from verbenahall.fleet import Role
 from verbenahall.roles._demand import (
     DemandState,
-    record_arrival,
     estimate_demand,
+    record_arrival,
 )
 from verbenahall.roles._messages import (
     Demand,
--- a/packages/verbenahall/tests/roles/test_planner.py
+++ b/packages/verbenahall/tests/roles/test_planner.py
@@ -16,8 +16,8 @@
     PlannerState,
     Profile,
     RolePlanner,
-    decide,
     compute_served_share,
+    decide,
 )
 
 PROFILE = Profile(
