--- a/packages/verbenahall/src/verbenahall/admission/__init__.py
+++ b/packages/verbenahall/src/verbenahall/admission/__init__.py
@@ -22,11 +22,11 @@
 )
 
 __all__ = (
+    'AdmissionController',
     'AdmissionLimits',
     'AdmissionState',
     'Effects',
     'FLAG_PRIORITY',
-    'AdmissionController',
     'LOWEST_PRIORITY',
     'Ticket',
     'WorkspaceBounds',
