--- a/packages/verbenahall/src/verbenahall/authority/__init__.py
+++ b/packages/verbenahall/src/verbenahall/authority/__init__.py
@@ -28,10 +28,10 @@
 
 __all__ = (
     'AuthorityState',
-    'LeaseCandidate',
     'Claim',
     'Grant',
     'Idle',
+    'LeaseCandidate',
     'LeaseManager',
     'LeaseTiming',
     'Release',
--- a/packages/verbenahall/tests/authority/test_clocks.py
+++ b/packages/verbenahall/tests/authority/test_clocks.py
@@ -5,8 +5,8 @@
 
 from verbenahall.authority import (
     AuthorityState,
-    LeaseCandidate,
     Idle,
+    LeaseCandidate,
     LeaseTiming,
     apply_record,
     choose_step,
--- a/packages/verbenahall/tests/authority/test_fold.py
+++ b/packages/verbenahall/tests/authority/test_fold.py
@@ -4,9 +4,9 @@
 
 from verbenahall.authority import (
     AuthorityState,
-    LeaseCandidate,
     Claim,
     Idle,
+    LeaseCandidate,
     LeaseTiming,
     Renew,
     apply_record,
