--- a/packages/verbenahall/src/verbenahall/orders/__init__.py
+++ b/packages/verbenahall/src/verbenahall/orders/__init__.py
@@ -2,8 +2,8 @@
 
 from verbenahall.orders._decisions import (
     SendGate,
-    is_changing,
     find_send_gate,
+    is_changing,
     list_outstanding,
 )
 from verbenahall.orders._dispatch import (
@@ -13,13 +13,13 @@
     may_send,
     update_grant,
 )
+from verbenahall.orders._export import export_state, restore_state
 from verbenahall.orders._failures import (
     list_withdrawals,
     record_failed_change,
     record_outcome,
     record_sending,
 )
-from verbenahall.orders._export import export_state, restore_state
 from verbenahall.orders._messages import (
     EngineReport,
     Order,
@@ -37,7 +37,7 @@
 __all__ = (
     'Dispatch',
     'EngineReport',
-    'SendGate',
+    'EngineSends',
     'Order',
     'OrderSender',
     'OrderTiming',
@@ -45,23 +45,23 @@
     'Outcome',
     'PlannedOrder',
     'Progress',
-    'EngineSends',
+    'SendGate',
     'apply_record',
     'decode_report',
     'encode_batch',
     'encode_target',
     'export_state',
     'find_progress',
+    'find_send_gate',
     'is_changing',
     'is_cleared',
+    'list_outstanding',
     'list_withdrawals',
     'may_send',
     'record_failed_change',
     'record_outcome',
-    'record_sending',
     'record_report',
-    'find_send_gate',
-    'list_outstanding',
+    'record_sending',
     'restore_state',
     'send_and_record',
     'update_grant',
