--- a/packages/verbenahall/src/verbenahall/rollout/_engines.py
+++ b/packages/verbenahall/src/verbenahall/rollout/_engines.py
@@ -13,8 +13,8 @@
     OrderSender,
     OrdersState,
     may_send,
-    record_sending,
     record_report,
+    record_sending,
     send_and_record,
 )
 from verbenahall.rollout._decision_log import SentOrderLog
--- a/packages/verbenahall/src/verbenahall/rollout/_shell.py
+++ b/packages/verbenahall/src/verbenahall/rollout/_shell.py
@@ -17,15 +17,15 @@
     OrdersState,
     PlannedOrder,
     encode_batch,
-    list_withdrawals,
     list_outstanding,
+    list_withdrawals,
     update_grant,
 )
 from verbenahall.records import ORDERS_STREAM
+from verbenahall.rollout._decision_log import log_placed, log_waiting
 from verbenahall.rollout._engines import EngineClient
 from verbenahall.rollout._messages import RolloutLimits, Waiting
 from verbenahall.rollout._plan import plan
-from verbenahall.rollout._decision_log import log_placed, log_waiting
 from verbenahall.rollout._tasks import Tasks
 from verbenahall.rollout._views import Member, build_views
 from verbenahall.settings import EffectiveSettings
--- a/packages/verbenahall/tests/rollout/test_controller.py
+++ b/packages/verbenahall/tests/rollout/test_controller.py
@@ -18,8 +18,8 @@
 from verbenahall.fleet import (
     Endpoint,
     EndpointKind,
-    Role,
     EndpointStatus,
+    Role,
     Target,
 )
 from verbenahall.orders import (
