--- a/packages/verbenahall/src/verbenahall/membership/__init__.py
+++ b/packages/verbenahall/src/verbenahall/membership/__init__.py
@@ -1,26 +1,26 @@
 """Tracks which endpoints and instances are live, leaving or unresponsive."""
 
 from verbenahall.membership._decisions import (
-    list_endpoints,
-    take_due_probes,
     find_endpoint,
+    get_status,
+    list_endpoints,
     list_live,
     observe_answer,
     observe_failure,
     observe_leaving,
     observe_state,
-    get_status,
+    take_due_probes,
 )
 from verbenahall.membership._list_updates import apply_list
 from verbenahall.membership._messages import (
     DEFAULT_RULES,
+    InstanceStatus,
     ListEntry,
     ListStatus,
     MembershipRules,
-    InstanceStatus,
     PeerStatus,
-    StatusReason,
     StatusChange,
+    StatusReason,
 )
 from verbenahall.membership._peer_shell import PeerExchange
 from verbenahall.membership._poller import ListPoller
@@ -29,25 +29,25 @@
 
 __all__ = (
     'DEFAULT_RULES',
+    'InstanceStatus',
     'ListEntry',
     'ListPoller',
     'ListStatus',
     'MembershipRules',
     'MembershipState',
-    'InstanceStatus',
     'PeerExchange',
     'PeerStatus',
     'Prober',
-    'StatusReason',
     'StatusChange',
-    'list_endpoints',
+    'StatusReason',
     'apply_list',
-    'take_due_probes',
     'find_endpoint',
+    'get_status',
+    'list_endpoints',
     'list_live',
     'observe_answer',
     'observe_failure',
     'observe_leaving',
     'observe_state',
-    'get_status',
+    'take_due_probes',
 )
--- a/packages/verbenahall/src/verbenahall/membership/_codec.py
+++ b/packages/verbenahall/src/verbenahall/membership/_codec.py
@@ -9,14 +9,13 @@
 from verbenahall.fleet import Endpoint, EndpointKind
 from verbenahall.membership._messages import (
     Heartbeat,
-    ListAnswer,
-    ListEntry,
     InstanceStatus,
     LeavingNotice,
+    ListAnswer,
+    ListEntry,
     Suspicion,
 )
 
-
 _UNREADABLE: Final = (KeyError, TypeError, ValueError, AttributeError)
 
 
--- a/packages/verbenahall/src/verbenahall/membership/_decisions.py
+++ b/packages/verbenahall/src/verbenahall/membership/_decisions.py
@@ -8,11 +8,11 @@
 from verbenahall.membership._list_updates import remove_member, replace_member
 from verbenahall.membership._messages import (
     ListStatus,
-    StatusReason,
     StateReport,
+    StatusReason,
 )
-from verbenahall.membership._status import update_status
 from verbenahall.membership._state import Member, MembershipState
+from verbenahall.membership._status import update_status
 
 _EXPIRY_INTERVAL_S: Final = 1.0
 _JITTER: Final = (0.5, 1.5)
--- a/packages/verbenahall/src/verbenahall/membership/_list_updates.py
+++ b/packages/verbenahall/src/verbenahall/membership/_list_updates.py
@@ -7,8 +7,8 @@
 
 from verbenahall.fleet import Endpoint
 from verbenahall.membership._messages import ListEntry, ListStatus
-from verbenahall.membership._status import update_status
 from verbenahall.membership._state import Group, Member, MembershipState
+from verbenahall.membership._status import update_status
 
 #: Within the removal window a list may remove one member of a group, or the
 #: group's size divided by this number. More removals count as a fault of the
--- a/packages/verbenahall/src/verbenahall/membership/_peers.py
+++ b/packages/verbenahall/src/verbenahall/membership/_peers.py
@@ -17,11 +17,11 @@
     InstanceStatus,
     LeavingNotice,
     PeerStatus,
-    Suspicion,
     StateReport,
+    Suspicion,
 )
-from verbenahall.membership._status import update_status
 from verbenahall.membership._state import Member, MembershipState
+from verbenahall.membership._status import update_status
 
 #: Limits of one heartbeat, which keep it small when a whole rack fails.
 _MAX_NOTICES: Final = 16
--- a/packages/verbenahall/src/verbenahall/membership/_prober.py
+++ b/packages/verbenahall/src/verbenahall/membership/_prober.py
@@ -11,10 +11,10 @@
 from verbenahall.errors import ErrorKind, Problem
 from verbenahall.fleet import Endpoint, EndpointKind
 from verbenahall.membership._decisions import (
-    take_due_probes,
     observe_answer,
     observe_failure,
     observe_state,
+    take_due_probes,
 )
 from verbenahall.membership._state import MembershipState
 
--- a/packages/verbenahall/src/verbenahall/membership/_state.py
+++ b/packages/verbenahall/src/verbenahall/membership/_state.py
@@ -11,9 +11,9 @@
     ListStatus,
     MembershipRules,
     PeerStatus,
-    StatusReason,
-    StatusChange,
     StateReport,
+    StatusChange,
+    StatusReason,
 )
 
 #: Endpoints of one kind in one data centre.
--- a/packages/verbenahall/src/verbenahall/membership/_status.py
+++ b/packages/verbenahall/src/verbenahall/membership/_status.py
@@ -7,8 +7,8 @@
 from verbenahall.fleet import EndpointStatus
 from verbenahall.membership._messages import (
     ListStatus,
-    StatusReason,
     StatusChange,
+    StatusReason,
 )
 from verbenahall.membership._state import Member, MembershipState
 
--- a/packages/verbenahall/tests/membership/test_differential.py
+++ b/packages/verbenahall/tests/membership/test_differential.py
@@ -8,12 +8,12 @@
     ListEntry,
     MembershipState,
     apply_list,
+    get_status,
     list_live,
     observe_answer,
     observe_failure,
     observe_leaving,
     observe_state,
-    get_status,
 )
 
 NAMES = ('a', 'b', 'c', 'd')
--- a/packages/verbenahall/tests/membership/test_peers.py
+++ b/packages/verbenahall/tests/membership/test_peers.py
@@ -8,15 +8,15 @@
 
 from verbenahall.fleet import Endpoint, EndpointKind, EndpointStatus
 from verbenahall.membership import (
+    InstanceStatus,
     ListEntry,
     MembershipState,
-    InstanceStatus,
     PeerExchange,
     apply_list,
+    get_status,
     observe_failure,
     observe_leaving,
     observe_state,
-    get_status,
 )
 from verbenahall.membership._peers import (
     apply_heartbeat,
--- a/packages/verbenahall/tests/membership/test_shells.py
+++ b/packages/verbenahall/tests/membership/test_shells.py
@@ -14,11 +14,11 @@
     ListPoller,
     MembershipState,
     Prober,
-    list_endpoints,
     apply_list,
+    get_status,
+    list_endpoints,
     observe_failure,
     observe_leaving,
-    get_status,
 )
 
 ROW = MappingProxyType(
--- a/packages/verbenahall/tests/membership/test_standings.py
+++ b/packages/verbenahall/tests/membership/test_standings.py
@@ -9,13 +9,13 @@
     ListEntry,
     MembershipState,
     apply_list,
-    take_due_probes,
+    get_status,
     list_live,
     observe_answer,
     observe_failure,
     observe_leaving,
     observe_state,
-    get_status,
+    take_due_probes,
 )
 
 
