--- a/packages/verbenahall/src/verbenahall/front/_attempts.py
+++ b/packages/verbenahall/src/verbenahall/front/_attempts.py
@@ -23,11 +23,11 @@
 from verbenahall.load import record_finished, record_sent
 from verbenahall.requests import (
     Broken,
-    RetryContext,
     GiveUp,
     Outcome,
     Retry,
     RetryBudget,
+    RetryContext,
     TimedOut,
     decide_retry,
 )
--- a/packages/verbenahall/src/verbenahall/front/_connections.py
+++ b/packages/verbenahall/src/verbenahall/front/_connections.py
@@ -15,8 +15,8 @@
 from verbenahall.errors import ErrorKind, Problem
 from verbenahall.front._answers import (
     Handler,
-    build_error_response,
     build_error_body,
+    build_error_response,
     handle_errors,
 )
 
--- a/packages/verbenahall/tests/front/conftest.py
+++ b/packages/verbenahall/tests/front/conftest.py
@@ -20,7 +20,7 @@
     TimingConfig,
 )
 from verbenahall.errors import Problem
-from verbenahall.fleet import Endpoint, EndpointKind, Role, EndpointStatus
+from verbenahall.fleet import Endpoint, EndpointKind, EndpointStatus, Role
 from verbenahall.front._endpoints import Sessions
 from verbenahall.load import (
     EngineState,
