--- a/packages/verbenahall/src/verbenahall/instance/_dependencies.py
+++ b/packages/verbenahall/src/verbenahall/instance/_dependencies.py
@@ -4,13 +4,13 @@
 from typing import Final, final
 
 from verbenahall import clock
-from verbenahall.fleet import Endpoint, EndpointKind, Role, EndpointStatus
+from verbenahall.fleet import Endpoint, EndpointKind, EndpointStatus, Role
 from verbenahall.instance._folds import Folds
 from verbenahall.membership import (
     MembershipState,
-    list_endpoints,
     find_endpoint,
     get_status,
+    list_endpoints,
 )
 from verbenahall.routing import rank_by_rendezvous
 from verbenahall.settings import EffectiveSettings, effective
--- a/packages/verbenahall/src/verbenahall/instance/_discovery.py
+++ b/packages/verbenahall/src/verbenahall/instance/_discovery.py
@@ -13,8 +13,8 @@
 from verbenahall.load import EngineStates
 from verbenahall.membership import (
     MembershipState,
-    list_endpoints,
     get_status,
+    list_endpoints,
 )
 from verbenahall.settings import EffectiveSettings
 
