--- a/packages/verbenahall/src/verbenahall/log/_client.py
+++ b/packages/verbenahall/src/verbenahall/log/_client.py
@@ -13,17 +13,17 @@
 from verbenahall import clock, wire
 from verbenahall.errors import Problem, Ran
 from verbenahall.log._answers import (
+    build_too_large,
+    build_unavailable,
     classify_status,
     decode_answer,
     describe_error,
-    build_too_large,
-    build_unavailable,
 )
 from verbenahall.log._messages import (
     MAX_RECORD_BYTES,
+    AnswerLost,
     Append,
     Appended,
-    AnswerLost,
     Outcome,
     Page,
     Refused,
