--- a/Makefile
+++ b/Makefile
@@ -39,7 +39,7 @@
 bench: $(STAMP)
 	$(BIN)/python -m verbenahall_standins.bench --seed $(SEED)
 
-# Seeds of the soak that are played, from SEED on; 20 seconds each.
+# Number of seeds that the soak runs, from SEED on; 20 seconds each.
 SEEDS ?= 12
 
 soak: $(STAMP)
