--- a/packages/standins/src/verbenahall_standins/capacity/_rest.py
+++ b/packages/standins/src/verbenahall_standins/capacity/_rest.py
@@ -55,9 +55,9 @@
     def __init__(self, folder: Path) -> None:
         """Write configuration files to ``folder``."""
         self._folder = folder
-        self._started: list[process.Running] = []
+        self._started: list[process.RunningProcess] = []
         self._relays: dict[str, list[Relay]] = {}
-        self.instances: list[process.Running] = []
+        self.instances: list[process.RunningProcess] = []
 
     async def start(self, instances: int, engines: int) -> None:
         """Start all processes and wait until each instance is ready."""
@@ -72,12 +72,12 @@
             self._launch_instance(f'entry-{number}', *platform)
             for number in range(instances)
         ]
-        self.instances = [process.wait_ready(child) for child in children]
+        self.instances = [process.wait_until_ready(child) for child in children]
         async with aiohttp.ClientSession() as session:
             await self._register_engines(session, registry.address, engines)
             await self._register_instances(session, registry.address)
             for running in self.instances:
-                await _wait_ready(session, running.address)
+                await _wait_until_ready(session, running.address)
 
     def count_bytes(self, kind: str) -> int:
         """Return the bytes forwarded by the relays of one kind."""
@@ -173,7 +173,9 @@
         answer.raise_for_status()
 
 
-async def _wait_ready(session: aiohttp.ClientSession, address: str) -> None:
+async def _wait_until_ready(
+    session: aiohttp.ClientSession, address: str
+) -> None:
     deadline = clock.monotonic() + _READY_TIMEOUT_S
     while clock.monotonic() < deadline:
         async with session.get(f'http://{address}/readyz') as answer:
@@ -246,18 +248,18 @@
     return [_read_cpu_s(deployment.instances), *byte_counts]
 
 
-def _read_cpu_s(processes: Sequence[process.Running]) -> float:
+def _read_cpu_s(processes: Sequence[process.RunningProcess]) -> float:
     ticks = sum(map(_read_cpu_ticks, processes))
     return ticks / os.sysconf('SC_CLK_TCK')
 
 
-def _read_cpu_ticks(running: process.Running) -> int:
+def _read_cpu_ticks(running: process.RunningProcess) -> int:
     """Return user and system time in clock ticks."""
     stat = Path(f'/proc/{running.pid}/stat').read_text()
     fields = stat.rpartition(')')[-1].split()
     return sum(map(int, fields[_CPU_TICK_FIELDS]))
 
 
-def _read_resident_bytes(running: process.Running) -> int:
+def _read_resident_bytes(running: process.RunningProcess) -> int:
     pages = Path(f'/proc/{running.pid}/statm').read_text().split()[1]
     return int(pages) * os.sysconf('SC_PAGE_SIZE')
--- a/packages/standins/src/verbenahall_standins/deployment.py
+++ b/packages/standins/src/verbenahall_standins/deployment.py
@@ -26,7 +26,7 @@
     def __init__(self, description: Description, folder: Path) -> None:
         """Keep the instances' configuration and log files in ``folder``."""
         self.description = description
-        self.running: dict[str, process.Running] = {}
+        self.running: dict[str, process.RunningProcess] = {}
         self._folder = folder
         folder.mkdir(parents=True, exist_ok=True)
 
@@ -105,7 +105,7 @@
         failed = []
         for name, child in launched.items():
             try:
-                self.running[name] = process.wait_ready(child)
+                self.running[name] = process.wait_until_ready(child)
             except process.NotReadyError:
                 failed.append(name)
         if failed:
--- a/packages/standins/src/verbenahall_standins/overhead.py
+++ b/packages/standins/src/verbenahall_standins/overhead.py
@@ -60,8 +60,8 @@
 
     def __init__(
         self,
-        engine: process.Running,
-        instance: process.Running,
+        engine: process.RunningProcess,
+        instance: process.RunningProcess,
     ) -> None:
         """Use a running engine and instance."""
         self._engine = engine
@@ -122,7 +122,7 @@
 
 
 def _run_load_tool(
-    target: process.Running, options: Sequence[str]
+    target: process.RunningProcess, options: Sequence[str]
 ) -> LoadFigures:
     """Run the load tool; add rates by second and by core-second."""
     before = read_cpu_s(target.pid)
@@ -156,7 +156,7 @@
         log = _start(stack, 'log')
         registry = _start(stack, 'registry')
         engine = _start(stack, 'engine', *_ENGINE_OPTIONS)
-        instance = process.wait_ready(_launch_instance(log, registry))
+        instance = process.wait_until_ready(_launch_instance(log, registry))
         stack.callback(instance.stop)
         publish(_SETTINGS, 'fleet', log.address)
         asyncio.run(_register_engine(registry, engine, instance))
@@ -167,15 +167,15 @@
     stack: contextlib.ExitStack,
     name: str,
     *options: str,
-) -> process.Running:
+) -> process.RunningProcess:
     running = process.start(f'verbenahall_standins.{name}', *options)
     stack.callback(running.stop)
     return running
 
 
 def _launch_instance(
-    log: process.Running,
-    registry: process.Running,
+    log: process.RunningProcess,
+    registry: process.RunningProcess,
 ) -> 'subprocess.Popen[str]':
     config = _FOLDER / 'instance.toml'
     values = {
@@ -192,9 +192,9 @@
 
 
 async def _register_engine(
-    registry: process.Running,
-    engine: process.Running,
-    instance: process.Running,
+    registry: process.RunningProcess,
+    engine: process.RunningProcess,
+    instance: process.RunningProcess,
 ) -> None:
     """Register the engine and wait until the instance routes to it."""
     body = {'model': _MODEL, 'prompt': 'ready?', 'max_tokens': 1}
@@ -211,7 +211,7 @@
 
 async def _describe_engine(
     session: aiohttp.ClientSession,
-    engine: process.Running,
+    engine: process.RunningProcess,
 ) -> dict[str, str]:
     return {
         'name': _ENGINE,
--- a/packages/standins/src/verbenahall_standins/process.py
+++ b/packages/standins/src/verbenahall_standins/process.py
@@ -19,7 +19,7 @@
 
 @final
 @dataclasses.dataclass(slots=True)
-class Running:
+class RunningProcess:
     """A started process and the ``IP:port`` on which it listens."""
 
     address: str
@@ -36,7 +36,7 @@
         A process that is still running after ``timeout_s`` seconds is
         killed, so that no process is left behind.
         """
-        self.ask_to_stop()
+        self.terminate()
         try:
             return self.process.wait(timeout_s)
         except subprocess.TimeoutExpired:
@@ -45,7 +45,7 @@
         finally:
             self._close()
 
-    def ask_to_stop(self) -> None:
+    def terminate(self) -> None:
         """Send SIGTERM without waiting; a paused process is resumed."""
         self.process.terminate()
         self.resume()
@@ -69,7 +69,7 @@
             self.process.stdout.close()
 
 
-def start(module: str, *arguments: str) -> Running:
+def start(module: str, *arguments: str) -> RunningProcess:
     """Start ``python -m module arguments`` and wait until it listens.
 
     The process prints ``listening IP:port`` on standard output. It inherits
@@ -77,7 +77,7 @@
 
         log = start('verbenahall_standins.log', '--port', '0')
     """
-    return wait_ready(launch(module, *arguments))
+    return wait_until_ready(launch(module, *arguments))
 
 
 def launch(module: str, *arguments: str) -> 'subprocess.Popen[str]':
@@ -105,22 +105,24 @@
     return str(Path(sys.executable).with_name(name))
 
 
-def wait_ready(process: 'subprocess.Popen[str]') -> Running:
+def wait_until_ready(process: 'subprocess.Popen[str]') -> RunningProcess:
     """Read the process's output until it prints its address.
 
     Raises ``NotReadyError`` if the process ends first.
     """
     for line in process.stdout or ():
         if line.startswith(_READY_PREFIX):
-            return Running(line.removeprefix(_READY_PREFIX).strip(), process)
+            return RunningProcess(
+                line.removeprefix(_READY_PREFIX).strip(), process
+            )
     code = process.wait()
     raise NotReadyError(f'{process.args} exited with code {code}')
 
 
-def stop_all(started: Iterable[Running]) -> None:
+def stop_all(started: Iterable[RunningProcess]) -> None:
     """Stop processes in parallel; kill those that exceed the timeout."""
     ending = list(started)
     for running in ending:
-        running.ask_to_stop()
+        running.terminate()
     for last in ending:
         last.stop()
--- a/packages/standins/src/verbenahall_standins/schedules.py
+++ b/packages/standins/src/verbenahall_standins/schedules.py
@@ -18,7 +18,7 @@
 from typing import Final
 from urllib import request as requests
 
-from verbenahall_standins.process import Running, start
+from verbenahall_standins.process import RunningProcess, start
 
 Flags = tuple[tuple[str, ...], ...]
 
@@ -41,10 +41,10 @@
 
 def start_holder(
     name: str,
-    log: Running,
-    engine: Running,
+    log: RunningProcess,
+    engine: RunningProcess,
     flags: tuple[str, ...],
-) -> Running:
+) -> RunningProcess:
     """Start a holder that orders its own name as the model version."""
     return start(
         'verbenahall_standins.holder',
@@ -83,14 +83,14 @@
     return f'{seed}: {kind}, accepted under {tokens}, {finding}'
 
 
-def _kill_all(started: Iterable[Running]) -> None:
+def _kill_all(started: Iterable[RunningProcess]) -> None:
     for running in started:
         running.kill()
 
 
 def _pause_randomly(
-    holders: Sequence[Running],
-    engine: Running,
+    holders: Sequence[RunningProcess],
+    engine: RunningProcess,
     rng: random.Random,
 ) -> list[int]:
     for _ in range(_PAUSE_COUNT):
@@ -103,7 +103,7 @@
     return _list_accepted(engine)
 
 
-def _list_accepted(engine: Running) -> list[int]:
+def _list_accepted(engine: RunningProcess) -> list[int]:
     """Return the tokens of the orders that the engine accepted, in order."""
     url = f'http://{engine.address}/record'
     with requests.urlopen(url, timeout=_HTTP_TIMEOUT_S) as answer:
--- a/packages/standins/src/verbenahall_standins/soak/_deployment.py
+++ b/packages/standins/src/verbenahall_standins/soak/_deployment.py
@@ -76,7 +76,9 @@
             self._list_endpoint(endpoint)
         for number in range(_INSTANCES):
             await self._start_instance(f'front-{number}')
-        await asyncio.gather(*(one.wait_ready() for one in self.instances))
+        await asyncio.gather(
+            *(one.wait_until_ready() for one in self.instances)
+        )
 
     async def stop(self) -> None:
         """Wait for the callers and stop all components."""
--- a/packages/standins/src/verbenahall_standins/soak/_instances.py
+++ b/packages/standins/src/verbenahall_standins/soak/_instances.py
@@ -65,7 +65,7 @@
                 stdout=stdout,
             )
 
-    async def wait_ready(self) -> None:
+    async def wait_until_ready(self) -> None:
         """Wait until the readiness endpoint answers 200."""
         url = f'http://{self.settings.readiness}{READY}'
         async with (
@@ -107,7 +107,7 @@
         if graceful:
             self.exit_codes.append(exit_code)
         await self.start()
-        await self.wait_ready()
+        await self.wait_until_ready()
         self._restarting = False
         disturbance.ended_at = time.monotonic()
 
--- a/packages/verbenahall/tests/failures/conftest.py
+++ b/packages/verbenahall/tests/failures/conftest.py
@@ -106,7 +106,7 @@
             self.folder / f'{name}.log',
         )
         self.processes[name] = await asyncio.to_thread(
-            process.wait_ready, child
+            process.wait_until_ready, child
         )
         await self.register(name, 'instance')
 
--- a/packages/verbenahall/tests/failures/test_stop.py
+++ b/packages/verbenahall/tests/failures/test_stop.py
@@ -45,8 +45,8 @@
             ended = [one.result() for one in streams if one.done()]
             assert not ended
         stopped = fleet.processes['i-1']
-        stopped.ask_to_stop()
-        stopped.ask_to_stop()
+        stopped.terminate()
+        stopped.terminate()
         answers = await asyncio.gather(*streams)
         await asyncio.gather(*callers)
         assert {answer.status for answer in answers} == {200}
@@ -100,7 +100,7 @@
 
     async def replace(fleet, name):
         stopped = fleet.processes[name]
-        stopped.ask_to_stop()
+        stopped.terminate()
         await asyncio.to_thread(stopped.process.wait, 30)
         await fleet.start_instance(name)
         await fleet.wait_until_ready(name)
