--- a/packages/standins/src/verbenahall_standins/bench.py
+++ b/packages/standins/src/verbenahall_standins/bench.py
@@ -10,7 +10,7 @@
 from typing import Final
 
 from verbenahall_standins import comparison, plots
-from verbenahall_standins.lines import say_line
+from verbenahall_standins.lines import print_line
 from verbenahall_standins.overhead import measure_overhead
 
 #: Added to the seed for the traces that are only reported: no policy is
@@ -26,7 +26,7 @@
     for offset in _SEED_OFFSETS:
         runs.extend(comparison.compare(seed + offset))
     for line in comparison.build_lines(runs):
-        say_line(line)
+        print_line(line)
 
 
 def main() -> None:
@@ -37,7 +37,7 @@
     options = parser.parse_args()
     if options.only != 'policies':
         for line in measure_overhead():
-            say_line(line)
+            print_line(line)
     if options.only != 'overhead':
         compare_policies(options.seed)
 
--- a/packages/standins/src/verbenahall_standins/demo.py
+++ b/packages/standins/src/verbenahall_standins/demo.py
@@ -25,7 +25,7 @@
 from verbenahall_standins.description import (
     list_settings_files,
     read_description,
-    rewrite,
+    set_values,
 )
 from verbenahall_standins.publishing import Publisher, PublishError
 from verbenahall_standins.traffic import RequestGenerator
@@ -96,7 +96,7 @@
     async def _change_setting(self) -> None:
         """Publish a change; print when it is in force on all instances."""
         team, example = list_settings_files(self._deployment.description)[-1]
-        changed = rewrite(example.read_text(), {'queue': 200})
+        changed = set_values(example.read_text(), {'queue': 200})
         file = _RUN_FOLDER / self._name / example.name
         file.write_text(changed)
         found = await self._publisher.publish_and_wait(file, team)
--- a/packages/standins/src/verbenahall_standins/deployment.py
+++ b/packages/standins/src/verbenahall_standins/deployment.py
@@ -10,7 +10,7 @@
 import aiohttp
 
 from verbenahall_standins import process
-from verbenahall_standins.description import Description, rewrite
+from verbenahall_standins.description import Description, set_values
 
 _Child = subprocess.Popen[str]
 
@@ -90,7 +90,7 @@
             'instance_list': self.address('registry'),
         }
         config = self._folder / f'{name}.toml'
-        config.write_text(rewrite(example, values))
+        config.write_text(set_values(example, values))
         script = process.find_script('verbenahall')
         return process.launch_command(
             (script, 'serve', '--config', str(config)),
--- a/packages/standins/src/verbenahall_standins/description.py
+++ b/packages/standins/src/verbenahall_standins/description.py
@@ -64,7 +64,7 @@
     return [(file.stem, file) for file in ordered]
 
 
-def rewrite(text: str, values: Mapping[str, str | int]) -> str:
+def set_values(text: str, values: Mapping[str, str | int]) -> str:
     """Set keys in TOML text; only the first line of each key changes."""
     for key, found in values.items():
         line = re.compile(f'^{key} = .*$', re.MULTILINE)
--- a/packages/standins/src/verbenahall_standins/lines.py
+++ b/packages/standins/src/verbenahall_standins/lines.py
@@ -25,7 +25,7 @@
         return ', '.join((self.measure, value, self.unit, *shown))
 
 
-def say_line(line: Line) -> None:
+def print_line(line: Line) -> None:
     """Print one line and flush the output."""
     sys.stdout.write(f'{line}\n')
     sys.stdout.flush()
--- a/packages/standins/src/verbenahall_standins/overhead.py
+++ b/packages/standins/src/verbenahall_standins/overhead.py
@@ -16,7 +16,7 @@
 
 from verbenahall_standins import process
 from verbenahall_standins.deployment import fetch_incarnation
-from verbenahall_standins.description import rewrite
+from verbenahall_standins.description import set_values
 from verbenahall_standins.lines import Line
 from verbenahall_standins.publishing import publish
 
@@ -183,7 +183,7 @@
         'log': log.address,
         'instance_list': registry.address,
     }
-    config.write_text(rewrite(_EXAMPLE.read_text(), values))
+    config.write_text(set_values(_EXAMPLE.read_text(), values))
     script = process.find_script('verbenahall')
     return process.launch_command(
         (script, 'serve', '--config', str(config)),
--- a/packages/standins/src/verbenahall_standins/text.py
+++ b/packages/standins/src/verbenahall_standins/text.py
@@ -1,6 +1,6 @@
 """Answer texts of the engine stand-in, a pure function of the request.
 
-Tests compare an answer with ``write_answer`` and thereby detect truncated,
+Tests compare an answer with ``build_expected_answer`` and thereby detect truncated,
 mixed or wrong answers. All engines with the same model give the same answer,
 so a stream can resume on another engine.
 """
@@ -47,7 +47,7 @@
     return zlib.crc32(f'{model}\n{adapter}\n{prompt}'.encode())
 
 
-def write_answer(
+def build_expected_answer(
     prompt: str,
     count: int,
     model: str,
--- a/packages/standins/src/verbenahall_standins/traffic.py
+++ b/packages/standins/src/verbenahall_standins/traffic.py
@@ -192,7 +192,9 @@
         else:
             body['prompt'] = prompt
         path = _CHAT if kind.chat else _COMPLETIONS
-        expected = text.write_answer(prompt, output, kind.model, kind.adapter)
+        expected = text.build_expected_answer(
+            prompt, output, kind.model, kind.adapter
+        )
         return CallerRequest(kind.kind, 'POST', path, headers, body, expected)
 
     def _build_service_request(self, kind: ServiceRequestKind) -> CallerRequest:
--- a/packages/standins/tests/test_standins.py
+++ b/packages/standins/tests/test_standins.py
@@ -149,7 +149,7 @@
     with engine() as url:
         completions = f'{url}/v1/completions'
         answer = run(read_json('POST', completions, json=build_call()))
-    expected = text.write_answer(PROMPT, 6, 'draft')
+    expected = text.build_expected_answer(PROMPT, 6, 'draft')
     assert answer['choices'][0]['text'] == expected
 
 
--- a/packages/verbenahall/tests/front/test_processes.py
+++ b/packages/verbenahall/tests/front/test_processes.py
@@ -102,7 +102,7 @@
 
 def classify_answer(number, status, body):
     """Return ``whole``, ``ended``, or the value of ``ran`` in an error."""
-    whole = text.write_answer(f'p{number}', TOKENS, 'm')
+    whole = text.build_expected_answer(f'p{number}', TOKENS, 'm')
     if status != 200:
         return json.loads(body)['error']['ran']
     if number % 3 != 1:
