--- a/packages/standins/src/verbenahall_standins/batch.py
+++ b/packages/standins/src/verbenahall_standins/batch.py
@@ -24,7 +24,7 @@
     holds part of the prompt.
     """
 
-    identity: str
+    job_id: str
     priority: int
     prompt: int
     output: int
@@ -37,7 +37,7 @@
         return self.prompt + self.output
 
     @property
-    def context(self) -> int:
+    def held_tokens(self) -> int:
         """Tokens that the job holds in the KV cache now."""
         return self.prefilled + self.produced
 
@@ -117,18 +117,18 @@
         entry = (job.priority, next(self._numbers), job)
         heapq.heappush(self._waiting, entry)
 
-    def cancel(self, identity: str) -> bool:
+    def cancel(self, job_id: str) -> bool:
         """Remove a job; return whether it was running or waiting."""
-        job = self._prefilling.pop(identity, None)
-        if job is None and identity in self._decoding:
-            job = self._decoding.pop(identity)
-            self._held_tokens -= job.context
+        job = self._prefilling.pop(job_id, None)
+        if job is None and job_id in self._decoding:
+            job = self._decoding.pop(job_id)
+            self._held_tokens -= job.held_tokens
         if job is not None:
             self._reserved_tokens -= job.size
             return True
-        is_waiting = identity in {entry[-1].identity for entry in self._waiting}
+        is_waiting = job_id in {entry[-1].job_id for entry in self._waiting}
         if is_waiting:
-            self._cancelled.add(identity)
+            self._cancelled.add(job_id)
         return is_waiting
 
     def step(self) -> Step:
@@ -145,21 +145,21 @@
         for job in decoding:
             job.produced += 1
             if job.produced >= job.output:
-                self._held_tokens -= job.context
+                self._held_tokens -= job.held_tokens
                 self._reserved_tokens -= job.size
-                yield self._decoding.pop(job.identity)
+                yield self._decoding.pop(job.job_id)
 
     def _admit(self) -> None:
         while self._waiting and self._fits(self._waiting[0][-1]):
             first = heapq.heappop(self._waiting)[-1]
-            if first.identity in self._cancelled:
-                self._cancelled.remove(first.identity)
+            if first.job_id in self._cancelled:
+                self._cancelled.remove(first.job_id)
             else:
-                self._prefilling[first.identity] = first
+                self._prefilling[first.job_id] = first
                 self._reserved_tokens += first.size
 
     def _fits(self, job: Job) -> bool:
-        if not self.running or job.identity in self._cancelled:
+        if not self.running or job.job_id in self._cancelled:
             return True
         if self.running >= cost.BATCH_SEQUENCES:
             return False
@@ -175,9 +175,9 @@
             job.prefilled += chunk
             budget -= chunk
             if job.is_decoding:
-                self._held_tokens += job.context
-                self._decoding[job.identity] = job
-                self._prefilling.pop(job.identity)
+                self._held_tokens += job.held_tokens
+                self._decoding[job.job_id] = job
+                self._prefilling.pop(job.job_id)
             if not budget:
                 break
         return spent_s
--- a/packages/standins/src/verbenahall_standins/completions.py
+++ b/packages/standins/src/verbenahall_standins/completions.py
@@ -70,8 +70,8 @@
         """Cancel all jobs of an attempt; return their number."""
         found = [
             progress
-            for identity, progress in self.worker.active.items()
-            if identity.rpartition('#')[0] == attempt
+            for job_id, progress in self.worker.active.items()
+            if job_id.rpartition('#')[0] == attempt
         ]
         for progress in found:
             self.worker.release(progress)
@@ -113,7 +113,7 @@
         held = self.kv_tokens.pop(call.kv_from, 0)
         cached = self._cache.look_up_and_store(call.prompt, clock.monotonic())
         return Job(
-            identity=f'{call.attempt}#{next(self._job_numbers)}',
+            job_id=f'{call.attempt}#{next(self._job_numbers)}',
             priority=call.priority,
             prompt=prompt,
             output=1 if call.prefill_only else call.output - call.resume_from,
--- a/packages/standins/src/verbenahall_standins/simulation.py
+++ b/packages/standins/src/verbenahall_standins/simulation.py
@@ -170,9 +170,9 @@
 
     def _expire(self, outcome: Outcome, now: float) -> None:
         """Cancel a request that is not answered at its due time."""
-        identity = str(outcome.arrival.number)
-        if self._in_flight.pop(identity, None):
-            self._engines[outcome.engine].batch.cancel(identity)
+        job_id = str(outcome.arrival.number)
+        if self._in_flight.pop(job_id, None):
+            self._engines[outcome.engine].batch.cancel(job_id)
             self._finish(outcome, now)
 
     def _finish(self, outcome: Outcome, now: float) -> None:
@@ -197,10 +197,10 @@
     def _end_step(self, argument: tuple[Engine, Step], now: float) -> None:
         engine, step = argument
         for job in step.produced:
-            if job.produced == 1 and job.identity in self._in_flight:
-                self._in_flight[job.identity].first_token_at = now
+            if job.produced == 1 and job.job_id in self._in_flight:
+                self._in_flight[job.job_id].first_token_at = now
         for done in step.finished:
-            outcome = self._in_flight.pop(done.identity, None)
+            outcome = self._in_flight.pop(done.job_id, None)
             if outcome is not None:
                 outcome.last_token_at = now
                 self._finish(outcome, now)
--- a/packages/standins/src/verbenahall_standins/worker.py
+++ b/packages/standins/src/verbenahall_standins/worker.py
@@ -88,7 +88,7 @@
     def start(self, job: Job) -> Progress:
         """Queue a job and return its progress."""
         progress = Progress(job)
-        self.active[job.identity] = progress
+        self.active[job.job_id] = progress
         self.batch.add(job)
         self._wake.set()
         return progress
@@ -96,10 +96,10 @@
     def release(self, progress: Progress) -> None:
         """Cancel a job if it is unfinished, and remove it."""
         if not progress.is_finished:
-            self.batch.cancel(progress.job.identity)
+            self.batch.cancel(progress.job.job_id)
             progress.cancelled = True
             progress.notify()
-        self.active.pop(progress.job.identity, None)
+        self.active.pop(progress.job.job_id, None)
 
     async def _run(self) -> None:
         ready_at = clock.monotonic()
@@ -115,6 +115,6 @@
 
     def _notify(self, step: Step) -> None:
         for job in (*step.produced, *step.finished):
-            progress = self.active.get(job.identity)
+            progress = self.active.get(job.job_id)
             if progress is not None:
                 progress.notify()
--- a/packages/standins/tests/test_cost.py
+++ b/packages/standins/tests/test_cost.py
@@ -56,7 +56,7 @@
     batch.add(Job('flag', 0, 50, 1))
     finished = []
     while 'flag' not in finished:
-        finished.extend(job.identity for job in batch.step().finished)
+        finished.extend(job.job_id for job in batch.step().finished)
     assert len(finished) <= cost.BATCH_SEQUENCES + 1
 
 
