--- a/packages/standins/src/verbenahall_standins/platform/_duties.py
+++ b/packages/standins/src/verbenahall_standins/platform/_duties.py
@@ -31,7 +31,7 @@
 class DutyStandIn:
     """Accepts usage reports and orders for the engines of a site.
 
-    ``reports`` holds the counts of each window, ``broken`` a line for each
+    ``reports`` holds the counts of each window, ``violations`` a line for each
     violated invariant.
     """
 
@@ -40,7 +40,7 @@
         self.faults = DutyFaults()
         self.address = ''
         self.reports: dict[int, dict[str, int]] = {}
-        self.broken: list[str] = []
+        self.violations: list[str] = []
         self.pools = EnginePools(site, boot_s)
         self._max_tokens: dict[str, int] = {}
         self._holders: dict[tuple[str, int], str] = {}
@@ -49,7 +49,7 @@
 
     async def start(self) -> None:
         """Listen on a free port; bill the site's engines as on demand."""
-        self.pools.adopt()
+        self.pools.bill_site_engines()
         app = web.Application()
         app.router.add_post('/usage', self._handle_call)
         app.router.add_post('/scale', self._handle_call)
@@ -99,7 +99,7 @@
         token = int(headers[_TOKEN])
         holder = self._holders.setdefault((duty, token), headers[_HOLDER])
         if holder != headers[_HOLDER]:
-            self.broken.append(f'token {token} of two holders')
+            self.violations.append(f'token {token} of two holders')
         if token < self._max_tokens.get(duty, 0):
             return web.Response(status=409)
         self._max_tokens[duty] = token
@@ -110,7 +110,7 @@
     def _accept_report(self, body: dict[str, Any]) -> web.Response:
         counts = body['counts']
         if self.reports.setdefault(body['windowId'], counts) != counts:
-            self.broken.append(f'window {body["windowId"]} has two reports')
+            self.violations.append(f'window {body["windowId"]} has two reports')
         return web.json_response({})
 
     def _accept_order(self, body: dict[str, Any]) -> web.Response:
--- a/packages/standins/src/verbenahall_standins/platform/_engine.py
+++ b/packages/standins/src/verbenahall_standins/platform/_engine.py
@@ -22,10 +22,10 @@
 class EngineFaults:
     """Faults that a test switches on.
 
-    ``full`` refuses every request, ``mute`` accepts requests and never
+    ``full`` refuses every request, ``unresponsive`` accepts requests and never
     answers. ``break_after`` closes a stream after that many events, with
     ``half_event`` in the middle of the next event; ``stall_after`` sends no
-    more events after that many. ``slow_read_s`` is the duration of a prefill
+    more events after that many. ``prefill_delay_s`` is the duration of a prefill
     and ``slow_head_s`` the delay of a stream's head, in seconds.
     ``no_orders`` leaves orders unanswered, ``unsigned`` omits the stamp of
     streams. A request with the body ``crash_on`` crashes the engine when it
@@ -33,11 +33,11 @@
     """
 
     full: bool = False
-    mute: bool = False
+    unresponsive: bool = False
     break_after: int | None = None
     half_event: bool = False
     stall_after: int | None = None
-    slow_read_s: float = 0
+    prefill_delay_s: float = 0
     no_orders: bool = False
     unsigned: bool = False
     slow_head_s: float = 0
@@ -49,8 +49,8 @@
 class EngineStandIn:
     """One engine on loopback.
 
-    ``runs`` and ``reads`` are the headers of its decodes and prefills,
-    ``freed`` the released KV handles, ``cut`` the requests whose stream was
+    ``runs`` and ``prefills`` are the headers of its decodes and prefills,
+    ``freed`` the released KV handles, ``cancelled`` the requests whose stream was
     cancelled.
     """
 
@@ -62,9 +62,9 @@
         self.faults = EngineFaults()
         self.address = ''
         self.runs: list[CIMultiDict[str]] = []
-        self.reads: list[CIMultiDict[str]] = []
+        self.prefills: list[CIMultiDict[str]] = []
         self.freed: list[str] = []
-        self.cut: list[str] = []
+        self.cancelled: list[str] = []
         self.orders: list[dict[str, Any]] = []
         self.handles: dict[str, str] = {}
         self.crashes = 0
@@ -114,7 +114,7 @@
         headers = CIMultiDict(request.headers)
         body = await request.read()
         headers['body'] = body.decode()
-        if self.faults.mute:
+        if self.faults.unresponsive:
             await asyncio.sleep(3600)
         expected = headers.get(f'{_PREFIX}Expect-Instance', self.name)
         if expected != self.name:
@@ -134,8 +134,8 @@
     async def _prefill(self, headers: CIMultiDict[str]) -> web.Response:
         if self.role != 'prefill':
             return self._refuse(_MISDIRECTED)
-        await asyncio.sleep(self.faults.slow_read_s)
-        self.reads.append(headers)
+        await asyncio.sleep(self.faults.prefill_delay_s)
+        self.prefills.append(headers)
         handle = f'{self.name}-h{next(self._numbers)}'
         request_id = headers[f'{_PREFIX}Request-Id']
         self.handles[handle] = request_id
@@ -173,7 +173,7 @@
                 await response.write(_event(number))
                 await asyncio.sleep(0)
         except asyncio.CancelledError:
-            self.cut.append(request_id)
+            self.cancelled.append(request_id)
             raise
         return response
 
--- a/packages/standins/src/verbenahall_standins/platform/_plain.py
+++ b/packages/standins/src/verbenahall_standins/platform/_plain.py
@@ -17,7 +17,7 @@
 
     ``status`` is the status of its answers and ``delay_s`` the seconds that
     an answer takes. ``refuses`` answers that the request has not run,
-    ``mute`` accepts requests and never answers, ``signs`` adds the stamp to
+    ``unresponsive`` accepts requests and never answers, ``stamps_answers`` adds the stamp to
     answers. ``rate`` is the rate limit that answers advertise, in requests a
     second. ``arrivals`` are the times of all requests in monotonic seconds.
     """
@@ -28,9 +28,9 @@
         self.role = ''
         self.status = 200
         self.refuses = False
-        self.mute = False
+        self.unresponsive = False
         self.delay_s: float = 0
-        self.signs = True
+        self.stamps_answers = True
         self.rate: str | None = None
         self.arrivals: list[float] = []
         self.address = ''
@@ -61,14 +61,14 @@
         self.runs.append(
             {**headers, 'body': body.decode(), 'target': request.raw_path},
         )
-        if self.mute:
+        if self.unresponsive:
             await asyncio.sleep(3600)
         await asyncio.sleep(self.delay_s)
         answer = {
             f'{_PREFIX}Request-Id': headers[f'{_PREFIX}Request-Id'],
             **rate_header,
         }
-        if self.signs:
+        if self.stamps_answers:
             answer[f'{_PREFIX}Server-Stamp'] = f'stand-in-{self.name}'
         return web.Response(
             status=self.status,
--- a/packages/standins/src/verbenahall_standins/platform/_pools.py
+++ b/packages/standins/src/verbenahall_standins/platform/_pools.py
@@ -29,7 +29,7 @@
 
     pool: EnginePool
     engine: EngineStandIn
-    since: float
+    billed_from: float
 
 
 @final
@@ -50,7 +50,7 @@
         self._desired: dict[EnginePool, int] = {}
         self._tasks: set[asyncio.Task[None]] = set()
 
-    def adopt(self) -> None:
+    def bill_site_engines(self) -> None:
         """Bill the site's existing engines as on demand."""
         for engine in self._site.engines:
             self._bill(EnginePool(_ZONE, spot=False), engine)
@@ -119,7 +119,7 @@
         self, pool: EnginePool, engine: EngineStandIn
     ) -> None:
         billed = self._engines.pop(engine.name)
-        seconds = time.monotonic() - billed.since
+        seconds = time.monotonic() - billed.billed_from
         self.seconds[pool] = self.seconds.get(pool, 0) + seconds
         self._site.unlist(engine.name)
         await engine.stop()
--- a/packages/standins/src/verbenahall_standins/platform/_store.py
+++ b/packages/standins/src/verbenahall_standins/platform/_store.py
@@ -14,7 +14,7 @@
 _LENGTH: Final = struct.Struct('>I')
 _BOUNDS: Final = struct.Struct('>QQ')
 _MS: Final = 1000
-_PAGE: Final = 500
+_PAGE_SIZE: Final = 500
 
 
 @dataclasses.dataclass(slots=True)
@@ -22,14 +22,14 @@
     """Faults that a test switches on.
 
     ``down`` is a status that every call gets, ``silent`` leaves calls
-    unanswered, ``lose_appends`` applies appends without answering, ``deaf``
+    unanswered, ``lose_appends`` applies appends without answering, ``miss_wakeups``
     lets a long poll miss the records that are appended while it waits.
     """
 
     down: int = 0
     silent: bool = False
     lose_appends: bool = False
-    deaf: bool = False
+    miss_wakeups: bool = False
 
 
 @final
@@ -101,7 +101,7 @@
         record = bytes([len(encoded)]) + encoded + content
         return self._get_topic(topic).append([record])
 
-    def forget(self, topic: str) -> None:
+    def delete_old_records(self, topic: str) -> None:
         """Delete all records but the last one."""
         found = self._get_topic(topic)
         kept = found.records[-1:]
@@ -143,7 +143,9 @@
         start = int(request.query['from'])
         wait_s = int(request.query.get('waitMs', '0')) / _MS
         if start >= topic.end and wait_s:
-            appended = asyncio.Event() if self.faults.deaf else topic.appended
+            appended = (
+                asyncio.Event() if self.faults.miss_wakeups else topic.appended
+            )
             # A long poll without a new record returns an empty answer.
             with contextlib.suppress(TimeoutError):
                 await asyncio.wait_for(appended.wait(), wait_s)
@@ -167,9 +169,9 @@
                         'value': base64.b64encode(content).decode(),
                         'offset': offset,
                     }
-                    for key, (offset, content) in later[:_PAGE]
+                    for key, (offset, content) in later[:_PAGE_SIZE]
                 ],
-                'hasMore': len(later) > _PAGE,
+                'hasMore': len(later) > _PAGE_SIZE,
                 'end': topic.end,
             },
         )
--- a/packages/standins/src/verbenahall_standins/soak/_run.py
+++ b/packages/standins/src/verbenahall_standins/soak/_run.py
@@ -40,7 +40,7 @@
         *_check_recovery(final_records),
         *_check_revoked_key(revoked),
         *_check_workspaces(deployment),
-        *deployment.duties.broken,
+        *deployment.duties.violations,
     ]
 
 
@@ -106,7 +106,7 @@
     """Check that sends name the key's workspace and hold no key."""
     sends = itertools.chain(
         *(endpoint.runs for endpoint in deployment.endpoints),
-        *(engine.reads for engine in deployment.site.engines),
+        *(engine.prefills for engine in deployment.site.engines),
     )
     return [
         f'{send[_REQUEST_ID_HEADER]}: sent for'
--- a/packages/verbenahall/tests/gateway/test_duties.py
+++ b/packages/verbenahall/tests/gateway/test_duties.py
@@ -71,7 +71,7 @@
                 sent[name] += 1
                 await asyncio.sleep(0.02)
             await harness.wait_until(lambda: sum_reports(duties) == sent, 12)
-            assert not duties.broken
+            assert not duties.violations
 
     run(check())
 
@@ -90,7 +90,7 @@
             await harness.wait_until(
                 lambda: sum(sum_reports(duties).values()) == 10
             )
-            assert not duties.broken
+            assert not duties.violations
 
     run(check())
 
@@ -116,7 +116,7 @@
             assert set(statuses) == {200}
             # Three engines remain after the loss of two data centres.
             assert [duties.pools.count(pool) for pool in spot] == [3, 3, 3]
-            assert not duties.broken
+            assert not duties.violations
 
     run(check())
 
--- a/packages/verbenahall/tests/gateway/test_failing_engines.py
+++ b/packages/verbenahall/tests/gateway/test_failing_engines.py
@@ -65,7 +65,7 @@
     async def check():
         engines = make_engines(generators=2)
         for engine in engines[2:]:
-            engine.faults.mute = True
+            engine.faults.unresponsive = True
         async with run_gateway(tmp_path, engines) as harness:
             given = {f'{PREFIX}Deadline-Ms': '400'}
             status, headers, _ = await harness.send('/blurb/1', headers=given)
@@ -111,7 +111,7 @@
     # that is told so would repeat it.
     async def check():
         async with run_gateway(tmp_path, make_engines()) as harness:
-            harness.site.engines[2].faults.mute = True
+            harness.site.engines[2].faults.unresponsive = True
             request = asyncio.create_task(
                 harness.send(
                     '/summary/1', headers={f'{PREFIX}Deadline-Ms': '2500'}
@@ -148,7 +148,7 @@
     # only once.
     async def check():
         engines = make_engines(readers=2)
-        engines[0].faults.mute = True
+        engines[0].faults.unresponsive = True
         async with run_gateway(tmp_path, engines) as harness:
             for number in range(3):
                 given = {f'{PREFIX}Prompt-Prefix': f'a{number}:800,b:200'}
@@ -181,7 +181,7 @@
                 b'Content-Length: 0\r\n\r\n',
             )
             await harness.wait_until(lambda: engines[2].runs)
-            await harness.wait_until(lambda: engines[2].cut, 2)
+            await harness.wait_until(lambda: engines[2].cancelled, 2)
             writer.close()
 
     run(check())
@@ -200,7 +200,7 @@
                 status, _, body = await harness.send('/blurb/1', f'r-{number}')
                 assert status == 200
                 assert numbers(body) == [1, 2, 3, 4, 5]
-            assert sum(len(one.reads) for one in engines) == 4
+            assert sum(len(one.prefills) for one in engines) == 4
 
     run(check())
 
@@ -210,7 +210,7 @@
     # that is sent to it all the same is cut off when the engine exits.
     async def check():
         engines = make_engines(readers=1, generators=2)
-        engines[0].faults.slow_read_s = 0.3
+        engines[0].faults.prefill_delay_s = 0.3
         async with run_gateway(tmp_path, engines) as harness:
             request = asyncio.create_task(harness.send('/blurb/1'))
             await harness.wait_until(lambda: harness.log_lines('placed'))
@@ -228,7 +228,7 @@
 
     async def check():
         engines = make_engines(readers=1, generators=1)
-        engines[0].faults.slow_read_s = 0.3
+        engines[0].faults.prefill_delay_s = 0.3
         async with run_gateway(tmp_path, engines) as harness:
             request = asyncio.create_task(harness.send('/blurb/1'))
             await harness.wait_until(lambda: harness.log_lines('placed'))
--- a/packages/verbenahall/tests/gateway/test_failing_services.py
+++ b/packages/verbenahall/tests/gateway/test_failing_services.py
@@ -40,7 +40,7 @@
     async def check():
         plain = make_plain(2)
         for endpoint in plain:
-            endpoint.mute = True
+            endpoint.unresponsive = True
         async with run_gateway(tmp_path, plain=plain) as harness:
             given = {f'{PREFIX}Deadline-Ms': '300'}
             status, headers, _ = await harness.send('/proof/1', headers=given)
@@ -67,7 +67,7 @@
 def test_repeatable_call_is_retried_if_an_endpoint_does_not_respond(tmp_path):
     async def check():
         plain = make_plain(2)
-        plain[0].mute = True
+        plain[0].unresponsive = True
         async with run_gateway(tmp_path, plain=plain) as harness:
             for number in range(3):
                 given = {f'{PREFIX}Deadline-Ms': '800'}
@@ -87,7 +87,7 @@
     # returned as that of the service.
     async def check():
         plain = make_plain(1)
-        plain[0].signs = False
+        plain[0].stamps_answers = False
         async with run_gateway(tmp_path, plain=plain) as harness:
             status, _, body = await harness.send('/proof/1')
             assert status in {502, 504}
--- a/packages/verbenahall/tests/gateway/test_keys.py
+++ b/packages/verbenahall/tests/gateway/test_keys.py
@@ -37,10 +37,10 @@
                 status, _, _ = await harness.send(path, headers=headers)
                 assert status == 200
             site = harness.site
-            reads = [read for one in site.engines for read in one.reads]
+            prefills = [read for one in site.engines for read in one.prefills]
             runs = [*site.engines[2].runs, *site.plain[0].runs]
-            assert len(reads) == 1
-            for sent in (*reads, *runs):
+            assert len(prefills) == 1
+            for sent in (*prefills, *runs):
                 assert sent[WORKSPACE] == 'club'
                 assert KEY not in sent
                 assert CLUB not in str(dict(sent))
@@ -171,7 +171,7 @@
 
     async def check():
         async with run_keyed_gateway(tmp_path, plain=make_plain(1)) as harness:
-            harness.site.store.faults.deaf = True
+            harness.site.store.faults.miss_wakeups = True
             await harness.wait_for_polls()
             added = [*TENANTS, {'name': 'new', 'apiKeys': ['new-key']}]
             harness.site.publish(tenants=added)
--- a/packages/verbenahall/tests/gateway/test_news.py
+++ b/packages/verbenahall/tests/gateway/test_news.py
@@ -148,7 +148,7 @@
             site.publish()
             site.list_endpoint(site.plain[0], slots=6)
             site.list_endpoint(site.plain[1], slots=7)
-            site.store.forget('keyed.servers')
+            site.store.delete_old_records('keyed.servers')
             site.store.faults.down = 0
             await wait_version(harnesses, 2, 1.9)
             await wait_slots(harnesses, 6, 2)
--- a/packages/verbenahall/tests/gateway/test_path.py
+++ b/packages/verbenahall/tests/gateway/test_path.py
@@ -84,8 +84,8 @@
             assert status == 200
             assert numbers(body) == [1, 2, 3, 4, 5]
             assert headers[f'{PREFIX}Server-Stamp'] == 'stand-in-generator-0'
-            reads = [len(one.reads) for one in harness.site.engines]
-            assert sum(reads) == 1
+            prefills = [len(one.prefills) for one in harness.site.engines]
+            assert sum(prefills) == 1
             assert len(harness.site.engines[2].runs) == 1
 
     run(check())
@@ -103,7 +103,7 @@
                     headers={f'{PREFIX}Prompt-Prefix': f'aa:800,b{number}:9'},
                 )
             readers = harness.site.engines[:4]
-            assert sorted(len(one.reads) for one in readers) == [0, 0, 0, 6]
+            assert sorted(len(one.prefills) for one in readers) == [0, 0, 0, 6]
 
     run(check())
 
@@ -117,7 +117,9 @@
         async with run_gateway(tmp_path, engines) as harness:
             with pytest.raises(TimeoutError):
                 await asyncio.wait_for(harness.send('/blurb/1'), 0.3)
-            await harness.wait_until(lambda: engines[2].cut == ['r-1'], 0.5)
+            await harness.wait_until(
+                lambda: engines[2].cancelled == ['r-1'], 0.5
+            )
 
     run(check())
 
@@ -127,7 +129,7 @@
     # fetched the KV cache, which would otherwise occupy memory for seconds.
     async def check():
         engines = make_engines()
-        engines[2].faults.mute = True
+        engines[2].faults.unresponsive = True
         async with run_gateway(tmp_path, engines) as harness:
             with pytest.raises(TimeoutError):
                 await asyncio.wait_for(harness.send('/blurb/1'), 0.3)
@@ -182,7 +184,7 @@
     # its id would lead to nothing but a 504.
     async def check():
         plain = make_plain(1)
-        plain[0].mute = True
+        plain[0].unresponsive = True
         async with run_gateway(tmp_path, plain=plain) as harness:
             given = {f'{PREFIX}Deadline-Ms': '300'}
             status, _, _ = await harness.send('/proof/1', headers=given)
--- a/packages/verbenahall/tests/gateway/test_scheduling.py
+++ b/packages/verbenahall/tests/gateway/test_scheduling.py
@@ -222,7 +222,7 @@
 
     async def check():
         engines = make_engines(readers=1)
-        engines[0].faults.slow_read_s = 0.5
+        engines[0].faults.prefill_delay_s = 0.5
         async with run_gateways(tmp_path, engines) as harnesses:
             first = harnesses[0]
             state = find_state(harnesses[-1])
@@ -261,7 +261,7 @@
 
     async def check():
         engines = make_engines(readers=1)
-        engines[0].faults.slow_read_s = 0.4
+        engines[0].faults.prefill_delay_s = 0.4
         async with run_gateways(tmp_path, engines) as harnesses:
             first = harnesses[0]
             state = find_state(harnesses[-1])
@@ -270,7 +270,9 @@
             await first.wait_until(lambda: not state.queue.waiting)
             await busy
             await first.wait_until(lambda: is_idle(harnesses[-1]))
-            read = [one['X-Verbenahall-Request-Id'] for one in engines[0].reads]
+            read = [
+                one['X-Verbenahall-Request-Id'] for one in engines[0].prefills
+            ]
             assert 'r-2' not in read
 
     run(check())
--- a/packages/verbenahall/tests/gateway/test_store.py
+++ b/packages/verbenahall/tests/gateway/test_store.py
@@ -101,7 +101,7 @@
             await harness.wait_until(lambda: harness.log_lines('store_lost'))
             for _ in range(2):
                 store.put('keyed.servers', 'page-0', b'[]')
-            store.forget('keyed.servers')
+            store.delete_old_records('keyed.servers')
             store.faults.down = 0
             await harness.wait_until(
                 lambda: harness.log_lines('endpoint_unreadable')
@@ -139,7 +139,7 @@
             await harness.wait_until(lambda: harness.log_lines('store_lost'))
             for _ in range(3):
                 harness.site.publish()
-            store.forget('keyed.op')
+            store.delete_old_records('keyed.op')
             store.faults.down = 0
             state = harness.gateway.core.catalog
             await harness.wait_until(lambda: state.catalog.version == 4, 1.9)
@@ -163,7 +163,7 @@
             await harness.wait_until(
                 lambda: roster.listings['reader-0'].entry.slots == 5,
             )
-            store.faults.deaf = True
+            store.faults.miss_wakeups = True
             await asyncio.sleep(0.05)
             harness.site.list_endpoint(engines[1], slots=6)
             await harness.wait_until(
--- a/packages/verbenahall/tests/gateway/test_waiting.py
+++ b/packages/verbenahall/tests/gateway/test_waiting.py
@@ -27,7 +27,7 @@
 
 def make_slow_engines(read_s=0.4):
     engines = make_engines(readers=1)
-    engines[0].faults.slow_read_s = read_s
+    engines[0].faults.prefill_delay_s = read_s
     return engines
 
 
@@ -58,7 +58,7 @@
             )
             status, _, _ = await first
             assert status == 200
-            read = [one[f'{PREFIX}Request-Id'] for one in engines[0].reads]
+            read = [one[f'{PREFIX}Request-Id'] for one in engines[0].prefills]
             assert read == ['r-1']
             load_table = harness.gateway.core.placement.load_table
             await harness.wait_until(lambda: not load_table.local_loads())
