--- a/packages/standins/src/verbenahall_standins/replay.py
+++ b/packages/standins/src/verbenahall_standins/replay.py
@@ -62,7 +62,7 @@
 class Load:
     """The rate of requests, their prompts and their time limits.
 
-    A prompt has ``shared`` tokens of one of ``things`` prefixes, and ``own``
+    A prompt has ``shared`` tokens of one of ``prefix_count`` prefixes, and ``own``
     tokens that no other prompt has.
     """
 
@@ -70,9 +70,9 @@
     seconds: float
     shared: int = 6300
     own: int = 2900
-    things: int = 60
+    prefix_count: int = 60
     objective_s: float = 0.15
-    patience_s: float = 2
+    abandon_after_s: float = 2
     priority: int = 0
 
 
@@ -82,12 +82,12 @@
     def __init__(self, entry, speed=1.0):
         self.entry = entry
         self.speed = speed
-        self.open = {}
+        self.open_prefills = {}
         self.cached_parts = set()
         self.advanced_to: float = 0
         self.version = 0
-        self.read = 0
-        self.whole = 0
+        self.prefilled_tokens = 0
+        self.requested_tokens = 0
 
     def start_prefill(self, number, work, now):
         """Start the prefill of a prompt, without the parts that are cached."""
@@ -98,18 +98,24 @@
             for part in work.shared_parts
             if part.identity in self.cached_parts
         )
-        self.whole += work.prompt_tokens
+        self.requested_tokens += work.prompt_tokens
         self.cached_parts.update(part.identity for part in work.shared_parts)
-        self.read += tokens
-        self.open[number] = PREFILL_START_S + tokens * S_PER_TOKEN / self.speed
+        self.prefilled_tokens += tokens
+        self.open_prefills[number] = (
+            PREFILL_START_S + tokens * S_PER_TOKEN / self.speed
+        )
 
     def advance(self, now):
         """Advance the open prefills to the time ``now``."""
-        while self.open and self.advanced_to < now:
-            shortest = min(self.open.values()) * len(self.open)
+        while self.open_prefills and self.advanced_to < now:
+            shortest = min(self.open_prefills.values()) * len(
+                self.open_prefills
+            )
             passed = min(shortest, now - self.advanced_to)
-            share = passed / len(self.open)
-            self.open = {key: left - share for key, left in self.open.items()}
+            share = passed / len(self.open_prefills)
+            self.open_prefills = {
+                key: left - share for key, left in self.open_prefills.items()
+            }
             self.advanced_to += passed
             if passed == shortest:
                 return
@@ -117,10 +123,12 @@
 
     def predict_next_end(self):
         """Return the time and number of the prefill that ends next, or None."""
-        if not self.open:
+        if not self.open_prefills:
             return None
-        number = min(self.open, key=self.open.get)
-        return self.advanced_to + self.open[number] * len(self.open), number
+        number = min(self.open_prefills, key=self.open_prefills.get)
+        return self.advanced_to + self.open_prefills[number] * len(
+            self.open_prefills
+        ), number
 
 
 class Outcome:
@@ -129,10 +137,10 @@
     def __init__(self):
         self.waits = []
         self.refused = []
-        self.held = []
-        self.order = []
+        self.rejected_after_s = []
+        self.served_order = []
 
-    def on_time(self, objective_s):
+    def count_on_time(self, objective_s):
         """Return the number of first events within the objective."""
         return sum(wait <= objective_s for wait in self.waits)
 
@@ -148,18 +156,18 @@
         seed=1,
         *,
         sample=1,
-        word_s=HEARTBEAT_INTERVAL_S,
+        heartbeat_interval_s=HEARTBEAT_INTERVAL_S,
         scheduled=False,
     ):
         """Create instances and engines.
 
         Each instance sends its load to one in ``sample`` of the others every
-        ``word_s`` seconds. If ``scheduled``, all requests pass one scheduler
+        ``heartbeat_interval_s`` seconds. If ``scheduled``, all requests pass one scheduler
         instead, which takes ``MESSAGE_S`` more.
         """
         self.rng = random.Random(seed)
         self.sample = sample
-        self.word_s = word_s
+        self.heartbeat_interval_s = heartbeat_interval_s
         names = [f'e{number}' for number in range(prefill_count + decode_count)]
         self.engines = {
             name: _make_engine(
@@ -174,15 +182,17 @@
         self.numbers = itertools.count()
         self.outcome = Outcome()
 
-    def play(self, loads, *, queued=True):
+    def run(self, loads, *, queued=True):
         """Run loads that start together and return the outcomes."""
         for load in loads:
             self._schedule_arrivals(load, queued=queued)
         end = max(one.seconds for one in loads) + _DRAIN_S
         for index in range(int(end / DISPATCH_INTERVAL_S)):
             self.schedule(index * DISPATCH_INTERVAL_S, self._dispatch_waiting)
-        for index in range(int(end / self.word_s)):
-            self.schedule(index * self.word_s, self._send_heartbeats)
+        for index in range(int(end / self.heartbeat_interval_s)):
+            self.schedule(
+                index * self.heartbeat_interval_s, self._send_heartbeats
+            )
         while self.events:
             now, _, callback = heapq.heappop(self.events)
             callback(now)
@@ -192,7 +202,7 @@
         """Schedule a callback."""
         heapq.heappush(self.events, (now, next(self.numbers), callback))
 
-    def watch(self, engine):
+    def schedule_next_end(self, engine):
         """Schedule the next end of a prefill at an engine."""
         ends = engine.predict_next_end()
         engine.version += 1
@@ -207,7 +217,7 @@
         while now < load.seconds:
             now += self.rng.expovariate(load.rate)
             instance = self._choose_instance()
-            prefix = self.rng.randrange(load.things)
+            prefix = self.rng.randrange(load.prefix_count)
             number = next(self.numbers)
             parts = (
                 Part(f't{load.priority}-{prefix}', load.shared),
@@ -245,12 +255,16 @@
         if engine.version != version:
             return
         engine.advance(now)
-        done = [key for key, left in engine.open.items() if left <= _ROUNDING_S]
+        done = [
+            key
+            for key, left in engine.open_prefills.items()
+            if left <= _ROUNDING_S
+        ]
         for number in done:
-            engine.open.pop(number)
+            engine.open_prefills.pop(number)
             instance, admitted = number
             instance.handle_prefilled(admitted, now)
-        self.watch(engine)
+        self.schedule_next_end(engine)
 
 
 class _Instance:
@@ -279,7 +293,7 @@
             queued_at=now,
             due_at=now + load.objective_s,
             objective_s=load.objective_s,
-            leaves_at=now + load.patience_s,
+            leaves_at=now + load.abandon_after_s,
         )
         self.arrived[pending] = now
         if queued:
@@ -311,7 +325,7 @@
         waited = now + HANDOVER_S - self.arrived[pending]
         if now < pending.leaves_at:
             outcome.waits.append(waited)
-            outcome.order.append((pending.priority, now))
+            outcome.served_order.append((pending.priority, now))
         self.dispatch_waiting(now)
 
     def _apply(self, effects, now):
@@ -320,7 +334,7 @@
         for pending, problem in effects.refused:
             outcome = self.replay.outcome
             outcome.refused.append((problem, pending.leaves_at - now))
-            outcome.held.append(now - self.arrived[pending])
+            outcome.rejected_after_s.append(now - self.arrived[pending])
 
     def _send(self, pending, plan, flight, now):
         prefill_engine = plan.prefill_engine or plan.decode_engine
@@ -331,7 +345,7 @@
         self.state.find_cache(prefill_engine, TRAITS.kv_tokens).record(
             pending.placement_request.work.parts
         )
-        self.replay.watch(engine)
+        self.replay.schedule_next_end(engine)
 
     def _fleet(self):
         entries = [one.entry for one in self.replay.engines.values()]
--- a/packages/verbenahall/tests/placement/test_bursts.py
+++ b/packages/verbenahall/tests/placement/test_bursts.py
@@ -14,7 +14,7 @@
 def replay_overload():
     """Replay the overload once for all tests that check its outcome."""
     replay = Replay()
-    replay.play([OVERLOAD])
+    replay.run([OVERLOAD])
     return replay
 
 
@@ -22,13 +22,14 @@
     # Callers send twice what the engines can prefill. Sent at once, all
     # prompts share the engines and end together, long past their objective,
     # although half of them could have been on time.
-    unqueued = Replay().play([OVERLOAD], queued=False)
+    unqueued = Replay().run([OVERLOAD], queued=False)
     queued_outcome = replay_overload().outcome
     assert (
-        unqueued.on_time(OBJECTIVE_S) < 0.3 * OVERLOAD.rate * OVERLOAD.seconds
+        unqueued.count_on_time(OBJECTIVE_S)
+        < 0.3 * OVERLOAD.rate * OVERLOAD.seconds
     )
     assert (
-        queued_outcome.on_time(OBJECTIVE_S)
+        queued_outcome.count_on_time(OBJECTIVE_S)
         > 0.33 * OVERLOAD.rate * OVERLOAD.seconds
     )
 
@@ -36,9 +37,9 @@
 def test_no_request_is_refused_below_capacity():
     # A queue that refuses callers while engines have capacity is worse than
     # none.
-    outcome = Replay().play([Load(rate=220, seconds=3)])
+    outcome = Replay().run([Load(rate=220, seconds=3)])
     assert not outcome.refused
-    assert outcome.on_time(OBJECTIVE_S) > 0.85 * len(outcome.waits)
+    assert outcome.count_on_time(OBJECTIVE_S) > 0.85 * len(outcome.waits)
 
 
 def test_few_prefills_are_open_at_an_engine():
@@ -47,14 +48,14 @@
     # once, and the first of them ended when the last one did.
     replay = Replay()
     open_counts = []
-    original_watch = replay.watch
+    original_schedule = replay.schedule_next_end
 
-    def watch(engine):
-        open_counts.append(len(engine.open))
-        original_watch(engine)
+    def schedule_next_end(engine):
+        open_counts.append(len(engine.open_prefills))
+        original_schedule(engine)
 
-    replay.watch = watch
-    replay.play([HIGH_LOAD])
+    replay.schedule_next_end = schedule_next_end
+    replay.run([HIGH_LOAD])
     assert max(open_counts) <= 2 * len(replay.instances)
 
 
@@ -80,7 +81,7 @@
     # A caller that is refused after most of its time has passed cannot retry
     # elsewhere.
     outcome = replay_overload().outcome
-    wait_times = sorted(outcome.held)
+    wait_times = sorted(outcome.rejected_after_s)
     assert wait_times[len(wait_times) // 2] < 0.5
 
 
@@ -89,8 +90,8 @@
     # later must not wait for it to drain.
     urgent = Load(rate=40, seconds=3, priority=0)
     ordinary = Load(rate=560, seconds=3, priority=1)
-    outcome = Replay().play([urgent, ordinary])
-    served = [priority for priority, _ in outcome.order]
+    outcome = Replay().run([urgent, ordinary])
+    served = [priority for priority, _ in outcome.served_order]
     assert served.count(0) > 0.95 * urgent.rate * urgent.seconds
 
 
@@ -99,6 +100,6 @@
     # move to engines without that part are prefilled whole, twice the work or
     # more, which makes all other requests wait longer.
     engines = replay_overload().engines.values()
-    read = sum(engine.read for engine in engines)
-    whole = sum(engine.whole for engine in engines)
-    assert read < 0.5 * whole
+    prefilled_tokens = sum(engine.prefilled_tokens for engine in engines)
+    requested_tokens = sum(engine.requested_tokens for engine in engines)
+    assert prefilled_tokens < 0.5 * requested_tokens
--- a/packages/verbenahall/tests/placement/test_fleets.py
+++ b/packages/verbenahall/tests/placement/test_fleets.py
@@ -23,13 +23,13 @@
         instances,
         *ENGINES,
         sample=5 if many else 1,
-        word_s=0.6 if many else 0.1,
+        heartbeat_interval_s=0.6 if many else 0.1,
         scheduled=scheduled,
     )
-    load = Load(rate * ENGINES[0], SECONDS, things=15 * ENGINES[0])
-    outcome = replay.play([load])
+    load = Load(rate * ENGINES[0], SECONDS, prefix_count=15 * ENGINES[0])
+    outcome = replay.run([load])
     total = len(outcome.waits) + len(outcome.refused)
-    return outcome.on_time(OBJECTIVE_S) / total
+    return outcome.count_on_time(OBJECTIVE_S) / total
 
 
 @pytest.mark.parametrize('instances', [24, 200])
