--- a/packages/standins/src/verbenahall_standins/overhead.py
+++ b/packages/standins/src/verbenahall_standins/overhead.py
@@ -127,9 +127,11 @@
     """Run the load tool; add rates by second and by core-second."""
     before = read_cpu_s(target.pid)
     command = (*_LOAD, '--address', target.address, *options)
-    done = subprocess.run(command, capture_output=True, text=True, check=True)
+    completed = subprocess.run(
+        command, capture_output=True, text=True, check=True
+    )
     core_s = read_cpu_s(target.pid) - before
-    return _add_rates(orjson.loads(done.stdout), core_s)
+    return _add_rates(orjson.loads(completed.stdout), core_s)
 
 
 def _add_rates(figures: LoadFigures, core_s: float) -> LoadFigures:
--- a/packages/standins/src/verbenahall_standins/process.py
+++ b/packages/standins/src/verbenahall_standins/process.py
@@ -121,8 +121,8 @@
 
 def stop_all(started: Iterable[RunningProcess]) -> None:
     """Stop processes in parallel; kill those that exceed the timeout."""
-    ending = list(started)
-    for running in ending:
+    processes = list(started)
+    for running in processes:
         running.terminate()
-    for last in ending:
-        last.stop()
+    for terminated in processes:
+        terminated.stop()
--- a/packages/standins/src/verbenahall_standins/publishing.py
+++ b/packages/standins/src/verbenahall_standins/publishing.py
@@ -41,15 +41,15 @@
     if it fails.
     """
     script = process.find_script('verbenactl')
-    done = subprocess.run(
+    completed = subprocess.run(
         (script, 'publish', str(file), '--team', team)
         + ('--author', 'demo', '--log', log),
         capture_output=True,
         text=True,
     )
-    if done.returncode:
-        raise PublishError(f'{done.stdout}{done.stderr}')
-    return done.stdout.strip().rpartition('\n')[-1]
+    if completed.returncode:
+        raise PublishError(f'{completed.stdout}{completed.stderr}')
+    return completed.stdout.strip().rpartition('\n')[-1]
 
 
 class Publisher:
--- a/packages/standins/src/verbenahall_standins/simulation.py
+++ b/packages/standins/src/verbenahall_standins/simulation.py
@@ -15,8 +15,8 @@
 from verbenahall_standins.batch import Batch, Job, Step
 from verbenahall_standins.traces import Arrival, Workload
 
-REPORT_S: Final = 0.5
-PLAN_S: Final = 1.0
+REPORT_INTERVAL_S: Final = 0.5
+PLAN_INTERVAL_S: Final = 1.0
 INSTANCES_PER_DATA_CENTRE: Final = 3
 
 
@@ -91,7 +91,7 @@
         """Handle the end of a request, answered or expired."""
 
     def handle_reports(self, loads: Loads, now: float) -> None:
-        """Handle reports by engine, which are ``REPORT_S`` old."""
+        """Handle reports by engine, which are ``REPORT_INTERVAL_S`` old."""
 
     def plan(
         self,
@@ -217,7 +217,7 @@
         self._policy.handle_reports(self._reports, now)
         self._reports = self._read_loads()
         if now < end:
-            self._schedule(now + REPORT_S, self._deliver_reports, end)
+            self._schedule(now + REPORT_INTERVAL_S, self._deliver_reports, end)
 
     def _read_loads(self) -> dict[str, tuple[int, int]]:
         return {
@@ -236,7 +236,7 @@
                 self._start_step(engine, now)
         self.samples.append(take_sample(engines, now))
         if now < end:
-            self._schedule(now + PLAN_S, self._change_roles, end)
+            self._schedule(now + PLAN_INTERVAL_S, self._change_roles, end)
 
 
 def take_sample(engines: Sequence[Engine], now: float) -> Sample:
--- a/packages/standins/src/verbenahall_standins/soak/_proxy.py
+++ b/packages/standins/src/verbenahall_standins/soak/_proxy.py
@@ -5,7 +5,7 @@
 import enum
 from typing import Final, final
 
-_CHUNK: Final = 65_536
+_CHUNK_BYTES: Final = 65_536
 _DELAY_S: Final = 0.15
 _POLL_S: Final = 0.02
 
@@ -24,8 +24,8 @@
     SILENT = 'silent'
 
 
-_HOLDING_CALLS: Final = frozenset((Link.SILENT,))
-_HOLDING_ANSWERS: Final = frozenset((Link.SILENT, Link.ONE_WAY))
+_REQUESTS_HELD_IN: Final = frozenset((Link.SILENT,))
+_ANSWERS_HELD_IN: Final = frozenset((Link.SILENT, Link.ONE_WAY))
 
 
 @final
@@ -93,10 +93,10 @@
         try:
             async with asyncio.TaskGroup() as group:
                 group.create_task(
-                    self._pump(reader, target_writer, _HOLDING_CALLS)
+                    self._forward(reader, target_writer, _REQUESTS_HELD_IN)
                 )
                 group.create_task(
-                    self._pump(target_reader, writer, _HOLDING_ANSWERS)
+                    self._forward(target_reader, writer, _ANSWERS_HELD_IN)
                 )
         except* (OSError, asyncio.IncompleteReadError):
             target_writer.transport.abort()
@@ -105,16 +105,16 @@
             self._writers.discard(target_writer)
             target_writer.close()
 
-    async def _pump(
+    async def _forward(
         self,
         reader: asyncio.StreamReader,
         writer: asyncio.StreamWriter,
-        holding: frozenset[Link],
+        held_in: frozenset[Link],
     ) -> None:
-        while chunk := await reader.read(_CHUNK):
+        while chunk := await reader.read(_CHUNK_BYTES):
             if self.link is Link.SLOW:
                 await asyncio.sleep(_DELAY_S)
-            while self.link in holding:
+            while self.link in held_in:
                 await asyncio.sleep(_POLL_S)
             writer.write(chunk)
             await writer.drain()
--- a/packages/standins/tests/explorer/test_processes.py
+++ b/packages/standins/tests/explorer/test_processes.py
@@ -89,13 +89,13 @@
             indent=1,
         )
 
-    def wait_versions(self, *versions):
+    def wait_for_versions(self, *versions):
         """Wait until exactly these versions have taken effect, in order."""
         wait_until(
             lambda: self.list_versions() == list(versions), self.describe
         )
 
-    def end(self):
+    def kill_all(self):
         """Kill all started processes."""
         for running in (*self.holders, self.engine, self.log):
             running.kill()
@@ -106,7 +106,7 @@
     """Start a fleet with one kind of engine."""
     started = Fleet(ignores=request.param)
     yield started
-    started.end()
+    started.kill_all()
 
 
 def wait_until(condition, describe=str, timeout_s=40):
@@ -141,7 +141,7 @@
     first = fleet.start('a', '--stop', 'before', version='1')
     wait_until(lambda: is_stopped(first))
     fleet.start('b', '--longest-pause', '0', version='2')
-    fleet.wait_versions('2')
+    fleet.wait_for_versions('2')
     first.resume()
     time.sleep(1)
 
@@ -158,7 +158,7 @@
     first = fleet.start('a', '--stop', 'after', version='1')
     wait_until(lambda: is_stopped(first))
     fleet.start('b', version='2')
-    fleet.wait_versions('2')
+    fleet.wait_for_versions('2')
     first.resume()
     wait_until(lambda: fleet.read_orders('received', LOST_TOKEN))
     refused = fleet.read_orders('received', LOST_TOKEN)
@@ -202,7 +202,7 @@
     first = fleet.start('a', '--stop', 'after', version='1')
     wait_until(lambda: is_stopped(first))
     fleet.start('b', '--longest-pause', '0', version='2')
-    fleet.wait_versions('2')
+    fleet.wait_for_versions('2')
     first.resume()
     wait_until(lambda: fleet.list_versions()[1:])
     first.kill()
--- a/packages/standins/tests/test_demo.py
+++ b/packages/standins/tests/test_demo.py
@@ -11,7 +11,7 @@
 import pytest
 
 ROOT = Path(__file__).parents[3]
-LONGEST_WAIT_S = 60
+TIMEOUT_S = 60
 
 
 def list_children(pid):
@@ -28,7 +28,7 @@
 
 
 def wait_for_children(pid, count):
-    until = time.monotonic() + LONGEST_WAIT_S
+    until = time.monotonic() + TIMEOUT_S
     children = set()
     while len(children) < count and time.monotonic() < until:
         children |= list_children(pid)
@@ -54,5 +54,5 @@
         children = wait_for_children(demo.pid, count)
     finally:
         demo.send_signal(signal.SIGTERM)
-        demo.wait(LONGEST_WAIT_S)
+        demo.wait(TIMEOUT_S)
     assert not set(filter(is_running, children))
--- a/packages/verbenahall/tests/drains/crashing_fleet.py
+++ b/packages/verbenahall/tests/drains/crashing_fleet.py
@@ -77,11 +77,11 @@
         ended = asyncio.get_running_loop().create_future()
         runs = self._open_runs.setdefault(name, {})
         runs[ended] = path
-        lasts_s = (
+        duration_s = (
             9 if path == CRASHING_PATH else self.traffic_rng.uniform(0.02, 1)
         )
         try:
-            async with asyncio.timeout(lasts_s):
+            async with asyncio.timeout(duration_s):
                 await ended
         except TimeoutError:
             return SimulatedResponse(200, b'whole', {STAMP_HEADER: 'signed'})
--- a/packages/verbenahall/tests/drains/test_drains.py
+++ b/packages/verbenahall/tests/drains/test_drains.py
@@ -61,9 +61,11 @@
         (fleet.store.ignored_instances, fleet.store.refused_instances)
     )
     affected.update(names)
-    lasts_s = rng.uniform(1, 5)
-    fleet.mark_store_fault(names, asyncio.get_running_loop().time() + lasts_s)
-    await asyncio.sleep(lasts_s)
+    duration_s = rng.uniform(1, 5)
+    fleet.mark_store_fault(
+        names, asyncio.get_running_loop().time() + duration_s
+    )
+    await asyncio.sleep(duration_s)
     affected.difference_update(names)
 
 
@@ -97,11 +99,13 @@
         (fleet.store.ignored_instances, fleet.store.refused_instances)
     )
     affected.update(names)
-    lasts_s = rng.uniform(2, 6)
-    fleet.mark_store_fault(names, asyncio.get_running_loop().time() + lasts_s)
-    await asyncio.sleep(lasts_s / 2)
+    duration_s = rng.uniform(2, 6)
+    fleet.mark_store_fault(
+        names, asyncio.get_running_loop().time() + duration_s
+    )
+    await asyncio.sleep(duration_s / 2)
     fleet.expire_entries()
-    await asyncio.sleep(lasts_s / 2)
+    await asyncio.sleep(duration_s / 2)
     affected.clear()
     await asyncio.sleep(rng.uniform(0, 1.2))
     fleet.relist_endpoints()
--- a/packages/verbenahall/tests/drains/test_freshness.py
+++ b/packages/verbenahall/tests/drains/test_freshness.py
@@ -61,10 +61,10 @@
 def test_wait_ends_when_the_store_becomes_unreachable():
     freshness = make_freshness(5)
 
-    def lose():
+    def fail():
         freshness.record_failure(10.1)
 
-    assert run_simulated(wait(freshness, 0.1, lose)) == 0.1
+    assert run_simulated(wait(freshness, 0.1, fail)) == 0.1
 
 
 def test_wait_for_the_store_is_bounded():
--- a/packages/verbenahall/tests/failures/test_operators.py
+++ b/packages/verbenahall/tests/failures/test_operators.py
@@ -21,14 +21,14 @@
 
 def run_verbenactl(*arguments):
     """Run verbenactl; return its exit code and its output."""
-    done = subprocess.run(
+    completed = subprocess.run(
         [process.find_script('verbenactl'), *arguments],
         capture_output=True,
         text=True,
         env={**os.environ, 'VERBENACTL_TOKEN': TOKEN},
         timeout=60,
     )
-    return done.returncode, done.stdout + done.stderr
+    return completed.returncode, completed.stdout + completed.stderr
 
 
 def run_steps(steps):
