--- a/packages/standins/src/verbenahall_standins/actions.py
+++ b/packages/standins/src/verbenahall_standins/actions.py
@@ -21,7 +21,7 @@
 _FLUSH_WAIT_S: Final = 0.01
 
 
-#: Default count of a fault: it stays active until faults are cleared.
+#: Default count of a fault, which then stays active until it is cleared.
 _UNLIMITED: Final = 1 << 60
 
 
@@ -124,7 +124,7 @@
     request: web.Request,
     handler: Handler,
 ) -> web.StreamResponse:
-    """Reset after ``after_bytes`` of the body; 0 resets before the head."""
+    """Reset after ``after_bytes`` of the body, or before the head if 0."""
     if not fault.started:
         reset_connection(request)
         return answers.build_answer({})
@@ -167,7 +167,7 @@
     request: web.Request,
     handler: Handler,
 ) -> web.StreamResponse:
-    """Send each chunk of a stream, or the whole plain answer, twice."""
+    """Send each chunk of a stream, or a whole plain answer, twice."""
     request['duplicate'] = True
     answer = await handler(request)
     if isinstance(answer, web.Response) and request.transport:
