--- a/packages/standins/src/verbenahall_standins/batch.py
+++ b/packages/standins/src/verbenahall_standins/batch.py
@@ -4,7 +4,8 @@
 
     batch = Batch(Role.MIXED)
     batch.add(Job('a-1', priority=1, prompt=900, output=20))
-    step = batch.step()  # takes step.duration_s, then step.produced holds
+    step = batch.step()
+    # After step.duration_s, each job in step.produced has one more token.
 """
 
 import dataclasses
@@ -69,11 +70,11 @@
 
     __slots__ = (
         '_cancelled',
-        '_reserved_tokens',
-        '_held_tokens',
         '_decoding',
+        '_held_tokens',
         '_numbers',
         '_prefilling',
+        '_reserved_tokens',
         '_waiting',
         'role',
     )
@@ -87,7 +88,7 @@
         self._cancelled: set[str] = set()
         self._numbers = itertools.count()
         #: KV tokens reserved for the running jobs until their end, and KV
-        #: tokens that the decoding jobs hold now. Both are running sums
+        #: tokens that the decoding jobs hold now. Both are kept as sums,
         #: because every step uses them.
         self._reserved_tokens = 0
         self._held_tokens = 0
@@ -109,7 +110,7 @@
 
     @property
     def kv_free_share(self) -> float:
-        """Share of the KV memory not reserved by running jobs."""
+        """Share of the KV cache not reserved by running jobs."""
         return max(0, 1 - self._reserved_tokens / cost.KV_TOKENS)
 
     def add(self, job: Job) -> None:
@@ -132,7 +133,7 @@
         return is_waiting
 
     def step(self) -> Step:
-        """Admit jobs that fit, prefill within the role's budget, decode."""
+        """Admit jobs that fit, prefill within the role's budget, and decode."""
         self._admit()
         decoding = tuple(self._decoding.values())
         duration_s = cost.step_s(len(decoding), self._held_tokens)
