--- a/packages/standins/src/verbenahall_standins/bench.py
+++ b/packages/standins/src/verbenahall_standins/bench.py
@@ -1,8 +1,8 @@
 """Compares routing policies and measures the overhead of an instance.
 
-``python -m verbenahall_standins.bench --seed N`` prints lines of measure,
-value, unit, value of the baseline, and ratio. Policies run on the traces of
-the seed and of two further seeds that serve for reporting only.
+``python -m verbenahall_standins.bench --seed N`` prints one line for
+each measure: its name, value, unit, baseline value and ratio. Policies run on
+the traces of the seed and of two further seeds that are only reported.
 """
 
 import argparse
@@ -13,8 +13,8 @@
 from verbenahall_standins.lines import print_line
 from verbenahall_standins.overhead import measure_overhead
 
-#: Added to the seed for the traces that are only reported: no policy is
-#: tuned on them.
+#: Offsets of the seeds whose traces are only reported: no policy is tuned on
+#: them.
 _SEED_OFFSETS: Final = (100, 101)
 _REPORT_FOLDER: Final = Path('reports')
 
