--- a/packages/standins/src/verbenahall_standins/bound.py
+++ b/packages/standins/src/verbenahall_standins/bound.py
@@ -2,10 +2,10 @@
 
 The bound models all engines as one server with their total speed, whose
 batches are always full, whose role changes are free and which can preempt
-any request. The server schedules by earliest due time. When a request would
-be late, it drops the open request with the most work left, which keeps the
-number of answered requests highest. No policy on real engines reaches this
-bound.
+any request. The server works on the request with the earliest due time. When
+a request would be late, it drops the open request with the most work left,
+which maximizes the number of answered requests. The length of each answer is
+known on arrival. No policy on real engines reaches this bound.
 """
 
 import heapq
@@ -15,9 +15,9 @@
 
 
 class JointServer:
-    """The open requests, with their due times and remaining work in seconds."""
+    """A server with the speed of all engines, and its open requests."""
 
-    __slots__ = ('_queue', '_remaining_s', '_now', '_speed', 'good_count')
+    __slots__ = ('_now', '_queue', '_remaining_s', '_speed', 'good_count')
 
     def __init__(self, speed: float) -> None:
         """Start idle; ``speed`` is the number of engines."""
@@ -44,11 +44,11 @@
         self._now = until
         while self._queue and capacity_s > 0:
             _, number = self._queue[0]
-            left = self._remaining_s.get(number, 0)
-            if left > capacity_s:
-                self._remaining_s[number] = left - capacity_s
+            remaining_s = self._remaining_s.get(number, 0)
+            if remaining_s > capacity_s:
+                self._remaining_s[number] = remaining_s - capacity_s
                 return
-            capacity_s -= left
+            capacity_s -= remaining_s
             heapq.heappop(self._queue)
             self.good_count += self._remaining_s.pop(number, None) is not None
 
