--- a/packages/standins/src/verbenahall_standins/caller.py
+++ b/packages/standins/src/verbenahall_standins/caller.py
@@ -17,6 +17,7 @@
 _DONE: Final = 'data: [DONE]'
 _EVENT: Final = 'data: '
 _TIMEOUT_S: Final = 30.0
+#: Characters at the end of a wrong answer that its error shows.
 _MAX_SHOWN_CHARACTERS: Final = 200
 
 
@@ -57,7 +58,7 @@
         by_kind: dict[str, list[Outcome]] = collections.defaultdict(list)
         for outcome in self.outcomes:
             by_kind[outcome.kind].append(outcome)
-        return [_describe(kind, found) for kind, found in by_kind.items()]
+        return [_describe(kind, rows) for kind, rows in by_kind.items()]
 
     async def _send_each(self, pending: Iterator[CallerRequest]) -> None:
         request = next(pending, None)
@@ -118,9 +119,9 @@
     return _read_plain(event.removeprefix(_EVENT))
 
 
-def _describe(kind: str, found: Sequence[Outcome]) -> str:
-    failed = sum(1 for outcome in found if outcome.error)
-    times = sorted(outcome.seconds for outcome in found)
+def _describe(kind: str, outcomes: Sequence[Outcome]) -> str:
+    failed = sum(1 for outcome in outcomes if outcome.error)
+    times = sorted(outcome.seconds for outcome in outcomes)
     median_ms = round(times[len(times) // 2] * 1000)
-    answered = len(found) - failed
+    answered = len(outcomes) - failed
     return f'{kind}: {answered} answered, {failed} failed, p50 {median_ms} ms'
