--- a/packages/standins/src/verbenahall_standins/capacity/_fleet.py
+++ b/packages/standins/src/verbenahall_standins/capacity/_fleet.py
@@ -158,4 +158,4 @@
 
 
 def _ignore(change: StandingChange) -> None:
-    """Write no decision line, so that only the state change is measured."""
+    """Write no decision line: only the state change is measured."""
