--- a/packages/standins/src/verbenahall_standins/capacity/_folds.py
+++ b/packages/standins/src/verbenahall_standins/capacity/_folds.py
@@ -25,9 +25,11 @@
 )
 
 _WORKSPACES: Final = (100, 1000, 4000, 16_000)
+#: Length of an idempotency key, in characters.
 _KEY_LETTERS: Final = 32
 _CLAIMS: Final = (100, 1000, 10_000)
 _SCOPES: Final = (15, 150, 1500)
+#: Workspaces in one publication.
 _BATCH: Final = 50
 
 
