--- a/packages/standins/src/verbenahall_standins/capacity/_relay.py
+++ b/packages/standins/src/verbenahall_standins/capacity/_relay.py
@@ -9,10 +9,10 @@
 class Relay:
     """Listens on a free port and forwards connections to an address.
 
-    ``address`` is the one that it listens on, empty until ``open``.
+    ``address`` is its own address, empty until ``open``.
     """
 
-    __slots__ = ('address', 'byte_count', '_host', '_port', '_server')
+    __slots__ = ('_host', '_port', '_server', 'address', 'byte_count')
 
     def __init__(self, address: str) -> None:
         """Set the target address (``IP:port``)."""
@@ -69,7 +69,7 @@
                 writer.write(chunk)
                 await writer.drain()
         except OSError:
-            # The peer closed the connection, which ends this direction.
+            # One end closed its connection: nothing more can be forwarded.
             return
         finally:
             writer.close()
