--- a/packages/standins/src/verbenahall_standins/capacity/_report.py
+++ b/packages/standins/src/verbenahall_standins/capacity/_report.py
@@ -15,7 +15,11 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Series:
-    """A measure, whose name has the unit; ``per`` is what the size counts."""
+    """Values of a measure by size.
+
+    The name ``measure`` includes the unit; ``per`` names the things that the
+    size counts.
+    """
 
     measure: str
     per: str
