--- a/packages/standins/src/verbenahall_standins/capacity/_rest.py
+++ b/packages/standins/src/verbenahall_standins/capacity/_rest.py
@@ -17,6 +17,7 @@
 
 _INSTANCES: Final = (3, 9, 30, 100)
 _ENGINES: Final = (4, 12, 24)
+#: Sizes that stay fixed while the other size varies.
 _FEW_INSTANCES: Final = 3
 _FEW_ENGINES: Final = 4
 _WARM_UP_S: Final = 8.0
