--- a/packages/standins/src/verbenahall_standins/claim_cost.py
+++ b/packages/standins/src/verbenahall_standins/claim_cost.py
@@ -24,7 +24,10 @@
 from verbenahall_standins import process
 
 _MS: Final = 1000
+#: Default limit on the appends of one instance, per second.
 _APPENDS_PER_S: Final = 20.0
+#: Seconds until the first claim is due, so that all claims are scheduled by
+#: then.
 _START_DELAY_S: Final = 0.2
 _PERCENT: Final = 100
 _LINE: Final = (
