--- a/packages/standins/src/verbenahall_standins/comparison.py
+++ b/packages/standins/src/verbenahall_standins/comparison.py
@@ -14,6 +14,7 @@
 from verbenahall_standins.simulation import Outcome, Policy, Simulation
 from verbenahall_standins.traces import WORKLOADS, Workload, write_trace
 
+#: Name of the round robin policy in the output.
 _NAIVE: Final = 'naive'
 _P95: Final = 95
 _P99: Final = 99
