--- a/packages/standins/src/verbenahall_standins/completions.py
+++ b/packages/standins/src/verbenahall_standins/completions.py
@@ -17,14 +17,14 @@
 
 
 class Completions:
-    """Runs completion requests on the worker and records those started."""
+    """Runs completion requests on the worker; records the started ones."""
 
     __slots__ = (
         '_cache',
         '_configuration',
         '_instant',
-        '_max_queue',
         '_job_numbers',
+        '_max_queue',
         'kv_tokens',
         'record',
         'resumes',
@@ -68,14 +68,14 @@
 
     def cancel(self, attempt: str) -> int:
         """Cancel all jobs of an attempt; return their number."""
-        found = [
+        matching = [
             progress
             for job_id, progress in self.worker.active.items()
             if job_id.rpartition('#')[0] == attempt
         ]
-        for progress in found:
+        for progress in matching:
             self.worker.release(progress)
-        return len(found)
+        return len(matching)
 
     def _find_refusal(self, call: Call) -> web.Response | None:
         if self._configuration.changing:
@@ -110,14 +110,14 @@
 
     def _make_job(self, call: Call) -> Job:
         prompt = cost.count_tokens(call.prompt) + call.resume_from
-        held = self.kv_tokens.pop(call.kv_from, 0)
+        imported = self.kv_tokens.pop(call.kv_from, 0)
         cached = self._cache.look_up_and_store(call.prompt, clock.monotonic())
         return Job(
             job_id=f'{call.attempt}#{next(self._job_numbers)}',
             priority=call.priority,
             prompt=prompt,
             output=1 if call.prefill_only else call.output - call.resume_from,
-            prefilled=max(held, min(cached, prompt - 1)),
+            prefilled=max(imported, min(cached, prompt - 1)),
         )
 
     async def _answer(
