--- a/packages/standins/src/verbenahall_standins/configuration.py
+++ b/packages/standins/src/verbenahall_standins/configuration.py
@@ -36,7 +36,10 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Order:
-    """A received order; ``number`` is the offset and index from ``text``."""
+    """A received order.
+
+    ``text`` is its identifier, ``number`` the offset and index in it.
+    """
 
     text: str
     number: tuple[int, ...]
@@ -68,15 +71,15 @@
     """The active configuration; at most one change runs at a time."""
 
     __slots__ = (
+        '_chunk_count',
         '_faults',
         '_speed',
         '_task',
-        '_chunk_count',
         '_weights',
+        'active',
         'changing',
         'checks_fencing',
         'fencing',
-        'active',
         'incarnation',
         'on_change',
         'order',
@@ -204,7 +207,7 @@
 
 
 def _do_nothing() -> None:
-    """Serve as the default hook."""
+    """Do nothing when the configuration changes."""
 
 
 def _new_incarnation() -> str:
