--- a/packages/standins/src/verbenahall_standins/control_bytes.py
+++ b/packages/standins/src/verbenahall_standins/control_bytes.py
@@ -1,7 +1,7 @@
 """Heartbeat traffic per instance, measured over loopback in one process.
 
-``python -m verbenahall_standins.control_bytes --instances 9 50 200`` starts
-that many heartbeat exchanges and prints a line for each size. The count
+``python -m verbenahall_standins.control_bytes --instances 9 50 200`` measures
+fleets of these sizes and prints a line for each. The count
 includes HTTP headers but not those of TCP and IP.
 """
 
@@ -35,6 +35,7 @@
     '{0} instances: {1:.0f} B/s each (sent and received), '
     '{2:.2f} heartbeats/s sent each, {3:.2%} of a core each\n'
 )
+#: Log position in the heartbeats: a typical number of digits.
 _POSITION: Final = 123_456
 
 
@@ -140,7 +141,7 @@
         await asyncio.gather(*(one.start(session, period_s) for one in nodes))
         now = clock.monotonic()
         for node in nodes:
-            entries = [ListEntry(known.endpoint) for known in nodes]
+            entries = [ListEntry(listed.endpoint) for listed in nodes]
             apply_list(node.state, entries, now)
         runs = [asyncio.create_task(one.exchange.run()) for one in nodes]
         await asyncio.sleep(_WARM_UP_S)
