--- a/packages/standins/src/verbenahall_standins/cost.py
+++ b/packages/standins/src/verbenahall_standins/cost.py
@@ -33,13 +33,14 @@
 KV_LINK_BYTES_PER_S: Final = 2e10
 #: The part of ``KV_TOKENS`` for cached prefixes (assumed).
 PREFIX_CACHE_TOKENS: Final = 40_000
-#: Granularity of prefix sharing.
+#: Tokens of a block, the unit in which prefixes are shared.
 BLOCK_TOKENS: Final = 64
 #: Maximum sequences in a batch, a common default of batching engines.
 BATCH_SEQUENCES: Final = 64
-#: An engine is out of service for seconds while it changes its role.
+#: Time in which an engine is out of service while it changes its role, in
+#: seconds.
 ROLE_CHANGE_S: Final = 6.0
-#: Adding an adapter to a loaded model (assumed).
+#: Time to add an adapter to a loaded model, in seconds (assumed).
 ADAPTER_CHANGE_S: Final = 1.0
 
 #: Prompt tokens that one step may process beside the decoding sequences. A
@@ -62,8 +63,8 @@
 def prefill_s(tokens: int, before: int = 0) -> float:
     """Return the seconds to prefill ``tokens`` after ``before`` earlier ones.
 
-    The costs of the chunks of a prompt add up to the cost of the whole, so
-    chunking costs only the additional steps.
+    The costs of a prompt's chunks add up to the cost of the whole prompt, so
+    that chunking costs only the additional steps.
     """
     pairs = tokens * (tokens + 2 * before)
     return tokens * PREFILL_S_PER_TOKEN + pairs * PREFILL_S_PER_TOKEN_PAIR
