--- a/packages/standins/src/verbenahall_standins/demo.py
+++ b/packages/standins/src/verbenahall_standins/demo.py
@@ -99,11 +99,11 @@
         changed = set_values(example.read_text(), {'queue': 200})
         file = _RUN_FOLDER / self._name / example.name
         file.write_text(changed)
-        found = await self._publisher.publish_and_wait(file, team)
-        took_ms = round(found.seconds * 1000)
+        applied = await self._publisher.publish_and_wait(file, team)
+        took_ms = round(applied.seconds * 1000)
         count = len(self._deployment.description.instances)
         self._print_line(
-            f'setting at offset {found.offset} in force on all {count} '
+            f'setting at offset {applied.offset} in force on all {count} '
             + f'instances {took_ms} ms after its append',
         )
 
@@ -161,9 +161,9 @@
     """Start a deployment's processes, run the demo and stop them.
 
     By default, SIGTERM would end this process and leave its children running.
-    Here it cancels the task instead. A cancellation takes effect only where the
-    task awaits, so never between the start of a child process and its
-    registration here.
+    Here it cancels the task instead. A task is cancelled only where it awaits,
+    so never between the start of a child process and the assignment by which
+    ``stop`` finds it.
     """
     task = asyncio.current_task()
     if task is not None:
