--- a/packages/standins/src/verbenahall_standins/deployment.py
+++ b/packages/standins/src/verbenahall_standins/deployment.py
@@ -100,7 +100,7 @@
     def _start_all(self, launched: Mapping[str, _Child]) -> None:
         """Wait until all are ready; raise if any of them failed.
 
-        Those that did start are kept, so that ``stop`` ends them too.
+        Processes that did start are kept, so that ``stop`` ends them.
         """
         failed = []
         for name, child in launched.items():
