--- a/packages/standins/src/verbenahall_standins/description.py
+++ b/packages/standins/src/verbenahall_standins/description.py
@@ -66,10 +66,10 @@
 
 def set_values(text: str, values: Mapping[str, str | int]) -> str:
     """Set keys in TOML text; only the first line of each key changes."""
-    for key, found in values.items():
+    for key, new_value in values.items():
         line = re.compile(f'^{key} = .*$', re.MULTILINE)
-        shown = wire.encode(found).decode()
-        text = line.sub(f'{key} = {shown}', text, count=1)
+        encoded = wire.encode(new_value).decode()
+        text = line.sub(f'{key} = {encoded}', text, count=1)
     return text
 
 
