--- a/packages/standins/src/verbenahall_standins/engine.py
+++ b/packages/standins/src/verbenahall_standins/engine.py
@@ -39,7 +39,7 @@
     __slots__ = ('_lag_s', '_samples', '_worker')
 
     def __init__(self, worker: Worker, lag_s: float) -> None:
-        """Wrap a worker; a lag of 0 reports its current load."""
+        """Wrap a worker; with a lag of 0 its current load is reported."""
         self._worker = worker
         self._lag_s = lag_s
         self._samples: collections.deque[tuple[float, Load]] = (
@@ -71,8 +71,8 @@
     __slots__ = (
         '_cache',
         '_completions',
-        '_faults',
         '_configuration',
+        '_faults',
         '_load',
         '_options',
         '_worker',
