--- a/packages/standins/src/verbenahall_standins/explorer/__main__.py
+++ b/packages/standins/src/verbenahall_standins/explorer/__main__.py
@@ -1,9 +1,9 @@
 """Command line: ``python -m verbenahall_standins.explorer RECORDS``.
 
-``RECORDS`` is the maximum number of log records (default 3; 4 take minutes).
-Prints a line for each variant and kind of engine: the variant, whether the
-engine checks or ignores fencing tokens, the number of states, and the
-violation that was found.
+``RECORDS`` is the maximum number of log records, 3 by default; a run with 4
+takes minutes. Prints a line for each variant and kind of engine: the variant,
+whether the engine checks or ignores fencing tokens, the number of states, and
+the violation that was found.
 """
 
 import sys
