--- a/packages/standins/src/verbenahall_standins/explorer/_rules.py
+++ b/packages/standins/src/verbenahall_standins/explorer/_rules.py
@@ -35,9 +35,9 @@
     candidacy: Candidacy,
     now: int,
 ) -> int | None:
-    """Return the token if the log as read names this process as the holder.
+    """Return the token if this process holds the last grant that it has read.
 
-    The end of the lease is not checked.
+    Whether the lease has expired is not checked.
     """
     grant = state.find_grant(SCOPE)
     if grant.holder != candidacy.holder:
@@ -48,7 +48,7 @@
 def _apply_unconditionally(
     state: AuthorityState, record: Record, now: int
 ) -> bool:
-    """Apply every claim and renewal, whatever it names as the last record."""
+    """Apply every claim and renewal, without comparing its ``after`` field."""
     if record.stream != AUTHORITY_STREAM:
         return apply_record(state, record, now)
     body = dict(record.body)
