--- a/packages/standins/src/verbenahall_standins/explorer/_state.py
+++ b/packages/standins/src/verbenahall_standins/explorer/_state.py
@@ -1,4 +1,4 @@
-"""State of the model: instances, log, engine and what is in transit."""
+"""State of the model: instances, log, engine and messages in transit."""
 
 import dataclasses
 from typing import Any, Final
@@ -14,8 +14,8 @@
 from verbenahall.records import Record
 from verbenahall_standins.explorer._timing import ORDERS, SCOPE
 
-#: Ages in ticks beyond which nothing changes: of a lease, and of the grant
-#: after which a new holder waits before it sends.
+#: Maximum ages in ticks, since all higher ages are equivalent: of a lease, and
+#: of a new holder's grant, after which it waits before it sends orders.
 _MAX_LEASE_AGE: Final = 2
 _MAX_GATE_AGE: Final = 2
 _EMPTY: Final = Target(Role.MIXED)
@@ -26,7 +26,7 @@
     """Limits of the exploration.
 
     ``records`` limits the log, ``appends`` the pending appends of each
-    instance. Time needs no limit, because all ages beyond the longest timing
+    instance. Time needs no limit, because all ages above the longest timeout
     are equivalent.
     """
 
@@ -85,11 +85,11 @@
 
     __slots__ = (
         'authority',
+        'batch_count',
         'candidacy',
-        'dispatch',
         'checked_orders',
+        'dispatch',
         'orders',
-        'batch_count',
     )
 
     def __init__(self, name: str) -> None:
@@ -238,5 +238,5 @@
 
 
 def _age(moment: float | None, now: int, cap: int) -> float | None:
-    """Return an age of at most ``cap``, beyond which ages are equivalent."""
+    """Return an age of at most ``cap``; all higher ages are equivalent."""
     return None if moment is None else min(now - moment, cap)
