--- a/packages/standins/src/verbenahall_standins/explorer/_steps.py
+++ b/packages/standins/src/verbenahall_standins/explorer/_steps.py
@@ -20,8 +20,7 @@
 def is_effective(log: tuple[Record, ...], append: Append, rules: Rules) -> bool:
     """Return whether an append would change a state if it came next.
 
-    An append that would not never will later: offsets and tokens are not
-    used twice.
+    If it would not now, it never will: offsets and tokens are not reused.
     """
     authority = AuthorityState()
     ordered = orders.OrdersState(authority)
@@ -94,7 +93,7 @@
     updated: Instance,
     append: Append,
 ) -> SystemState:
-    """Add a pending append; beyond the bound the sender's oldest is lost."""
+    """Add a pending append; over the limit, the sender's oldest is lost."""
     pending = [
         other for other in state.appends if other.sender == append.sender
     ]
