--- a/packages/standins/src/verbenahall_standins/explorer/_transitions.py
+++ b/packages/standins/src/verbenahall_standins/explorer/_transitions.py
@@ -111,8 +111,8 @@
         holder = updated.candidacy.holder
         body = encode_step(step, SCOPE, holder, LEASE.lease_s)
         append = Append(index, AUTHORITY_STREAM, body, f'{step}')
-        # Safety does not depend on the pause between tries, and a second
-        # copy of a pending append would change nothing.
+        # Safety does not depend on the pause between tries. A second copy of
+        # a pending append would have no effect.
         updated.candidacy.tried_at = -float('inf')
         if append not in state.appends and is_effective(
             state.log, append, rules
