--- a/packages/standins/src/verbenahall_standins/faults.py
+++ b/packages/standins/src/verbenahall_standins/faults.py
@@ -1,8 +1,8 @@
 """Fault injection: tests add faults to a stand-in with ``POST /faults``.
 
 A fault applies to requests whose path starts with ``path`` and whose
-``X-Instance`` header is one of ``holders`` (every request if empty). It is
-used up after ``count`` requests, or stays active if no count is given.
+``X-Instance`` header is one of ``holders``, or to every request if this is
+empty. It is removed after ``count`` requests, or stays if no count is given.
 ``{"name": "clear"}`` removes all faults.
 """
 
@@ -67,7 +67,7 @@
 
 
 def _do_nothing() -> None:
-    """Serve as the default hook."""
+    """Do nothing when the faults change."""
 
 
 def _matches(fault: Fault, request: web.Request) -> bool:
