--- a/packages/standins/src/verbenahall_standins/holder.py
+++ b/packages/standins/src/verbenahall_standins/holder.py
@@ -32,13 +32,13 @@
 _SCOPE: Final = 'cardigan'
 _ENGINE: Final = 'engine-1'
 _MODEL: Final = 'drafter'
-#: The sender's second reading of the clock is the lease check right before
-#: the write.
+#: Number of the sender's clock reading at its lease check, which comes right
+#: before the write.
 _LEASE_CHECK_READ: Final = 2
 
 
 class SelfStoppingClock:
-    """A monotonic clock that suspends the process at one reading."""
+    """A monotonic clock that suspends the process at the lease check."""
 
     __slots__ = ('_reads', '_stop')
 
