--- a/packages/standins/src/verbenahall_standins/load.py
+++ b/packages/standins/src/verbenahall_standins/load.py
@@ -22,6 +22,7 @@
 _LENGTH: Final = b'content-length:'
 _EVENT: Final = b'data: {'
 _OK: Final = b'HTTP/1.1 200'
+#: Percentiles of the latency.
 _MEDIAN: Final = 50
 _TAIL: Final = 99
 _PERCENT: Final = 100
@@ -43,7 +44,7 @@
     """Sends the next request as soon as an answer is complete."""
 
     def __init__(self, request: bytes, ends_at: float) -> None:
-        """Repeat until a monotonic time; ``times_s`` collects latencies."""
+        """Repeat until a monotonic time; ``times_s`` holds the latencies."""
         self.times_s: list[float] = []
         self.chunks = 0
         self.failures = 0
