--- a/packages/standins/src/verbenahall_standins/log.py
+++ b/packages/standins/src/verbenahall_standins/log.py
@@ -22,15 +22,15 @@
 _APPENDS_PER_S: Final = 400.0
 #: The bucket holds the tokens of this many seconds.
 _BURST_S: Final = 0.25
-#: Records on one page if the reader sets no limit.
+#: Maximum records on a page if a request sets no limit.
 _DEFAULT_LIMIT: Final = 1000
 _MAX_WAIT_S: Final = 60.0
 
 
 class TokenBucket:
-    """A token bucket with ``per_s`` tokens a second and a 0.25 s burst."""
+    """A token bucket that gets ``per_s`` tokens a second, up to its burst."""
 
-    __slots__ = ('_capacity', '_tokens', '_per_s', '_refilled_at')
+    __slots__ = ('_capacity', '_per_s', '_refilled_at', '_tokens')
 
     def __init__(self, per_s: float, now: float) -> None:
         """Start full."""
@@ -110,7 +110,7 @@
 class LogService:
     """HTTP routes of the log."""
 
-    __slots__ = ('_appended', '_faults', '_log', '_bucket')
+    __slots__ = ('_appended', '_bucket', '_faults', '_log')
 
     def __init__(self, options: argparse.Namespace) -> None:
         """Start with an empty log."""
