--- a/packages/standins/src/verbenahall_standins/overhead.py
+++ b/packages/standins/src/verbenahall_standins/overhead.py
@@ -124,7 +124,7 @@
 def _run_load_tool(
     target: process.RunningProcess, options: Sequence[str]
 ) -> LoadFigures:
-    """Run the load tool; add rates by second and by core-second."""
+    """Run the load tool; add rates per second and per core-second."""
     before = read_cpu_s(target.pid)
     command = (*_LOAD, '--address', target.address, *options)
     completed = subprocess.run(
