--- a/packages/standins/src/verbenahall_standins/platform/_duties.py
+++ b/packages/standins/src/verbenahall_standins/platform/_duties.py
@@ -16,10 +16,10 @@
 
 @dataclasses.dataclass(slots=True)
 class DutyFaults:
-    """Faults that a test switches on.
+    """Faults that a test sets.
 
-    ``silent`` leaves calls unanswered and ``busy`` answers 429. With
-    ``late_s`` calls are unanswered and applied after that many seconds.
+    ``silent`` leaves calls unanswered and ``busy`` answers 429. If ``late_s``
+    is not 0, calls are applied that many seconds later and never answered.
     """
 
     silent: bool = False
