--- a/packages/standins/src/verbenahall_standins/platform/_engine.py
+++ b/packages/standins/src/verbenahall_standins/platform/_engine.py
@@ -20,13 +20,13 @@
 
 @dataclasses.dataclass(slots=True)
 class EngineFaults:
-    """Faults that a test switches on.
+    """Faults that a test sets.
 
     ``full`` refuses every request, ``unresponsive`` accepts requests and never
     answers. ``break_after`` closes a stream after that many events, with
     ``half_event`` in the middle of the next event; ``stall_after`` sends no
-    more events after that many. ``prefill_delay_s`` is the duration of a prefill
-    and ``slow_head_s`` the delay of a stream's head, in seconds.
+    more events after that many. ``prefill_delay_s`` is the duration of a
+    prefill and ``slow_head_s`` the delay of a stream's head, in seconds.
     ``no_orders`` leaves orders unanswered, ``unsigned`` omits the stamp of
     streams. A request with the body ``crash_on`` crashes the engine when it
     starts; the engine restarts ``restart_s`` seconds later under a new name.
@@ -49,9 +49,9 @@
 class EngineStandIn:
     """One engine on loopback.
 
-    ``runs`` and ``prefills`` are the headers of its decodes and prefills,
-    ``freed`` the released KV handles, ``cancelled`` the requests whose stream was
-    cancelled.
+    ``runs`` and ``prefills`` hold the headers of its decode and prefill
+    requests, ``freed`` the released KV handles, ``cancelled`` the ids of the
+    requests whose stream was cancelled.
     """
 
     def __init__(self, name: str, role: str, events: int = 5) -> None:
