--- a/packages/standins/src/verbenahall_standins/platform/_plain.py
+++ b/packages/standins/src/verbenahall_standins/platform/_plain.py
@@ -13,13 +13,14 @@
 
 @final
 class PlainStandIn:
-    """One plain endpoint; ``runs`` are the headers of what it ran.
+    """One plain endpoint; ``runs`` holds the requests that it ran.
 
-    ``status`` is the status of its answers and ``delay_s`` the seconds that
-    an answer takes. ``refuses`` answers that the request has not run,
-    ``unresponsive`` accepts requests and never answers, ``stamps_answers`` adds the stamp to
-    answers. ``rate`` is the rate limit that answers advertise, in requests a
-    second. ``arrivals`` are the times of all requests in monotonic seconds.
+    A run is a request's headers, ``body`` and ``target``. ``status`` is the
+    status of its answers and ``delay_s`` the seconds that an answer takes.
+    ``refuses`` answers that the request has not run, ``unresponsive`` accepts
+    requests and never answers, ``stamps_answers`` adds the stamp to answers.
+    ``rate`` is the rate limit that answers advertise, in requests a second.
+    ``arrivals`` are the times of all requests in monotonic seconds.
     """
 
     def __init__(self, name: str) -> None:
