--- a/packages/standins/src/verbenahall_standins/platform/_site.py
+++ b/packages/standins/src/verbenahall_standins/platform/_site.py
@@ -15,7 +15,7 @@
 
 HOST: Final = 'desk.example'
 _TOPIC: Final = 'keyed.servers'
-#: The range of ports; the kernel assigns ephemeral ports from 32768 on.
+#: Range of the ports, below the kernel's ephemeral ports (from 32768 on).
 _FIRST_PORT: Final = 20_000
 _LAST_PORT: Final = 32_000
 
@@ -233,9 +233,8 @@
     """Return a free port below the kernel's ephemeral range.
 
     A port of the ephemeral range may be assigned to another test process
-    before the gateway binds it. A port is not returned again until all others
-    were: until the first gateway listens, no probe would show that the port
-    is in use.
+    before the gateway binds it. A port is returned again only after all
+    others: before the first gateway listens, a probe finds its port free.
     """
     return next(port for port in _ports if _is_free(port))
 
