--- a/packages/standins/src/verbenahall_standins/platform/_store.py
+++ b/packages/standins/src/verbenahall_standins/platform/_store.py
@@ -11,19 +11,22 @@
 
 from verbenahall_standins.platform._serving import listen
 
+#: Length of a record, and the offsets of a topic's end and first record.
 _LENGTH: Final = struct.Struct('>I')
 _BOUNDS: Final = struct.Struct('>QQ')
 _MS: Final = 1000
+#: Maximum number of keys on one page.
 _PAGE_SIZE: Final = 500
 
 
 @dataclasses.dataclass(slots=True)
 class StoreFaults:
-    """Faults that a test switches on.
+    """Faults that a test sets.
 
-    ``down`` is a status that every call gets, ``silent`` leaves calls
-    unanswered, ``lose_appends`` applies appends without answering, ``miss_wakeups``
-    lets a long poll miss the records that are appended while it waits.
+    ``down`` is the status with which every call is answered, 0 for no fault.
+    ``silent`` leaves calls unanswered, ``lose_appends`` applies appends
+    without answering them, ``miss_wakeups`` lets a long poll miss the records
+    that are appended while it waits.
     """
 
     down: int = 0
@@ -36,11 +39,11 @@
 class _Topic:
     """One topic: its records from the offset ``first`` on.
 
-    ``newest`` has the offset and the content of each key's newest record; it
-    is kept when old records are deleted.
+    ``newest`` holds the offset and content of each key's newest record, also
+    after old records have been deleted.
     """
 
-    __slots__ = ('records', 'first', 'appended', 'newest')
+    __slots__ = ('appended', 'first', 'newest', 'records')
 
     def __init__(self) -> None:
         self.records: list[bytes] = []
