--- a/packages/standins/src/verbenahall_standins/plots.py
+++ b/packages/standins/src/verbenahall_standins/plots.py
@@ -10,10 +10,13 @@
 from verbenahall.fleet import Role
 from verbenahall_standins.comparison import Run
 
+#: Length of the bins in which good answers are counted, in seconds.
 _BIN_S: Final = 5
 _ROWS: Final = 3
+#: Size of each plot in inches.
 _WIDTH: Final = 7
 _HEIGHT: Final = 3
+#: Name of the product's policy in the output.
 _PRODUCT_POLICY: Final = 'ours'
 
 
