--- a/packages/standins/src/verbenahall_standins/policies.py
+++ b/packages/standins/src/verbenahall_standins/policies.py
@@ -9,11 +9,13 @@
 from verbenahall_standins.simulation import Engine, Loads, Outcome
 from verbenahall_standins.traces import Arrival
 
+#: Sequences of a batch and tokens of a sequence, for the decode rate.
 _FULL_BATCH: Final = 32
 _TYPICAL_CONTEXT: Final = 1000
 #: The reactive policy changes a role when the prefill share of the work
 #: differs by more than this from the share of prefill engines.
 _TOLERANCE: Final = 0.1
+#: Arrivals of this many seconds count as recent.
 _WINDOW_S: Final = 5.0
 
 
