--- a/packages/standins/src/verbenahall_standins/prefixes.py
+++ b/packages/standins/src/verbenahall_standins/prefixes.py
@@ -28,9 +28,9 @@
 
 
 class PrefixCache:
-    """Cached blocks; the least recently used is evicted first."""
+    """Cached blocks; the least recently used one is evicted first."""
 
-    __slots__ = ('_blocks', '_events', '_lost_share', '_event_numbers', '_rng')
+    __slots__ = ('_blocks', '_event_numbers', '_events', '_lost_share', '_rng')
 
     def __init__(self, lost_share: float, seed: int) -> None:
         """Start empty; ``lost_share`` of the events are not reported."""
