--- a/packages/standins/src/verbenahall_standins/product_policy.py
+++ b/packages/standins/src/verbenahall_standins/product_policy.py
@@ -94,16 +94,16 @@
         self, instance: int, outcome: Outcome, now: float
     ) -> None:
         """Record the end of the request in the load of its engine."""
-        identity = str(outcome.arrival.number)
+        request = str(outcome.arrival.number)
         state = self._loads[instance]
-        note_finished(state, outcome.engine, identity, now)
+        note_finished(state, outcome.engine, request, now)
 
     def handle_reports(self, loads: Loads, now: float) -> None:
         """Record the reports at every instance."""
         for name, (running, queued) in loads.items():
-            found = Report(running, queued)
+            report = Report(running, queued)
             for state in self._loads:
-                observe_report(state, name, found, now)
+                observe_report(state, name, report, now)
 
     def plan(
         self,
@@ -127,7 +127,7 @@
         engines: Sequence[Engine],
         now: float,
     ) -> Mapping[str, Role]:
-        seen = roles.Observation(
+        observation = roles.Observation(
             pool=data_centre,
             demand=roles.read_demand(self._demands[data_centre], now),
             engines=tuple(map(_observe, engines)),
@@ -136,7 +136,7 @@
         )
         plan = roles.decide(
             self._planners[data_centre],
-            seen,
+            observation,
             roles.DEFAULT_PROFILE,
             now,
         )
