--- a/packages/standins/src/verbenahall_standins/publishing.py
+++ b/packages/standins/src/verbenahall_standins/publishing.py
@@ -15,7 +15,7 @@
 
 #: Seconds between two polls of the instances' status.
 _POLL_S: Final = 0.02
-#: Seconds until a published change must be in force on every instance.
+#: Seconds within which a published change must be in force everywhere.
 _TIMEOUT_S: Final = 10
 
 
