--- a/packages/standins/src/verbenahall_standins/registry.py
+++ b/packages/standins/src/verbenahall_standins/registry.py
@@ -19,7 +19,7 @@
 
 
 class InstanceList:
-    """All versions of the list, each with the time at which it began."""
+    """All versions of the list, each with the time of its change."""
 
     __slots__ = ('_times', '_versions')
 
