--- a/packages/standins/src/verbenahall_standins/replay.py
+++ b/packages/standins/src/verbenahall_standins/replay.py
@@ -1,8 +1,8 @@
 """Simulates bursts of requests against the placement decisions.
 
 Instances use the product's decision functions, without sockets and clocks.
-Engines are modelled: one that prefills gives each open prompt an equal share
-of its time. Instances know each other's load from their last heartbeats.
+Engines are modelled: an engine divides its time equally among its open
+prefills. Instances know each other's load from their last heartbeats.
 """
 
 import dataclasses
@@ -36,21 +36,22 @@
     role_change_s=3,
 )
 HEARTBEAT_INTERVAL_S = 0.1
-#: Interval at which instances dispatch their queues.
+#: Interval at which instances dispatch their queues, in seconds.
 DISPATCH_INTERVAL_S = 0.02
-#: Prefill time of a token on a prefill engine.
+#: Prefill time of a token on a prefill engine, in seconds.
 S_PER_TOKEN = 0.003 / 1000
-#: Constant part of the time of a prefill.
+#: Constant part of the time of a prefill, in seconds.
 PREFILL_START_S = 0.004
-#: Time from the end of a prefill to the first event.
+#: Time from the end of a prefill to the first event, in seconds.
 HANDOVER_S = 0.008
 #: Round trip of a request to the scheduler and its answer, in seconds.
 MESSAGE_S = 0.002
 #: The simulation continues for this long after the last arrival, in seconds,
 #: so that late and rejected requests are included.
 _DRAIN_S = 3
-#: Prompt lengths in tokens, and number of prefills, from which instances learn
-#: the speed of engines before the simulation.
+#: Prefills that are recorded before the simulation, from which instances
+#: estimate the speed of engines: lengths of prompts in tokens, number of
+#: prefills, and cached tokens of each.
 _TIMED_PROMPTS = (1000, 4000, 9000)
 _TIMED_PREFILLS = 60
 _CACHED_TOKENS = 6000
@@ -62,8 +63,8 @@
 class Load:
     """The rate of requests, their prompts and their time limits.
 
-    A prompt has ``shared`` tokens of one of ``prefix_count`` prefixes, and ``own``
-    tokens that no other prompt has.
+    A prompt starts with the ``shared`` tokens of one of ``prefix_count``
+    prefixes and ends with ``own`` tokens that no other prompt has.
     """
 
     rate: float
@@ -77,7 +78,12 @@
 
 
 class Engine:
-    """A modelled engine; all open prefills share its time equally."""
+    """A modelled engine; all open prefills share its time equally.
+
+    ``open_prefills`` holds the seconds that each still needs alone.
+    ``requested_tokens`` counts the tokens of all prompts,
+    ``prefilled_tokens`` those that were not cached.
+    """
 
     def __init__(self, entry, speed=1.0):
         self.entry = entry
@@ -132,7 +138,12 @@
 
 
 class Outcome:
-    """Outcomes of the requests."""
+    """Outcomes of the requests; times are in seconds.
+
+    ``waits`` holds the time to each first event, ``refused`` the problem and
+    the remaining time of each refusal, ``rejected_after_s`` its time in the
+    queue, ``served_order`` the priority and time of each end of a prefill.
+    """
 
     def __init__(self):
         self.waits = []
@@ -162,8 +173,8 @@
         """Create instances and engines.
 
         Each instance sends its load to one in ``sample`` of the others every
-        ``heartbeat_interval_s`` seconds. If ``scheduled``, all requests pass one scheduler
-        instead, which takes ``MESSAGE_S`` more.
+        ``heartbeat_interval_s`` seconds. If ``scheduled``, one scheduler
+        places all requests, which takes ``MESSAGE_S`` more.
         """
         self.rng = random.Random(seed)
         self.sample = sample
@@ -199,7 +210,7 @@
         return self.outcome
 
     def schedule(self, now, callback):
-        """Schedule a callback."""
+        """Schedule a callback for the time ``now``."""
         heapq.heappush(self.events, (now, next(self.numbers), callback))
 
     def schedule_next_end(self, engine):
@@ -318,13 +329,13 @@
     def handle_prefilled(self, admitted, now):
         """Record the end of a prefill."""
         pending, flight, sent_at = admitted
-        took = now + HANDOVER_S - sent_at
-        self.queue.record_first_event(pending, took, now)
+        took_s = now + HANDOVER_S - sent_at
+        self.queue.record_first_event(pending, took_s, now)
         self.state.load_table.close(flight)
         outcome = self.replay.outcome
-        waited = now + HANDOVER_S - self.arrived[pending]
+        wait_s = now + HANDOVER_S - self.arrived[pending]
         if now < pending.leaves_at:
-            outcome.waits.append(waited)
+            outcome.waits.append(wait_s)
             outcome.served_order.append((pending.priority, now))
         self.dispatch_waiting(now)
 
