--- a/packages/standins/src/verbenahall_standins/schedules.py
+++ b/packages/standins/src/verbenahall_standins/schedules.py
@@ -24,7 +24,7 @@
 
 _LONGEST_PAUSE_S: Final = 2.0
 _MIN_PAUSE_S: Final = 0.2
-#: Well below the longest pause, since this process may resume late.
+#: Well below the longest pause, since this process may resume a holder late.
 _MAX_PAUSE_S: Final = 1.6
 _PAUSE_COUNT: Final = 4
 _VIOLATED: Final = 'BROKEN'
