--- a/packages/standins/src/verbenahall_standins/share.py
+++ b/packages/standins/src/verbenahall_standins/share.py
@@ -1,7 +1,8 @@
 """Counts code lines of each slice, and the share of test lines.
 
-``python -m verbenahall_standins.share`` counts lines with a token other than
-a comment or a docstring.
+A slice is a folder directly inside a package or its tests. ``python -m
+verbenahall_standins.share`` counts the lines that have more than a comment or
+a docstring.
 """
 
 import ast
@@ -26,6 +27,7 @@
     ),
 )
 _NAME_WIDTH: Final = 32
+#: Name under which the files outside of any slice are counted.
 _TOP_LEVEL: Final = '(flat)'
 _WITH_DOCSTRING: Final = (
     ast.Module,
