--- a/packages/standins/src/verbenahall_standins/simulation.py
+++ b/packages/standins/src/verbenahall_standins/simulation.py
@@ -15,7 +15,9 @@
 from verbenahall_standins.batch import Batch, Job, Step
 from verbenahall_standins.traces import Arrival, Workload
 
+#: Interval between load reports, which is also their age on delivery.
 REPORT_INTERVAL_S: Final = 0.5
+#: Interval between two plans of the roles.
 PLAN_INTERVAL_S: Final = 1.0
 INSTANCES_PER_DATA_CENTRE: Final = 3
 
@@ -27,9 +29,9 @@
 
 
 class Engine:
-    """One engine with its batch and a possible role change."""
+    """One engine with its batch."""
 
-    __slots__ = ('batch', 'busy', 'name', 'data_centre', 'next_role')
+    __slots__ = ('batch', 'busy', 'data_centre', 'name', 'next_role')
 
     def __init__(self, name: str, data_centre: str) -> None:
         """Start idle in the mixed role."""
@@ -48,7 +50,7 @@
 
 @dataclasses.dataclass(slots=True)
 class Outcome:
-    """The outcome of one request; times are None until they are known."""
+    """The outcome of one request; a time is None if it was not reached."""
 
     arrival: Arrival
     engine: str
@@ -107,9 +109,9 @@
     __slots__ = (
         '_engines',
         '_events',
+        '_in_flight',
         '_instances',
         '_numbers',
-        '_in_flight',
         '_policy',
         '_reports',
         'changes',
