--- a/packages/standins/src/verbenahall_standins/soak/_callers.py
+++ b/packages/standins/src/verbenahall_standins/soak/_callers.py
@@ -57,8 +57,8 @@
     async def start(self) -> None:
         """Open the session."""
         self._session = aiohttp.ClientSession()
-        # A request that aiohttp repeats by itself would be counted as run
-        # twice by the instance.
+        # A request that aiohttp repeats by itself would count as one that the
+        # instance ran twice.
         self._session._retry_connection = False  # noqa: SLF001, WPS437
 
     async def run(self) -> None:
