--- a/packages/standins/src/verbenahall_standins/soak/_checks.py
+++ b/packages/standins/src/verbenahall_standins/soak/_checks.py
@@ -9,8 +9,8 @@
 _REFUSALS: Final = frozenset((429, 503))
 _GOOD: Final = 200
 _UNKNOWN_ROUTE: Final = 404
-#: Allowed delay of an answer after its deadline, in seconds: one busy machine
-#: runs all processes.
+#: Allowed delay of an answer after its deadline, in seconds, since one busy
+#: machine runs all processes.
 _GRACE_S: Final = 1.5
 
 
@@ -89,7 +89,7 @@
 
 
 def _check_versions(records: Sequence[Record]) -> Iterator[str]:
-    """No instance returns to a manifest older than one it has used."""
+    """Check that no instance returns to a manifest older than one it used."""
     served: collections.Counter[str] = collections.Counter()
     for record in sorted(records, key=lambda one: one.ended_at):
         newest = served[record.instance]
