--- a/packages/standins/src/verbenahall_standins/soak/_deployment.py
+++ b/packages/standins/src/verbenahall_standins/soak/_deployment.py
@@ -21,7 +21,7 @@
 
 _INSTANCES: Final = 3
 _PLAIN: Final = 2
-#: Engines of each role, as the planner would assign them.
+#: Number of engines of each role, as the planner would assign them.
 _ENGINES: Final[Mapping[str, int]] = MappingProxyType(
     {'prefill': 3, 'decode': 2},
 )
