--- a/packages/standins/src/verbenahall_standins/soak/_instances.py
+++ b/packages/standins/src/verbenahall_standins/soak/_instances.py
@@ -15,9 +15,9 @@
 from verbenahall.platform import READY, ProcessSettings, read_settings
 
 #: Time after a disturbance in which requests may still fail or be late, in
-#: seconds: the requests that waited meanwhile are handled first.
+#: seconds: requests that arrived during the disturbance are handled first.
 _RECOVERY_S: Final = 1.0
-#: Timeout of a start, in seconds; the store may be down for three of them.
+#: Timeout of a start, in seconds; the store may be down for three seconds.
 _READY_TIMEOUT_S: Final = 30.0
 _POLL_S: Final = 0.05
 
@@ -87,7 +87,7 @@
             self._process.send_signal(signal_number)
 
     async def freeze(self, for_s: float) -> None:
-        """Suspend the process for ``for_s`` seconds, like a paused machine."""
+        """Suspend the process for ``for_s`` seconds, as on a paused machine."""
         disturbance = self._add_disturbance(graceful=False)
         self.send(signal.SIGSTOP)
         await asyncio.sleep(for_s)
