--- a/packages/standins/src/verbenahall_standins/soak/_proxy.py
+++ b/packages/standins/src/verbenahall_standins/soak/_proxy.py
@@ -6,6 +6,7 @@
 from typing import Final, final
 
 _CHUNK_BYTES: Final = 65_536
+#: Delay of each chunk on a slow link, in seconds.
 _DELAY_S: Final = 0.15
 _POLL_S: Final = 0.02
 
@@ -24,6 +25,7 @@
     SILENT = 'silent'
 
 
+#: Link states in which requests or answers are held back.
 _REQUESTS_HELD_IN: Final = frozenset((Link.SILENT,))
 _ANSWERS_HELD_IN: Final = frozenset((Link.SILENT, Link.ONE_WAY))
 
@@ -71,7 +73,7 @@
         try:
             await self._connect(reader, writer)
         except (OSError, asyncio.IncompleteReadError):
-            # One end is gone: resetting the connection notifies the other end.
+            # One end has closed its connection; the other end gets a reset.
             writer.transport.abort()
         finally:
             self._writers.discard(writer)
