--- a/packages/standins/src/verbenahall_standins/soak/_run.py
+++ b/packages/standins/src/verbenahall_standins/soak/_run.py
@@ -18,8 +18,8 @@
 _REQUEST_ID_HEADER: Final = 'X-Verbenahall-Request-Id'
 _WORKSPACE_HEADER: Final = 'X-Verbenahall-Tenant'
 _KEY_HEADER: Final = 'X-Verbenahall-Key'
-#: Time for the recovery from the last fault, in seconds: entries are back and
-#: settings in force within two to three seconds.
+#: Time for the recovery from the last fault, in seconds: within two to three
+#: seconds endpoints are listed and settings in force again.
 _RECOVERY_S: Final = 3.5
 
 
@@ -103,7 +103,7 @@
 
 
 def _check_workspaces(deployment: Deployment) -> list[str]:
-    """Check that sends name the key's workspace and hold no key."""
+    """Check that sends name the callers' workspace and carry no API key."""
     sends = itertools.chain(
         *(endpoint.runs for endpoint in deployment.endpoints),
         *(engine.prefills for engine in deployment.site.engines),
