--- a/packages/standins/src/verbenahall_standins/text.py
+++ b/packages/standins/src/verbenahall_standins/text.py
@@ -1,8 +1,8 @@
 """Answer texts of the engine stand-in, a pure function of the request.
 
-Tests compare an answer with ``build_expected_answer`` and thereby detect truncated,
-mixed or wrong answers. All engines with the same model give the same answer,
-so a stream can resume on another engine.
+Tests compare answers with ``build_expected_answer`` to detect truncated,
+mixed or wrong ones. All engines with the same model give the same answer, so
+a stream can resume on another engine.
 """
 
 import zlib
@@ -53,6 +53,6 @@
     model: str,
     adapter: str = '',
 ) -> str:
-    """Return the complete answer of ``count`` tokens to a prompt."""
+    """Return the complete, correct answer of ``count`` tokens."""
     seed = compute_seed(model, adapter, prompt)
     return ''.join(build_chunk(seed, index) for index in range(count))
