--- a/packages/standins/src/verbenahall_standins/traces.py
+++ b/packages/standins/src/verbenahall_standins/traces.py
@@ -16,6 +16,7 @@
 
 #: Batch size that is assumed for the engine time of a request.
 _TYPICAL_BATCH: Final = 32
+#: Maximum relative variation of a phase's length and shares.
 _VARIATION: Final = 0.25
 
 
