--- a/packages/standins/src/verbenahall_standins/traffic.py
+++ b/packages/standins/src/verbenahall_standins/traffic.py
@@ -136,9 +136,9 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class CallerRequest:
-    """One request; ``expected`` is the model's answer, if it has one.
+    """One request.
 
-    Requests to plain services have no expected text.
+    ``expected`` is the model's answer, None for a request to a plain service.
     """
 
     kind: str
