--- a/packages/standins/src/verbenahall_standins/weights.py
+++ b/packages/standins/src/verbenahall_standins/weights.py
@@ -17,7 +17,7 @@
 _BLOCK: Final = bytes(_BLOCK_BYTES)
 #: Size of the model that the cost model describes.
 _MODEL_GB: Final = 26.0
-#: Bytes that are sent for one gigabyte of real weights.
+#: Bytes that are sent in place of one gigabyte of weights.
 _BYTES_PER_GB: Final = 100_000
 
 
