--- a/packages/standins/src/verbenahall_standins/worker.py
+++ b/packages/standins/src/verbenahall_standins/worker.py
@@ -11,7 +11,7 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Load:
-    """Reported load: running and queued jobs, free share of KV memory."""
+    """Reported load: running and queued jobs, free share of KV cache."""
 
     running: int
     queued: int
@@ -50,9 +50,9 @@
 
 
 class Worker:
-    """Steps the batch while it has jobs; ``speed`` divides durations."""
+    """Runs the batch's steps; ``speed`` divides their durations."""
 
-    __slots__ = ('_speed', '_task', '_wake', 'batch', 'instant_count', 'active')
+    __slots__ = ('_speed', '_task', '_wake', 'active', 'batch', 'instant_count')
 
     def __init__(self, role: Role, speed: float) -> None:
         """Start idle.
