--- a/packages/standins/tests/explorer/test_explorer.py
+++ b/packages/standins/tests/explorer/test_explorer.py
@@ -16,6 +16,7 @@
 )
 
 WIDE = Bounds(records=8, appends=2)
+#: Transitions of a random schedule.
 STEPS = 70
 
 
@@ -27,8 +28,8 @@
     """No reachable state has two lease holders or a stale order in effect.
 
     Instances are paused, appends are delayed or lost, and answers are lost.
-    The number of states shows that the search did not end early; it changes
-    with the protocol.
+    The expected number of states detects a search that ended early; it
+    changes with the protocol.
     """
     report = explore(
         make_initial_state(checks=checks), Bounds(records), PRODUCTION
@@ -39,8 +40,8 @@
 
 
 @pytest.mark.parametrize('checks', [True, False])
-def test_random_schedules(checks):
-    """500 long random schedules for each kind of engine find no violation."""
+def test_random_schedules_show_no_violation(checks):
+    """500 random schedules for each kind of engine show no violation."""
     for seed in range(500):
         state = make_initial_state(checks=checks)
         report = walk(state, WIDE, PRODUCTION, random.Random(seed), STEPS)
