--- a/packages/standins/tests/explorer/test_processes.py
+++ b/packages/standins/tests/explorer/test_processes.py
@@ -80,7 +80,7 @@
         ]
 
     def describe(self):
-        """Return the records of the processes as JSON, for messages."""
+        """Return the records of the processes as JSON, for error messages."""
         orders = read_record(self.engine)['orders']
         records = read_record(self.log)['started']
         states = [read_state(holder) for holder in self.holders]
@@ -131,11 +131,11 @@
 
 
 @pytest.mark.parametrize('fleet', [False, True], indirect=True)
-def test_paused_before_its_check(fleet):
+def test_holder_paused_before_its_check_sends_no_order(fleet):
     """A holder resumed after losing its lease sends no order.
 
-    It is stopped before its lease check and resumed when another process
-    holds the lease. Without the check the engine would get an order of a
+    It is stopped just before its lease check and resumed when another process
+    holds the lease. Without the check, the engine would receive an order of a
     former holder.
     """
     first = fleet.start('a', '--stop', 'before', version='1')
@@ -149,7 +149,7 @@
 
 
 @pytest.mark.parametrize('fleet', [False], indirect=True)
-def test_paused_after_its_check_checking_engine(fleet):
+def test_engine_that_checks_tokens_refuses_a_former_holder(fleet):
     """An engine that checks tokens refuses the order of a former holder.
 
     The holder is stopped between lease check and write until its lease has
@@ -168,7 +168,7 @@
 
 
 @pytest.mark.parametrize('fleet', [True], indirect=True)
-def test_paused_after_its_check_ignoring_engine(fleet):
+def test_pause_within_the_limit_is_safe_without_token_checks(fleet):
     """A pause within ``longest_pause_s`` is safe if the engine ignores tokens.
 
     The engine executes the order of the resumed holder. The new holder has
@@ -178,14 +178,14 @@
     wait_until(lambda: is_stopped(first))
     fleet.start('b', version='2')
     wait_until(lambda: fleet.find_claims('b'))
-    # Half of the longest pause, in which a holder that does not wait would
-    # send its order.
+    # Half of the longest pause: a holder that does not wait for the longest
+    # pause would send its order in this time.
     resume_at = time.monotonic() + 2
     wait_until(lambda: fleet.list_versions() or time.monotonic() > resume_at)
     first.resume()
     wait_until(lambda: '1' in fleet.list_versions())
-    # Left running it could take the lease again after a late renewal of the
-    # other holder.
+    # If it kept running, it could claim the lease again when the other holder
+    # renews too late.
     first.kill()
     wait_until(lambda: fleet.list_versions()[-1:] == ['2'])
 
@@ -212,7 +212,7 @@
 
 
 @pytest.mark.parametrize('fleet', [False, True], indirect=True)
-def test_killed_in_mid_order(fleet):
+def test_successor_does_not_repeat_the_order_of_a_killed_holder(fleet):
     """The successor of a killed holder does not repeat its order.
 
     The holder is killed while the engine changes. The successor has the same
