--- a/packages/standins/tests/test_cost.py
+++ b/packages/standins/tests/test_cost.py
@@ -47,7 +47,7 @@
     assert all(job.produced == job.output for job in finished)
 
 
-def test_batch_takes_highest_priority_first():
+def test_batch_starts_highest_priority_first():
     """An urgent request starts before all that wait in a full queue."""
     batch = Batch(Role.MIXED)
     for number in range(200):
@@ -106,5 +106,5 @@
         build = comparison.POLICIES[policy]
         simulation = Simulation(workload, build(workload, 1))
         simulation.run(trace)
-        good[policy] = sum(found.is_good for found in simulation.outcomes)
+        good[policy] = sum(outcome.is_good for outcome in simulation.outcomes)
     assert good['ours'] >= good['naive']
