--- a/packages/standins/tests/test_standins.py
+++ b/packages/standins/tests/test_standins.py
@@ -82,7 +82,7 @@
         assert [record['offset'] for record in page['records']] == [4]
 
 
-def test_log_long_poll_wakes():
+def test_append_ends_a_long_poll():
     """A waiting reader gets a record as soon as it is appended."""
     with running('log') as url:
         page = run(wait_and_append(url))
@@ -90,9 +90,9 @@
 
 
 def test_log_loses_answer_after_effect():
-    """An append succeeds although its answer is lost.
+    """An append takes effect although its answer is lost.
 
-    The writer can only find out by reading the log.
+    The writer can learn this only by reading the log.
     """
     with running('log') as url:
         record = {'stream': 'settings', 'id': 'a', 'body': {}}
@@ -130,7 +130,7 @@
     ],
 )
 def test_engine_faults_match_its_record(fault, whole, started):
-    """The engine's record shows what ran, whatever the caller received."""
+    """The record shows which requests ran, also if their answer was lost."""
     with engine() as url:
         run(call('POST', f'{url}/faults', json={**fault, 'count': 1}))
         body = b''
@@ -145,7 +145,7 @@
 
 
 def test_engine_answer_is_predictable():
-    """The request determines the answer, so tests detect wrong ones."""
+    """Tests derive the expected answer from the request alone."""
     with engine() as url:
         completions = f'{url}/v1/completions'
         answer = run(read_json('POST', completions, json=build_call()))
@@ -168,7 +168,7 @@
     assert (newer[0], older[0]) == (200, status)
 
 
-def test_list_lags():
+def test_list_shows_an_endpoint_after_its_lag():
     """A registered endpoint appears in the list only after the lag."""
     with running('registry', '--lag', '600') as url:
         entry = {'name': 'engine-1', 'kind': 'engine'}
