--- a/packages/verbenahall/tests/drains/crashing_fleet.py
+++ b/packages/verbenahall/tests/drains/crashing_fleet.py
@@ -31,9 +31,10 @@
 class CrashingFleet(Fleet):
     """Instances that share crash reports, and endpoints that crash.
 
-    ``crash_times`` holds the times of the crashes caused by the crashing
-    request, ``crashing_sends`` when it reached an endpoint and the instance
-    that sent it. ``quarantined`` counts other requests that were quarantined.
+    ``crash_times`` holds the times of the crashes that the crashing request
+    caused, ``crashing_sends`` the time and the sending instance of each of its
+    arrivals at an endpoint. ``quarantined`` counts the quarantined requests
+    other than the crashing one.
     """
 
     def __init__(self, seed, size):
@@ -151,7 +152,8 @@
 def list_excess_sends(fleet, crashes_allowed=3):
     """Return the sends of the crashing request after the allowed crashes.
 
-    Sends within ``stable_s`` after the last allowed crash are left out.
+    Sends within ``stable_s`` seconds after the last allowed crash are not
+    counted.
     """
     if len(fleet.crash_times) < crashes_allowed:
         return []
