--- a/packages/verbenahall/tests/drains/fleet.py
+++ b/packages/verbenahall/tests/drains/fleet.py
@@ -15,11 +15,11 @@
 import aiohttp
 from verbenahall_standins.platform import write_settings
 
-from verbenahall.catalog import RouteKind, Route, Service, Share
+from verbenahall.catalog import Route, RouteKind, Service, Share
 from verbenahall.gateway._core import Core
-from verbenahall.gateway._record_handlers import make_followers
 from verbenahall.gateway._messages import Call
 from verbenahall.gateway._plain_flow import PlainFlow
+from verbenahall.gateway._record_handlers import make_followers
 from verbenahall.gateway._refresh import Refresher
 from verbenahall.gateway._sender import Sender
 from verbenahall.peers import PeerExchange, add_peer
@@ -211,7 +211,7 @@
         self._write(name, 'draining')
 
     def remove(self, name):
-        """Remove an endpoint's entry, announced before or not."""
+        """Remove an endpoint's entry, whether it announced leaving or not."""
         self._record_departure(name)
         self.store.put(ENDPOINTS_TOPIC, name, b'')
 
@@ -233,7 +233,7 @@
             )
 
     def find_endpoint(self, host):
-        """Return the name of the newest endpoint at an address."""
+        """Return the name of the endpoint at a host."""
         return next(
             name
             for name, endpoint_host in self._endpoint_hosts.items()
