--- a/packages/verbenahall/tests/drains/keyed_fleet.py
+++ b/packages/verbenahall/tests/drains/keyed_fleet.py
@@ -42,10 +42,10 @@
 class KeyedFleet(Fleet):
     """Instances that check API keys, and the history of the keys.
 
-    ``never_held`` are runs for keys that no workspace ever held,
-    ``wrong_workspaces`` runs under a workspace that did not hold the key any
-    more, ``wrong_refusals`` refusals of keys that were in force for the last
-    ``MAX_MANIFEST_DELAY_S`` seconds.
+    ``never_held`` lists requests that ran with a key that no workspace ever
+    held, ``wrong_workspaces`` those that ran under a workspace that no longer
+    held the key, ``wrong_refusals`` refused keys that had been in force for
+    the last ``MAX_MANIFEST_DELAY_S`` seconds.
     """
 
     def __init__(self, seed, size):
@@ -99,7 +99,7 @@
     def list_workspaces_since(self, key, since):
         """Return the workspaces that held a key since a time.
 
-        ``None`` stands for a time in which no workspace held it.
+        ``None`` stands for a period in which no workspace held it.
         """
         workspaces = []
         for at, held in self.key_history:
@@ -133,8 +133,8 @@
             raw_path='/proof/',
             headers={'Host': 'desk.example'},
         )
-        found = await self._admitters[instance.name].admit(request, head)
-        admission = found.value_or(None)
+        admitted = await self._admitters[instance.name].admit(request, head)
+        admission = admitted.value_or(None)
         if admission is None:
             self._check_refusal(instance, key, now)
             return
