--- a/packages/verbenahall/tests/drains/rated_fleet.py
+++ b/packages/verbenahall/tests/drains/rated_fleet.py
@@ -14,19 +14,23 @@
     ROUTE, kind=RouteKind.IDEMPOTENT, max_attempts=2
 )
 STAMP_HEADER = 'X-Verbenahall-Server-Stamp'
+#: Window in which arrivals are counted, in seconds.
 WINDOW_S = 4
+#: Requests allowed in a window in addition to 1.5 times the rate.
 SLACK_REQUESTS = 5
 #: Seconds from the first advertisement until the limit is checked.
 SETTLING_S = 3
-#: Seconds from an instance receiving the rate until its sends count.
+#: Seconds after which the sends of an instance that has received the rate are
+#: counted.
 RATE_DELAY_S = 0.5
 
 
 class RatedFleet(Fleet):
     """Instances that request permits, and endpoints that advertise rates.
 
-    ``arrivals`` holds time and instance of each request by endpoint,
-    ``rate_received_at`` when an instance first received the rate in an answer.
+    ``arrivals`` holds the time and instance of each request by endpoint,
+    ``rate_received_at`` the time at which an instance first received an
+    endpoint's rate.
     """
 
     def __init__(self, seed, size):
