--- a/packages/verbenahall/tests/drains/simulated_network.py
+++ b/packages/verbenahall/tests/drains/simulated_network.py
@@ -6,7 +6,8 @@
 PEER_PORT = 7380
 #: One-way latency to an endpoint or a peer, in seconds.
 ONE_WAY_S = 0.001
-#: Share of new connections whose first packet is lost or delayed.
+#: Share of new connections that are slow: their first packet is lost or
+#: delayed.
 SLOW_CONNECT_SHARE = 0.02
 #: Upper bound of the time that such a connection takes, in seconds.
 MAX_CONNECT_S = 0.39
@@ -20,7 +21,7 @@
         self._instance = instance
 
     def request(self, method, url, **options):
-        """Start a request and return it unawaited."""
+        """Return a request that starts when it is awaited or entered."""
         return _Request(self._call(str(url), options))
 
     def post(self, url, data, headers):
