--- a/packages/verbenahall/tests/drains/simulated_store.py
+++ b/packages/verbenahall/tests/drains/simulated_store.py
@@ -8,7 +8,7 @@
 
 #: One-way latency to the store, in seconds.
 ONE_WAY_S = 0.001
-#: Share of the long polls that a new record does not end.
+#: Share of the long polls that miss the record appended while they wait.
 MISSED_WAKEUP_SHARE = 0.05
 #: Sleep of a call that gets no answer, in seconds; longer than any test.
 NEVER_S = 3600
