--- a/packages/verbenahall/tests/drains/test_drains.py
+++ b/packages/verbenahall/tests/drains/test_drains.py
@@ -146,7 +146,7 @@
 
 @pytest.mark.parametrize('seed', range(FIRST_SEED, FIRST_SEED + SEED_COUNT))
 def test_endpoint_that_left_gets_no_request_after_the_bound(seed):
-    """Guards against propagation delays that add up to over the bound."""
+    """Propagation delays must not add up to more than the bound."""
     fleet = run_simulated(simulate(seed))
     assert fleet.send_count > 500
     assert not fleet.late_arrivals
@@ -156,7 +156,7 @@
     'seed', range(FIRST_SEED, FIRST_SEED + SEED_COUNT // 3)
 )
 def test_service_goes_on_when_entries_lapse_with_the_store(seed):
-    """Applying removals from an outage would leave no endpoints."""
+    """Applying the removals during an outage would leave no endpoints."""
     fleet = run_simulated(simulate_store_outages(seed))
     assert fleet.send_count > 500
     assert not fleet.refused_count
@@ -179,8 +179,8 @@
 def test_store_outage_of_a_follower_ends_for_its_peers():
     """An outage of one follower must not stay recorded in its peers.
 
-    While an outage is recorded, removals are taken for expired entries of
-    endpoints that still live.
+    While an outage is recorded, an instance treats a removed entry as expired
+    and goes on sending to the endpoint.
     """
     fleet = Fleet(1, 4, leaving_s=3)
     run_simulated(refuse_one_follower(fleet))
@@ -207,7 +207,7 @@
 
 @pytest.mark.parametrize('seed', range(1, 9))
 def test_followers_that_lost_the_store_do_not_delay_the_others(seed):
-    """Peers must not take a follower's missing updates for no change."""
+    """Missing updates from a follower must not count as an unchanged list."""
     fleet = Fleet(seed, 7, leaving_s=2)
     run_simulated(ignore_followers(fleet))
     assert not fleet.late_arrivals
