--- a/packages/verbenahall/tests/drains/test_freshness.py
+++ b/packages/verbenahall/tests/drains/test_freshness.py
@@ -42,7 +42,7 @@
 
 
 def test_stale_confirmation_does_not_end_the_wait():
-    """A heartbeat that was read seconds late confirms an old list."""
+    """A heartbeat that is received seconds late confirms an old list."""
     freshness = make_freshness(5)
 
     def confirm():
@@ -72,7 +72,7 @@
 
 
 def test_topic_that_was_never_read_is_not_waited_for():
-    """Readiness already keeps callers away until the first answer."""
+    """Instances are not ready, and get no callers, before the first read."""
     assert run_simulated(wait(Freshness(2), 9, bool)) == 0
 
 
