--- a/packages/verbenahall/tests/drains/test_rated_fleet.py
+++ b/packages/verbenahall/tests/drains/test_rated_fleet.py
@@ -5,7 +5,7 @@
 
 import pytest
 
-from .rated_fleet import RatedFleet, disturb_network, simulate, inject_nothing
+from .rated_fleet import RatedFleet, disturb_network, inject_nothing, simulate
 from .simulated_clock import run_simulated
 
 #: Seeds that are simulated; the environment can select other seeds.
@@ -23,7 +23,7 @@
 
 @pytest.mark.parametrize('seed', range(FIRST_SEED, FIRST_SEED + SEED_COUNT))
 def test_advertised_rate_is_used(seed):
-    """Too few permits would leave a limited endpoint idle."""
+    """With too few permits a limited endpoint would be idle."""
     fleet = run_simulated(simulate(seed, inject_nothing))
     assert set(fleet.statuses) == {200}
     for name, rate in fleet.rates.items():
@@ -43,9 +43,9 @@
 
 
 def test_requests_over_all_rates_are_rejected_with_429():
-    """They must not wait for their deadline or be reported as run.
+    """Rejected requests must neither wait nor be reported as run.
 
-    The caller could not retry them then.
+    The caller could not retry them after their deadline or if they had run.
     """
     fleet = RatedFleet(1, 5)
     run_simulated(limit_all(fleet))
