--- a/packages/verbenahall/tests/drains/test_usage_fleet.py
+++ b/packages/verbenahall/tests/drains/test_usage_fleet.py
@@ -95,7 +95,7 @@
 
 @pytest.mark.parametrize('seed', range(FIRST_SEED, FIRST_SEED + SEED_COUNT))
 def test_no_window_has_two_reports(seed):
-    """A holder may die between its report and the answer."""
+    """A lease holder may be killed between its report and the answer."""
     fleet = run_simulated(simulate(seed, inject_faults))
     assert not fleet.violations
     assert len(fleet.find_reports()) >= 3
