--- a/packages/verbenahall/tests/failures/conftest.py
+++ b/packages/verbenahall/tests/failures/conftest.py
@@ -129,8 +129,8 @@
 
     async def publish(self):
         changes = [
-            {'path': path, 'base': 0, 'value': found}
-            for path, found in SETTINGS
+            {'path': path, 'base': 0, 'value': table}
+            for path, table in SETTINGS
         ]
         body = {'team': 'fleet', 'author': 'test', 'changes': changes}
         record = {'stream': SETTINGS_STREAM, 'id': 'first', 'body': body}
