--- a/packages/verbenahall/tests/failures/test_cut_off.py
+++ b/packages/verbenahall/tests/failures/test_cut_off.py
@@ -17,7 +17,7 @@
         statuses.append(answer.status)
 
 
-def test_cut_off_from_the_platform(run):
+def test_instances_serve_without_log_and_instance_list(run):
     """One instance loses the log, and the instance list is down for all.
 
     Both instances must keep serving; the one without the log must refuse
