--- a/packages/verbenahall/tests/failures/test_keyed_calls.py
+++ b/packages/verbenahall/tests/failures/test_keyed_calls.py
@@ -6,7 +6,9 @@
 
 pytestmark = pytest.mark.process
 
+#: Timeout of repeated calls, in seconds.
 RETRY_S = 30
+#: Outcomes: status, the error's kind and its ``ran`` field.
 DUPLICATE = (409, 'duplicate', 'unknown')
 NOT_RUN = (503, 'log_unavailable', 'no')
 RAN = (200, None, None)
@@ -29,7 +31,10 @@
 
 
 def test_same_key_at_two_instances(run_shared):
-    """A retry may reach another instance at the same time as the first."""
+    """Calls with the same key reach two instances at the same time.
+
+    Exactly one of them must run.
+    """
 
     async def scenario(fleet):
         keys = [f'k{number}' for number in range(20)]
