--- a/packages/verbenahall/tests/failures/test_settings.py
+++ b/packages/verbenahall/tests/failures/test_settings.py
@@ -12,6 +12,7 @@
 
 pytestmark = pytest.mark.process
 
+#: Records that the log keeps, as an option of its command line.
 KEPT_RECORDS = '60'
 FORBIDDEN = 403
 
@@ -56,7 +57,7 @@
 
 
 async def wait_for_snapshot(client):
-    """Wait for a snapshot without a gap to the records that are kept."""
+    """Wait for a snapshot that reaches the records the log still keeps."""
     store = SnapshotStore(client)
     joined = Failure(None)
     while joined.value_or(0) == 0:
