--- a/packages/standins/src/verbenahall_standins/bench.py
+++ b/packages/standins/src/verbenahall_standins/bench.py
@@ -1,8 +1,8 @@
 """Compares routing policies and measures the overhead of an instance.
 
-``python -m verbenahall_standins.bench --seed N`` prints lines of measure,
-value, unit, value of the baseline, and ratio. Policies run on the traces of
-the seed and of two further seeds that serve for reporting only.
+``python -m verbenahall_standins.bench --seed N`` prints one line for
+each measure: its name, value, unit, baseline value and ratio. Policies run on
+the traces of the seed and of two further seeds that are only reported.
 """
 
 import argparse
@@ -10,11 +10,11 @@
 from typing import Final
 
 from verbenahall_standins import comparison, plots
-from verbenahall_standins.lines import say_line
+from verbenahall_standins.lines import print_line
 from verbenahall_standins.overhead import measure_overhead
 
-#: Added to the seed for the traces that are only reported: no policy is
-#: tuned on them.
+#: Offsets of the seeds whose traces are only reported: no policy is tuned on
+#: them.
 _SEED_OFFSETS: Final = (100, 101)
 _REPORT_FOLDER: Final = Path('reports')
 
@@ -26,7 +26,7 @@
     for offset in _SEED_OFFSETS:
         runs.extend(comparison.compare(seed + offset))
     for line in comparison.build_lines(runs):
-        say_line(line)
+        print_line(line)
 
 
 def main() -> None:
@@ -37,7 +37,7 @@
     options = parser.parse_args()
     if options.only != 'policies':
         for line in measure_overhead():
-            say_line(line)
+            print_line(line)
     if options.only != 'overhead':
         compare_policies(options.seed)
 
--- a/packages/standins/src/verbenahall_standins/deployment.py
+++ b/packages/standins/src/verbenahall_standins/deployment.py
@@ -10,7 +10,7 @@
 import aiohttp
 
 from verbenahall_standins import process
-from verbenahall_standins.description import Description, rewrite
+from verbenahall_standins.description import Description, set_values
 
 _Child = subprocess.Popen[str]
 
@@ -26,7 +26,7 @@
     def __init__(self, description: Description, folder: Path) -> None:
         """Keep the instances' configuration and log files in ``folder``."""
         self.description = description
-        self.running: dict[str, process.Running] = {}
+        self.running: dict[str, process.RunningProcess] = {}
         self._folder = folder
         folder.mkdir(parents=True, exist_ok=True)
 
@@ -90,7 +90,7 @@
             'instance_list': self.address('registry'),
         }
         config = self._folder / f'{name}.toml'
-        config.write_text(rewrite(example, values))
+        config.write_text(set_values(example, values))
         script = process.find_script('verbenahall')
         return process.launch_command(
             (script, 'serve', '--config', str(config)),
@@ -100,12 +100,12 @@
     def _start_all(self, launched: Mapping[str, _Child]) -> None:
         """Wait until all are ready; raise if any of them failed.
 
-        Those that did start are kept, so that ``stop`` ends them too.
+        Processes that did start are kept, so that ``stop`` ends them.
         """
         failed = []
         for name, child in launched.items():
             try:
-                self.running[name] = process.wait_ready(child)
+                self.running[name] = process.wait_until_ready(child)
             except process.NotReadyError:
                 failed.append(name)
         if failed:
--- a/packages/standins/src/verbenahall_standins/platform/_store.py
+++ b/packages/standins/src/verbenahall_standins/platform/_store.py
@@ -11,36 +11,39 @@
 
 from verbenahall_standins.platform._serving import listen
 
+#: Length of a record, and the offsets of a topic's end and first record.
 _LENGTH: Final = struct.Struct('>I')
 _BOUNDS: Final = struct.Struct('>QQ')
 _MS: Final = 1000
-_PAGE: Final = 500
+#: Maximum number of keys on one page.
+_PAGE_SIZE: Final = 500
 
 
 @dataclasses.dataclass(slots=True)
 class StoreFaults:
-    """Faults that a test switches on.
+    """Faults that a test sets.
 
-    ``down`` is a status that every call gets, ``silent`` leaves calls
-    unanswered, ``lose_appends`` applies appends without answering, ``deaf``
-    lets a long poll miss the records that are appended while it waits.
+    ``down`` is the status with which every call is answered, 0 for no fault.
+    ``silent`` leaves calls unanswered, ``lose_appends`` applies appends
+    without answering them, ``miss_wakeups`` lets a long poll miss the records
+    that are appended while it waits.
     """
 
     down: int = 0
     silent: bool = False
     lose_appends: bool = False
-    deaf: bool = False
+    miss_wakeups: bool = False
 
 
 @final
 class _Topic:
     """One topic: its records from the offset ``first`` on.
 
-    ``newest`` has the offset and the content of each key's newest record; it
-    is kept when old records are deleted.
+    ``newest`` holds the offset and content of each key's newest record, also
+    after old records have been deleted.
     """
 
-    __slots__ = ('records', 'first', 'appended', 'newest')
+    __slots__ = ('appended', 'first', 'newest', 'records')
 
     def __init__(self) -> None:
         self.records: list[bytes] = []
@@ -101,7 +104,7 @@
         record = bytes([len(encoded)]) + encoded + content
         return self._get_topic(topic).append([record])
 
-    def forget(self, topic: str) -> None:
+    def delete_old_records(self, topic: str) -> None:
         """Delete all records but the last one."""
         found = self._get_topic(topic)
         kept = found.records[-1:]
@@ -143,7 +146,9 @@
         start = int(request.query['from'])
         wait_s = int(request.query.get('waitMs', '0')) / _MS
         if start >= topic.end and wait_s:
-            appended = asyncio.Event() if self.faults.deaf else topic.appended
+            appended = (
+                asyncio.Event() if self.faults.miss_wakeups else topic.appended
+            )
             # A long poll without a new record returns an empty answer.
             with contextlib.suppress(TimeoutError):
                 await asyncio.wait_for(appended.wait(), wait_s)
@@ -167,9 +172,9 @@
                         'value': base64.b64encode(content).decode(),
                         'offset': offset,
                     }
-                    for key, (offset, content) in later[:_PAGE]
+                    for key, (offset, content) in later[:_PAGE_SIZE]
                 ],
-                'hasMore': len(later) > _PAGE,
+                'hasMore': len(later) > _PAGE_SIZE,
                 'end': topic.end,
             },
         )
--- a/packages/standins/src/verbenahall_standins/publishing.py
+++ b/packages/standins/src/verbenahall_standins/publishing.py
@@ -15,7 +15,7 @@
 
 #: Seconds between two polls of the instances' status.
 _POLL_S: Final = 0.02
-#: Seconds until a published change must be in force on every instance.
+#: Seconds within which a published change must be in force everywhere.
 _TIMEOUT_S: Final = 10
 
 
@@ -41,15 +41,15 @@
     if it fails.
     """
     script = process.find_script('verbenactl')
-    done = subprocess.run(
+    completed = subprocess.run(
         (script, 'publish', str(file), '--team', team)
         + ('--author', 'demo', '--log', log),
         capture_output=True,
         text=True,
     )
-    if done.returncode:
-        raise PublishError(f'{done.stdout}{done.stderr}')
-    return done.stdout.strip().rpartition('\n')[-1]
+    if completed.returncode:
+        raise PublishError(f'{completed.stdout}{completed.stderr}')
+    return completed.stdout.strip().rpartition('\n')[-1]
 
 
 class Publisher:
--- a/packages/standins/src/verbenahall_standins/simulation.py
+++ b/packages/standins/src/verbenahall_standins/simulation.py
@@ -15,8 +15,10 @@
 from verbenahall_standins.batch import Batch, Job, Step
 from verbenahall_standins.traces import Arrival, Workload
 
-REPORT_S: Final = 0.5
-PLAN_S: Final = 1.0
+#: Interval between load reports, which is also their age on delivery.
+REPORT_INTERVAL_S: Final = 0.5
+#: Interval between two plans of the roles.
+PLAN_INTERVAL_S: Final = 1.0
 INSTANCES_PER_DATA_CENTRE: Final = 3
 
 
@@ -27,9 +29,9 @@
 
 
 class Engine:
-    """One engine with its batch and a possible role change."""
+    """One engine with its batch."""
 
-    __slots__ = ('batch', 'busy', 'name', 'data_centre', 'next_role')
+    __slots__ = ('batch', 'busy', 'data_centre', 'name', 'next_role')
 
     def __init__(self, name: str, data_centre: str) -> None:
         """Start idle in the mixed role."""
@@ -48,7 +50,7 @@
 
 @dataclasses.dataclass(slots=True)
 class Outcome:
-    """The outcome of one request; times are None until they are known."""
+    """The outcome of one request; a time is None if it was not reached."""
 
     arrival: Arrival
     engine: str
@@ -91,7 +93,7 @@
         """Handle the end of a request, answered or expired."""
 
     def handle_reports(self, loads: Loads, now: float) -> None:
-        """Handle reports by engine, which are ``REPORT_S`` old."""
+        """Handle reports by engine, which are ``REPORT_INTERVAL_S`` old."""
 
     def plan(
         self,
@@ -107,9 +109,9 @@
     __slots__ = (
         '_engines',
         '_events',
+        '_in_flight',
         '_instances',
         '_numbers',
-        '_in_flight',
         '_policy',
         '_reports',
         'changes',
@@ -170,9 +172,9 @@
 
     def _expire(self, outcome: Outcome, now: float) -> None:
         """Cancel a request that is not answered at its due time."""
-        identity = str(outcome.arrival.number)
-        if self._in_flight.pop(identity, None):
-            self._engines[outcome.engine].batch.cancel(identity)
+        job_id = str(outcome.arrival.number)
+        if self._in_flight.pop(job_id, None):
+            self._engines[outcome.engine].batch.cancel(job_id)
             self._finish(outcome, now)
 
     def _finish(self, outcome: Outcome, now: float) -> None:
@@ -197,10 +199,10 @@
     def _end_step(self, argument: tuple[Engine, Step], now: float) -> None:
         engine, step = argument
         for job in step.produced:
-            if job.produced == 1 and job.identity in self._in_flight:
-                self._in_flight[job.identity].first_token_at = now
+            if job.produced == 1 and job.job_id in self._in_flight:
+                self._in_flight[job.job_id].first_token_at = now
         for done in step.finished:
-            outcome = self._in_flight.pop(done.identity, None)
+            outcome = self._in_flight.pop(done.job_id, None)
             if outcome is not None:
                 outcome.last_token_at = now
                 self._finish(outcome, now)
@@ -217,7 +219,7 @@
         self._policy.handle_reports(self._reports, now)
         self._reports = self._read_loads()
         if now < end:
-            self._schedule(now + REPORT_S, self._deliver_reports, end)
+            self._schedule(now + REPORT_INTERVAL_S, self._deliver_reports, end)
 
     def _read_loads(self) -> dict[str, tuple[int, int]]:
         return {
@@ -236,7 +238,7 @@
                 self._start_step(engine, now)
         self.samples.append(take_sample(engines, now))
         if now < end:
-            self._schedule(now + PLAN_S, self._change_roles, end)
+            self._schedule(now + PLAN_INTERVAL_S, self._change_roles, end)
 
 
 def take_sample(engines: Sequence[Engine], now: float) -> Sample:
--- a/packages/standins/src/verbenahall_standins/soak/_deployment.py
+++ b/packages/standins/src/verbenahall_standins/soak/_deployment.py
@@ -21,7 +21,7 @@
 
 _INSTANCES: Final = 3
 _PLAIN: Final = 2
-#: Engines of each role, as the planner would assign them.
+#: Number of engines of each role, as the planner would assign them.
 _ENGINES: Final[Mapping[str, int]] = MappingProxyType(
     {'prefill': 3, 'decode': 2},
 )
@@ -76,7 +76,9 @@
             self._list_endpoint(endpoint)
         for number in range(_INSTANCES):
             await self._start_instance(f'front-{number}')
-        await asyncio.gather(*(one.wait_ready() for one in self.instances))
+        await asyncio.gather(
+            *(one.wait_until_ready() for one in self.instances)
+        )
 
     async def stop(self) -> None:
         """Wait for the callers and stop all components."""
--- a/packages/standins/src/verbenahall_standins/soak/_run.py
+++ b/packages/standins/src/verbenahall_standins/soak/_run.py
@@ -18,8 +18,8 @@
 _REQUEST_ID_HEADER: Final = 'X-Verbenahall-Request-Id'
 _WORKSPACE_HEADER: Final = 'X-Verbenahall-Tenant'
 _KEY_HEADER: Final = 'X-Verbenahall-Key'
-#: Time for the recovery from the last fault, in seconds: entries are back and
-#: settings in force within two to three seconds.
+#: Time for the recovery from the last fault, in seconds: within two to three
+#: seconds endpoints are listed and settings in force again.
 _RECOVERY_S: Final = 3.5
 
 
@@ -40,7 +40,7 @@
         *_check_recovery(final_records),
         *_check_revoked_key(revoked),
         *_check_workspaces(deployment),
-        *deployment.duties.broken,
+        *deployment.duties.violations,
     ]
 
 
@@ -103,10 +103,10 @@
 
 
 def _check_workspaces(deployment: Deployment) -> list[str]:
-    """Check that sends name the key's workspace and hold no key."""
+    """Check that sends name the callers' workspace and carry no API key."""
     sends = itertools.chain(
         *(endpoint.runs for endpoint in deployment.endpoints),
-        *(engine.reads for engine in deployment.site.engines),
+        *(engine.prefills for engine in deployment.site.engines),
     )
     return [
         f'{send[_REQUEST_ID_HEADER]}: sent for'
--- a/packages/standins/src/verbenahall_standins/text.py
+++ b/packages/standins/src/verbenahall_standins/text.py
@@ -1,8 +1,8 @@
 """Answer texts of the engine stand-in, a pure function of the request.
 
-Tests compare an answer with ``write_answer`` and thereby detect truncated,
-mixed or wrong answers. All engines with the same model give the same answer,
-so a stream can resume on another engine.
+Tests compare answers with ``build_expected_answer`` to detect truncated,
+mixed or wrong ones. All engines with the same model give the same answer, so
+a stream can resume on another engine.
 """
 
 import zlib
@@ -47,12 +47,12 @@
     return zlib.crc32(f'{model}\n{adapter}\n{prompt}'.encode())
 
 
-def write_answer(
+def build_expected_answer(
     prompt: str,
     count: int,
     model: str,
     adapter: str = '',
 ) -> str:
-    """Return the complete answer of ``count`` tokens to a prompt."""
+    """Return the complete, correct answer of ``count`` tokens."""
     seed = compute_seed(model, adapter, prompt)
     return ''.join(build_chunk(seed, index) for index in range(count))
--- a/packages/standins/src/verbenahall_standins/traffic.py
+++ b/packages/standins/src/verbenahall_standins/traffic.py
@@ -136,9 +136,9 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class CallerRequest:
-    """One request; ``expected`` is the model's answer, if it has one.
+    """One request.
 
-    Requests to plain services have no expected text.
+    ``expected`` is the model's answer, None for a request to a plain service.
     """
 
     kind: str
@@ -192,7 +192,9 @@
         else:
             body['prompt'] = prompt
         path = _CHAT if kind.chat else _COMPLETIONS
-        expected = text.write_answer(prompt, output, kind.model, kind.adapter)
+        expected = text.build_expected_answer(
+            prompt, output, kind.model, kind.adapter
+        )
         return CallerRequest(kind.kind, 'POST', path, headers, body, expected)
 
     def _build_service_request(self, kind: ServiceRequestKind) -> CallerRequest:
--- a/packages/verbenahall/tests/drains/crashing_fleet.py
+++ b/packages/verbenahall/tests/drains/crashing_fleet.py
@@ -31,9 +31,10 @@
 class CrashingFleet(Fleet):
     """Instances that share crash reports, and endpoints that crash.
 
-    ``crash_times`` holds the times of the crashes caused by the crashing
-    request, ``crashing_sends`` when it reached an endpoint and the instance
-    that sent it. ``quarantined`` counts other requests that were quarantined.
+    ``crash_times`` holds the times of the crashes that the crashing request
+    caused, ``crashing_sends`` the time and the sending instance of each of its
+    arrivals at an endpoint. ``quarantined`` counts the quarantined requests
+    other than the crashing one.
     """
 
     def __init__(self, seed, size):
@@ -77,11 +78,11 @@
         ended = asyncio.get_running_loop().create_future()
         runs = self._open_runs.setdefault(name, {})
         runs[ended] = path
-        lasts_s = (
+        duration_s = (
             9 if path == CRASHING_PATH else self.traffic_rng.uniform(0.02, 1)
         )
         try:
-            async with asyncio.timeout(lasts_s):
+            async with asyncio.timeout(duration_s):
                 await ended
         except TimeoutError:
             return SimulatedResponse(200, b'whole', {STAMP_HEADER: 'signed'})
@@ -151,7 +152,8 @@
 def list_excess_sends(fleet, crashes_allowed=3):
     """Return the sends of the crashing request after the allowed crashes.
 
-    Sends within ``stable_s`` after the last allowed crash are left out.
+    Sends within ``stable_s`` seconds after the last allowed crash are not
+    counted.
     """
     if len(fleet.crash_times) < crashes_allowed:
         return []
--- a/packages/verbenahall/tests/failures/conftest.py
+++ b/packages/verbenahall/tests/failures/conftest.py
@@ -106,7 +106,7 @@
             self.folder / f'{name}.log',
         )
         self.processes[name] = await asyncio.to_thread(
-            process.wait_ready, child
+            process.wait_until_ready, child
         )
         await self.register(name, 'instance')
 
@@ -129,8 +129,8 @@
 
     async def publish(self):
         changes = [
-            {'path': path, 'base': 0, 'value': found}
-            for path, found in SETTINGS
+            {'path': path, 'base': 0, 'value': table}
+            for path, table in SETTINGS
         ]
         body = {'team': 'fleet', 'author': 'test', 'changes': changes}
         record = {'stream': SETTINGS_STREAM, 'id': 'first', 'body': body}
