--- a/packages/verbenahall/src/verbenahall/gateway/_crash_reports.py
+++ b/packages/verbenahall/src/verbenahall/gateway/_crash_reports.py
@@ -47,10 +47,10 @@
         """Install the handler of crash reports in the peers' exchange."""
         self._core = core
         self._exchange = exchange
-        self._next_handler = exchange.fallback_handler
+        self._next_handler = exchange.datagram_handler
         self._stored = StoredCrashes(core)
         self._store_sync_until = -float('inf')
-        exchange.fallback_handler = self.handle_datagram
+        exchange.datagram_handler = self.handle_datagram
 
     async def run(self) -> None:
         """Repeat reports that may have been lost, until cancelled."""
--- a/packages/verbenahall/src/verbenahall/gateway/_permits.py
+++ b/packages/verbenahall/src/verbenahall/gateway/_permits.py
@@ -52,12 +52,12 @@
         """Install the limiter in the core and its handler in the exchange."""
         self._core = core
         self._exchange = exchange
-        self._next_handler = exchange.fallback_handler
+        self._next_handler = exchange.datagram_handler
         self._request_ids = itertools.count()
         self._table = core.rates
         self._pending: dict[int, asyncio.Future[PermitResponse]] = {}
         core.limiter = self
-        exchange.fallback_handler = self.handle_datagram
+        exchange.datagram_handler = self.handle_datagram
 
     async def run(self) -> None:
         """Announce the rates that this instance limits, until cancelled."""
--- a/packages/verbenahall/src/verbenahall/gateway/_scheduler.py
+++ b/packages/verbenahall/src/verbenahall/gateway/_scheduler.py
@@ -256,7 +256,7 @@
         self._exchange = exchange
         self.scheduler_client = SchedulerClient(core, self.send)
         self.scheduler = Scheduler(core, self.send)
-        exchange.fallback_handler = self.receive_datagram
+        exchange.datagram_handler = self.receive_datagram
 
     def receive_datagram(self, datagram: bytes, sender: str) -> bool:
         """Dispatch a datagram; return False if it is of another kind."""
--- a/packages/verbenahall/src/verbenahall/peers/_shell.py
+++ b/packages/verbenahall/src/verbenahall/peers/_shell.py
@@ -58,9 +58,9 @@
         self.followed_offsets: Callable[[], Mapping[str, int]] = dict
         self.list_ages: Callable[[], Mapping[str, float]] = dict
         self.on_update: Callable[[TopicUpdate], object] = bool
-        #: Called first with each datagram and its sender's address; returns
-        #: False for one that the exchange is to decode.
-        self.fallback_handler: Callable[[bytes, str], bool] = _ignore_datagram
+        #: Called for every datagram, with the sender's address, before the
+        #: exchange decodes it. Returns True if it has handled the datagram.
+        self.datagram_handler: Callable[[bytes, str], bool] = _ignore_datagram
         self._peer_table = peer_table
         self._load_table = placement.load_table
         self._speed = placement.prefill_speed
@@ -75,7 +75,7 @@
 
     def datagram_received(self, data: bytes, addr: tuple[str, int]) -> None:
         """Decode one datagram and pass it on."""
-        if self.fallback_handler(data, f'{addr[0]}:{addr[1]}'):
+        if self.datagram_handler(data, f'{addr[0]}:{addr[1]}'):
             return
         match decode_message(data):
             case Some(Heartbeat() as heartbeat):
--- a/packages/verbenahall/src/verbenahall/usage/_exchange.py
+++ b/packages/verbenahall/src/verbenahall/usage/_exchange.py
@@ -74,13 +74,13 @@
         self._peer_table = peer_table
         self._clock = clock
         self._exchange = exchange
-        self._next_handler = exchange.fallback_handler
+        self._next_handler = exchange.datagram_handler
         self._numbers = itertools.count(1)
         # Address of the instance that polled last.
         self._poller = ''
         self._run = uuid.uuid4().hex[:_RUN_DIGITS]
         self._store = store
-        exchange.fallback_handler = self.handle_datagram
+        exchange.datagram_handler = self.handle_datagram
 
     def handle_datagram(self, datagram: bytes, sender: str) -> bool:
         """Handle a usage message; pass other datagrams to the next handler."""
--- a/packages/verbenahall/tests/gateway/test_scheduling.py
+++ b/packages/verbenahall/tests/gateway/test_scheduling.py
@@ -107,7 +107,7 @@
 def kill_scheduling(harness):
     """Drop all datagrams of an instance, as if it were dead or frozen."""
     exchange = harness.gateway.finder.exchange
-    exchange.fallback_handler = lambda datagram, address: True
+    exchange.datagram_handler = lambda datagram, address: True
     exchange.send = lambda datagram, address: None
 
 
