--- a/packages/standins/src/verbenahall_standins/replay.py
+++ b/packages/standins/src/verbenahall_standins/replay.py
@@ -273,7 +273,7 @@
         """Queue a request, or send it at once if not ``queued``."""
         placement_request = PlacementRequest(work, 0.2)
         pending = QueuedRequest(
-            request=f'r{next(self.replay.numbers)}',
+            request_id=f'r{next(self.replay.numbers)}',
             placement_request=placement_request,
             priority=load.priority,
             queued_at=now,
--- a/packages/verbenahall/src/verbenahall/placement/_queue.py
+++ b/packages/verbenahall/src/verbenahall/placement/_queue.py
@@ -26,16 +26,17 @@
 class QueuedRequest:
     """A request that waits for prefill; times are monotonic seconds.
 
-    ``queued_at`` is when it was queued, ``due_at`` when its first event is past
-    its objective, which is ``objective_s`` after the first attempt of its
-    caller, and ``leaves_at`` when its caller leaves. ``returning`` is true if
-    the caller was refused before. ``tried`` names the engines that have failed
-    this request. ``expected_first_s`` is the expected time to its first event
-    on idle engines, and ``preferred_engine`` the engine most likely to have its
-    shared parts cached.
+    ``request_id`` is the caller's request id or, at a scheduler, the key of the
+    ``ScheduleRequest``. ``queued_at`` is when it was queued, ``due_at`` when
+    its first event is past its objective, which is ``objective_s`` after the
+    first attempt of its caller, and ``leaves_at`` when its caller leaves.
+    ``returning`` is true if the caller was refused before. ``tried`` names the
+    engines that have failed this request. ``expected_first_s`` is the expected
+    time to its first event on idle engines, and ``preferred_engine`` the engine
+    most likely to have its shared parts cached.
     """
 
-    request: str
+    request_id: str
     placement_request: PlacementRequest
     priority: int
     queued_at: float
--- a/packages/verbenahall/src/verbenahall/scheduling/_decisions.py
+++ b/packages/verbenahall/src/verbenahall/scheduling/_decisions.py
@@ -166,10 +166,10 @@
     effects: QueueEffects,
 ) -> Iterator[Reply]:
     for admitted in effects.admitted:
-        waiting = state.waiting.pop(admitted.pending.request)
+        waiting = state.waiting.pop(admitted.pending.request_id)
         yield _assign(state, waiting, admitted)
     for pending, problem in effects.refused:
-        waiting = state.waiting.pop(pending.request)
+        waiting = state.waiting.pop(pending.request_id)
         yield Reply(waiting.caller, _reject(pending, problem))
 
 
@@ -180,7 +180,7 @@
 ) -> Reply:
     """Add the load of a request to the load table until it is released."""
     plan = admitted.plan
-    key = admitted.pending.request
+    key = admitted.pending.request_id
     decode = state.placement.load_table.open(
         plan.decode_engine.name,
         Totals(
@@ -209,7 +209,7 @@
 
 def _reject(pending: QueuedRequest, problem: Problem) -> Rejection:
     return Rejection(
-        pending.request,
+        pending.request_id,
         problem.kind.value,
         problem.message,
         problem.answer.retry_after_s or 0,
--- a/packages/verbenahall/tests/placement/test_dispatch.py
+++ b/packages/verbenahall/tests/placement/test_dispatch.py
@@ -32,7 +32,7 @@
 def make_queued(name='t', *, priority=0, queued_at=0, due=0.5, **changes):
     work = Work((Part('form', 6_000), Part(name, 3_000)), 9_000, 2)
     return QueuedRequest(
-        request=name,
+        request_id=name,
         placement_request=PlacementRequest(work, 0.2),
         priority=priority,
         queued_at=queued_at,
@@ -53,7 +53,7 @@
 
 def list_order(queue, now=0):
     ranked = sorted(queue.waiting, key=lambda pending: pending.rank(now))
-    return [pending.request for pending in ranked]
+    return [pending.request_id for pending in ranked]
 
 
 def test_first_request_is_admitted_at_once():
@@ -61,7 +61,7 @@
     fleet = make_fleet(queue)
     enqueue(queue, make_queued(), fleet, 0, RNG)
     effects = dispatch(queue, fleet, 0, RNG)
-    assert [one.pending.request for one in effects.admitted] == ['t']
+    assert [one.pending.request_id for one in effects.admitted] == ['t']
     prefill_engine = effects.admitted[0].plan.prefill_engine.name
     assert (
         fleet.state.load_table.local_totals(prefill_engine).prefill_tokens
@@ -121,7 +121,7 @@
     fill_queue(fleet, queue, make_queued())
     assert not dispatch(queue, fleet, 1.0, RNG).refused
     effects = dispatch(queue, fleet, 1.99, RNG)
-    assert [pending.request for pending, _ in effects.refused] == ['t']
+    assert [pending.request_id for pending, _ in effects.refused] == ['t']
 
 
 def test_late_check_includes_recent_first_event_delays():
@@ -212,7 +212,7 @@
     fill_queue(fleet, queue, make_queued('a'), make_queued('b'))
     left = Fleet(fleet.state, fleet.engines[:1], TRAITS)
     effects = dispatch(queue, left, 0.1, RNG)
-    assert [pending.request for pending, _ in effects.refused] == ['a', 'b']
+    assert [pending.request_id for pending, _ in effects.refused] == ['a', 'b']
     kinds = {problem.kind.value for _, problem in effects.refused}
     assert kinds == {'no_endpoint'}
     assert not queue.waiting
--- a/packages/verbenahall/tests/scheduling/test_scheduler.py
+++ b/packages/verbenahall/tests/scheduling/test_scheduler.py
@@ -135,7 +135,7 @@
     while not state.queue.waiting:
         submit(state, make_request(f'r{number}', due_s=9))
         number += 1
-    key = state.queue.waiting[0].request
+    key = state.queue.waiting[0].request_id
     replies = submit(state, make_request(key, due_s=9), now=0.25)
 
     assert list_types(replies) == [('10.0.0.1:7380', scheduling.Queued)]
@@ -164,7 +164,7 @@
     while not state.queue.waiting:
         submit(state, make_request(f'r{number}', due_s=9))
         number += 1
-    key = state.queue.waiting[0].request
+    key = state.queue.waiting[0].request_id
     scheduling.record_progress(state, scheduling.Released(key), service, 0.1)
 
     assert not state.queue.waiting
