--- a/packages/verbenahall/src/verbenahall/gateway/_prefill_queues.py
+++ b/packages/verbenahall/src/verbenahall/gateway/_prefill_queues.py
@@ -146,8 +146,8 @@
     def _describe_fleet(self, service: Service, now: float) -> Fleet:
         core = self._core
         usable = core.list_usable(service.name, now)
-        waiting = len(self._queues[service.name].waiting)
-        return Fleet(core.placement, usable, service.engine, waiting)
+        waiting_count = len(self._queues[service.name].waiting)
+        return Fleet(core.placement, usable, service.engine, waiting_count)
 
     def _apply(self, effects: QueueEffects) -> None:
         for admitted in effects.admitted:
--- a/packages/verbenahall/src/verbenahall/placement/_decisions.py
+++ b/packages/verbenahall/src/verbenahall/placement/_decisions.py
@@ -81,13 +81,13 @@
     engines: Sequence[Entry],
     traits: EngineTraits,
     now: float,
-    waiting: int = 0,
+    waiting_count: int = 0,
 ) -> Result[Plan, Problem]:
     """Choose the engines that prefill and decode a request.
 
-    ``waiting`` is the number of requests queued for prefill. Each second of
-    engine time costs more the longer that queue is. Fails with ``NO_ENDPOINT``
-    if no engine can decode.
+    ``waiting_count`` is the number of requests queued for prefill. Each second
+    of engine time costs more the longer that queue is. Fails with
+    ``NO_ENDPOINT`` if no engine can decode.
     """
     decode_engines = [one for one in engines if one.role is not Role.PREFILL]
     if not decode_engines:
@@ -95,7 +95,7 @@
             Problem(ErrorKind.NO_ENDPOINT, 'no decode engine is available'),
         )
     prefill_engines = [one for one in engines if one.role is Role.PREFILL]
-    cost_model = _CostModel(state, request, traits, now, waiting)
+    cost_model = _CostModel(state, request, traits, now, waiting_count)
     if request.prefilled_by is not None:
         return Success(
             cost_model.plan_decode(request.prefilled_by, decode_engines)
@@ -141,7 +141,7 @@
         '_work',
         '_traits',
         '_now',
-        '_waiting',
+        '_waiting_count',
         '_candidates',
     )
 
@@ -151,14 +151,14 @@
         request: PlacementRequest,
         traits: EngineTraits,
         now: float,
-        waiting: int,
+        waiting_count: int,
     ) -> None:
         self._state = state
         self._request = request
         self._work = request.work
         self._traits = traits
         self._now = now
-        self._waiting = waiting
+        self._waiting_count = waiting_count
         self._candidates: list[_DecodeCandidate] = []
 
     def evaluate_mixed(
@@ -289,7 +289,9 @@
         have their shared parts cached, which takes more engine time just when
         it is scarce.
         """
-        return min(_ENGINE_TIME_COST + self._waiting, _MAX_ENGINE_TIME_COST)
+        return min(
+            _ENGINE_TIME_COST + self._waiting_count, _MAX_ENGINE_TIME_COST
+        )
 
     @property
     def _start_s(self) -> float:
--- a/packages/verbenahall/src/verbenahall/placement/_slots.py
+++ b/packages/verbenahall/src/verbenahall/placement/_slots.py
@@ -36,13 +36,13 @@
 class Fleet:
     """The usable engines of a service.
 
-    ``waiting`` is the number of requests queued for them.
+    ``waiting_count`` is the number of requests queued for them.
     """
 
     state: PlacementState
     engines: Sequence[Entry]
     traits: EngineTraits
-    waiting: int = 0
+    waiting_count: int = 0
 
     @property
     def prefill_engines(self) -> Sequence[Entry]:
@@ -69,7 +69,7 @@
             engines,
             self.traits,
             now,
-            self.waiting,
+            self.waiting_count,
         )
 
 
--- a/packages/verbenahall/tests/placement/test_placement.py
+++ b/packages/verbenahall/tests/placement/test_placement.py
@@ -427,7 +427,7 @@
     ).unwrap()
     placement_request = PlacementRequest(work, 0.25)
     stayed = place(
-        state, placement_request, engines, TRAITS, 0, waiting=10
+        state, placement_request, engines, TRAITS, 0, waiting_count=10
     ).unwrap()
     assert spilled.prefill_engine != preferred
     assert stayed.prefill_engine == preferred
