--- a/packages/verbenahall/src/verbenahall/gateway/_scheduler.py
+++ b/packages/verbenahall/src/verbenahall/gateway/_scheduler.py
@@ -90,11 +90,11 @@
             for state in self._states.values():
                 expire_assignments(state, now)
 
-    def receive_request(self, request: ScheduleRequest, caller: str) -> None:
-        """Schedule a request of the instance at an address."""
+    def receive_request(self, request: ScheduleRequest, sender: str) -> None:
+        """Schedule a request of the instance at address ``sender``."""
         service = self._list_services().get(request.service)
         if service is None or self.stopping():
-            self._send(caller, Declined(request.key))
+            self._send(sender, Declined(request.key))
             return
         scope = (request.service, request.group)
         state = self._find_state(scope)
@@ -102,7 +102,7 @@
         fleet = self._describe_fleet(state, service, request.group)
         self._send_replies(
             receive_request(
-                state, request, caller, fleet, now, self._core.random
+                state, request, sender, fleet, now, self._core.random
             ),
             state,
         )
@@ -207,7 +207,7 @@
     ) -> None:
         for reply in replies:
             self._log_reply(reply.message, state)
-            self._send(reply.caller, reply.message)
+            self._send(reply.sender, reply.message)
 
     def _log_reply(self, message: Message, state: SchedulerState) -> None:
         """Log a decision with the load that it was based on."""
--- a/packages/verbenahall/src/verbenahall/scheduling/_decisions.py
+++ b/packages/verbenahall/src/verbenahall/scheduling/_decisions.py
@@ -52,7 +52,7 @@
 def receive_request(
     state: SchedulerState,
     request: ScheduleRequest,
-    caller: str,
+    sender: str,
     fleet: Fleet,
     now: float,
     rng: random.Random,
@@ -63,16 +63,16 @@
     ``assign_waiting``, which goes through the whole queue once for all requests
     that have arrived together. An instance repeats its request while it waits,
     to check that the scheduler still runs and to get an answer that was lost.
-    ``caller`` is the address of that instance.
+    ``sender`` is the address of that instance.
     """
     assigned = state.assigned.get(request.key)
     if assigned is not None:
-        return (Reply(caller, assigned.answer),)
+        return (Reply(sender, assigned.answer),)
     if request.key in state.waiting:
-        return (Reply(caller, Queued(request.key)),)
+        return (Reply(sender, Queued(request.key)),)
     complete = now - state.started_at > _CACHES_COMPLETE_S
     state.placement.caches_complete = complete
-    waiting = _make_waiting(request, caller, now)
+    waiting = _make_waiting(request, sender, now)
     state.waiting[request.key] = waiting
     effects = enqueue(state.queue, waiting.pending, fleet, now, rng)
     return tuple(_apply(state, effects))
@@ -139,12 +139,12 @@
     for key, waiting in state.waiting.items():
         if not waiting.notified:
             waiting.notified = True
-            yield Reply(waiting.caller, Queued(key))
+            yield Reply(waiting.sender, Queued(key))
 
 
 def _make_waiting(
     request: ScheduleRequest,
-    caller: str,
+    sender: str,
     now: float,
 ) -> Waiting:
     pending = QueuedRequest(
@@ -158,7 +158,7 @@
         returning=request.returning,
         tried=frozenset(request.tried),
     )
-    return Waiting(pending, caller, now + request.deadline_s)
+    return Waiting(pending, sender, now + request.deadline_s)
 
 
 def _apply(
@@ -170,7 +170,7 @@
         yield _assign(state, waiting, admitted)
     for pending, problem in effects.refused:
         waiting = state.waiting.pop(pending.request_id)
-        yield Reply(waiting.caller, _reject(pending, problem))
+        yield Reply(waiting.sender, _reject(pending, problem))
 
 
 def _assign(
@@ -204,7 +204,7 @@
         admitted.flight,
         decode,
     )
-    return Reply(waiting.caller, answer)
+    return Reply(waiting.sender, answer)
 
 
 def _reject(pending: QueuedRequest, problem: Problem) -> Rejection:
--- a/packages/verbenahall/src/verbenahall/scheduling/_state.py
+++ b/packages/verbenahall/src/verbenahall/scheduling/_state.py
@@ -15,21 +15,24 @@
 
 @dataclasses.dataclass(frozen=True, slots=True)
 class Reply:
-    """A message to the instance with the address ``caller``."""
+    """A message to an instance in reply to its request.
 
-    caller: str
+    ``sender`` is the address of the instance that sent the request.
+    """
+
+    sender: str
     message: Message
 
 
 @dataclasses.dataclass(slots=True)
 class Waiting:
-    """A request in the queue, and the instance that sent it.
+    """A request in the queue, and the address of the instance that sent it.
 
     ``notified`` is true once that instance has been sent ``Queued``.
     """
 
     pending: QueuedRequest
-    caller: str
+    sender: str
     deadline: float
     notified: bool = False
 
--- a/packages/verbenahall/tests/scheduling/test_scheduler.py
+++ b/packages/verbenahall/tests/scheduling/test_scheduler.py
@@ -50,17 +50,17 @@
     return Fleet(state.placement, ENGINES, TRAITS, len(state.queue.waiting))
 
 
-def submit(state, request, now=0.0, caller='10.0.0.1:7380'):
+def submit(state, request, now=0.0, sender='10.0.0.1:7380'):
     """Send a request to the scheduler; return its replies."""
     fleet = make_fleet(state)
     replies = scheduling.receive_request(
-        state, request, caller, fleet, now, RNG
+        state, request, sender, fleet, now, RNG
     )
     return [*replies, *scheduling.assign_waiting(state, fleet, now, RNG)]
 
 
 def list_types(replies):
-    return [(reply.caller, type(reply.message)) for reply in replies]
+    return [(reply.sender, type(reply.message)) for reply in replies]
 
 
 def finish(state, key, service, now):
@@ -93,7 +93,7 @@
         for reply in submit(
             state,
             make_request(f'r{number}', due_s=9),
-            caller=f'10.0.0.{number}:7380',
+            sender=f'10.0.0.{number}:7380',
         )
     ]
 
@@ -109,15 +109,15 @@
     submit(state, make_request('busy', due_s=9))
     while not state.queue.waiting:
         submit(state, make_request(f'busy-{len(state.assigned)}', due_s=9))
-    submit(state, make_request('low', priority=2, due_s=9), caller='low')
-    submit(state, make_request('high', priority=0, due_s=9), caller='high')
+    submit(state, make_request('low', priority=2, due_s=9), sender='low')
+    submit(state, make_request('high', priority=0, due_s=9), sender='high')
     replies_sent = []
     for key in tuple(state.assigned):
         replies_sent.extend(finish(state, key, service, 0.1))
 
-    callers = [one.caller for one in replies_sent]
-    assert 'low' not in callers or callers.index('high') < callers.index('low')
-    assert 'high' in callers
+    senders = [one.sender for one in replies_sent]
+    assert 'low' not in senders or senders.index('high') < senders.index('low')
+    assert 'high' in senders
 
 
 def test_repeated_request_is_answered_and_counted_once(state):
@@ -213,7 +213,7 @@
         submit(state, make_request(f'r{number}', due_s=9))
     hurried = make_request('hurried', due_s=-1)
     hurried = dataclasses.replace(hurried, leaves_s=0.01)
-    reply = submit(state, hurried, caller='hurried')[0]
+    reply = submit(state, hurried, sender='hurried')[0]
 
     assert isinstance(reply.message, scheduling.Rejection)
     assert reply.message.kind == 'overloaded'
