--- a/packages/verbenahall/src/verbenahall/duties/_succession.py
+++ b/packages/verbenahall/src/verbenahall/duties/_succession.py
@@ -19,7 +19,7 @@
 
 @final
 class Succession:
-    """One instance's candidacy for a duty that another one may hold.
+    """One instance as a candidate for a duty that another may hold.
 
     A holder renews its lease at least once in ``period_s`` seconds. Only a few
     standbys check the lease once in this period, in an order that all instances
--- a/packages/verbenahall/src/verbenahall/gateway/_core.py
+++ b/packages/verbenahall/src/verbenahall/gateway/_core.py
@@ -158,7 +158,7 @@
         """Return the retry budget of a service.
 
         The operators bound the retries of all instances together, so each
-        instance gets an equal share of the fixed slack, also while other
+        instance gets an equal share of the fixed burst, also while other
         instances don't use theirs.
         """
         bounds = self.settings.bounds
