--- a/packages/verbenahall/src/verbenahall/gateway/_sender.py
+++ b/packages/verbenahall/src/verbenahall/gateway/_sender.py
@@ -72,7 +72,7 @@
     ) -> AsyncIterator[Opened]:
         """Send a call and yield the response once its head has arrived.
 
-        Leaving the context early closes the connection, which tells the
+        Leaving the context early closes the connection, which signals to the
         endpoint that the caller no longer waits for the answer.
 
         Nothing is sent if the endpoint has left since it was chosen, if its
