--- a/packages/verbenahall/src/verbenahall/gateway/_engine_calls.py
+++ b/packages/verbenahall/src/verbenahall/gateway/_engine_calls.py
@@ -19,7 +19,7 @@
     RoleOrder,
     decode_report,
     encode_order,
-    handle_path,
+    format_handle_path,
 )
 from verbenahall.roster import Entry
 
@@ -70,7 +70,7 @@
 
     async def free_handle(self, engine: Entry, handle: str) -> None:
         """Free KV cache that will not be fetched."""
-        answer = self._call('DELETE', engine, handle_path(handle))
+        answer = self._call('DELETE', engine, format_handle_path(handle))
         try:
             async with answer as response:
                 await response.read()
--- a/packages/verbenahall/src/verbenahall/platform/__init__.py
+++ b/packages/verbenahall/src/verbenahall/platform/__init__.py
@@ -10,8 +10,8 @@
     decode_prefill_result,
     decode_report,
     encode_order,
+    format_handle_path,
     format_kv_source,
-    handle_path,
 )
 from verbenahall.platform._connections import (
     CALL_FAILURES,
@@ -131,8 +131,8 @@
     'encode_keyed',
     'encode_order',
     'find_settings_path',
+    'format_handle_path',
     'format_kv_source',
-    'handle_path',
     'make_session',
     'read_answer_head',
     'read_event_number',
--- a/packages/verbenahall/src/verbenahall/platform/_calls.py
+++ b/packages/verbenahall/src/verbenahall/platform/_calls.py
@@ -84,7 +84,7 @@
     return f'{address}/{handle}'
 
 
-def handle_path(handle: str) -> str:
+def format_handle_path(handle: str) -> str:
     """Return the path of the call that releases a KV cache handle."""
     return names.KV_HANDLE + handle
 
